--- a/src/agent/keeper.rs
+++ b/src/agent/keeper.rs
@@ -13,7 +13,7 @@
 
 use crate::agent::ledger::Effect;
 use crate::agent::ledger::Ledger;
-use crate::agent::slot::Place;
+use crate::agent::slot::Phase;
 use crate::agent::task;
 use crate::endpoint;
 use crate::endpoint::Task;
@@ -21,21 +21,21 @@
 use crate::telemetry::metrics;
 use crate::telemetry::Span;
 use crate::wire::agent::AgentClient;
-use crate::wire::agent::Answer;
 use crate::wire::agent::Entry;
 use crate::wire::agent::Fence;
 use crate::wire::agent::Forget;
 use crate::wire::agent::Hold;
 use crate::wire::agent::Launch;
 use crate::wire::agent::Refusal;
+use crate::wire::agent::Reply;
 use crate::wire::agent::Report;
 use crate::wire::agent::Sequence;
 use crate::wire::agent::Stop;
 use crate::wire::gang;
+use crate::wire::gang::Decision;
 use crate::wire::gang::End;
 use crate::wire::gang::Ending;
 use crate::wire::gang::Gang;
-use crate::wire::gang::Verdict;
 use crate::wire::link;
 
 /// How often the ledger looks at its deadlines.
@@ -62,7 +62,7 @@
 /// What the keeper is told and asked.
 pub enum Message {
     /// A planner asks to keep accelerators.
-    Hold(Box<Hold>, RpcReplyPort<Answer>),
+    Hold(Box<Hold>, RpcReplyPort<Reply>),
     /// A planner asks the lead to decide.
     Launch(Launch, RpcReplyPort<Result<Gang, Refusal>>),
     /// A lead says to begin: the gang, if the endpoint must be asked.
@@ -74,15 +74,15 @@
     /// A task has ended.
     Ended(gang::Id, End),
     /// A member reports to this lead.
-    Report(Report, RpcReplyPort<Verdict>),
+    Report(Report, RpcReplyPort<Decision>),
     /// The lead of a gang has answered.
-    Told(gang::Id, Verdict),
+    Told(gang::Id, Decision),
     /// A planner stops a gang.
-    Stop(Stop, RpcReplyPort<Answer>),
+    Stop(Stop, RpcReplyPort<Reply>),
     /// A gang is to be halted.
     Halt(gang::Id),
     /// Gangs may be forgotten.
-    Forget(Forget, RpcReplyPort<Answer>),
+    Forget(Forget, RpcReplyPort<Reply>),
     /// How a whole gang ended, if it has.
     Outcome(gang::Id, RpcReplyPort<Option<End>>),
     /// A planner asks for changes.
@@ -183,7 +183,7 @@
         self.spans.retain(|id, _| {
             ledger
                 .slot(id)
-                .is_some_and(|slot| !matches!(slot.place, Place::Ended(_)))
+                .is_some_and(|slot| !matches!(slot.phase, Phase::Ended(_)))
         });
     }
 
@@ -199,7 +199,7 @@
             slog::info!(self.log, "agent: adopts task {}", task.task);
             self.ledger.adopt(gang, now);
             if let Some(end) = task::end_of(&task, self.ledger.worker()) {
-                self.ledger.ended(&id, end, now);
+                self.ledger.record_task_end(&id, end, now);
             }
         }
     }
@@ -230,19 +230,20 @@
             Message::Span(id, span) => {
                 self.spans.insert(id, span);
             }
-            Message::Begun(id) => self.ledger.begun(&id, now),
+            Message::Begun(id) => self.ledger.record_task_start(&id, now),
             Message::Ended(id, end) => {
                 slog::info!(self.log, "agent: task {id} ended";
                     "how" => ?end.ending);
-                return self.ledger.ended(&id, end, now);
+                return self.ledger.record_task_end(&id, end, now);
             }
             Message::Report(report, reply) => {
-                let (verdict, effects) = self.ledger.report(report, now);
+                let (verdict, effects) =
+                    self.ledger.handle_report(report, now);
                 let _ = reply.send(verdict);
                 return effects;
             }
             Message::Told(id, verdict) => {
-                return self.ledger.told(&id, verdict, now);
+                return self.ledger.apply_decision(&id, verdict, now);
             }
             Message::Stop(stop, reply) => {
                 match self.ledger.stop(stop.fence, &stop.gang, now) {
@@ -257,8 +258,9 @@
             }
             Message::Halt(id) => return self.ledger.halt(&id, now),
             Message::Forget(forget, reply) => {
-                let admitted = self.ledger.admit(forget.fence);
-                let refused = matches!(admitted, Err(Refusal::Epoch { .. }));
+                let admitted = self.ledger.check_fence(forget.fence);
+                let refused =
+                    matches!(admitted, Err(Refusal::StaleEpoch { .. }));
                 if !refused {
                     self.forget(forget.gangs);
                 }
@@ -280,7 +282,7 @@
                 let _ = reply.send(self.ledger.is_idle());
             }
             Message::Tick => {
-                let held = self.ledger.taken().count_ones();
+                let held = self.ledger.accelerators_in_use().count_ones();
                 let worker = self.ledger.worker().to_string();
                 let label = KeyValue::new("worker", worker);
                 metrics::get().held.record(u64::from(held), &[label]);
@@ -302,8 +304,8 @@
     ) -> Result<View, Refusal> {
         // A planner with an older configuration may look, and learns so
         // from what it tries next.
-        let admitted = self.ledger.admit(fence);
-        if let Err(refusal @ Refusal::Epoch { .. }) = admitted {
+        let admitted = self.ledger.check_fence(fence);
+        if let Err(refusal @ Refusal::StaleEpoch { .. }) = admitted {
             return Err(refusal);
         }
         Ok(View {
@@ -327,13 +329,13 @@
     }
 
     fn next_poll(&self, now: Instant) -> Duration {
-        let is_young = |place: &Place| match place {
-            Place::Beginning { .. } => true,
-            Place::Begun { since } => now.duration_since(*since) < YOUNG,
+        let is_young = |phase: &Phase| match phase {
+            Phase::Beginning { .. } => true,
+            Phase::Begun { since } => now.duration_since(*since) < YOUNG,
             _ => false,
         };
         let mut running = self.ledger.running();
-        match running.any(|slot| is_young(&slot.place)) {
+        match running.any(|slot| is_young(&slot.phase)) {
             true => POLL_YOUNG,
             false => POLL,
         }
@@ -344,7 +346,7 @@
         let tasks: Vec<TaskId> = self
             .ledger
             .running()
-            .filter(|slot| matches!(slot.place, Place::Begun { .. }))
+            .filter(|slot| matches!(slot.phase, Phase::Begun { .. }))
             .map(|slot| slot.gang.id.to_string())
             .collect();
         if tasks.is_empty() {
@@ -382,7 +384,7 @@
         let ids: Vec<gang::Id> = self
             .ledger
             .running()
-            .filter(|slot| matches!(slot.place, Place::Begun { .. }))
+            .filter(|slot| matches!(slot.phase, Phase::Begun { .. }))
             .map(|slot| slot.gang.id.clone())
             .collect();
         let mut effects = Vec::new();
@@ -392,12 +394,12 @@
                 Some(task) => task::end_of(task, &worker),
                 // It was asked for, and the endpoint does not know it.
                 None if asked.contains(&name) => {
-                    Some(End::of(Ending::Lost, Some(worker.clone())))
+                    Some(End::new(Ending::Lost, Some(worker.clone())))
                 }
                 None => None,
             };
             if let Some(end) = end {
-                effects.extend(self.ledger.ended(&id, end, now));
+                effects.extend(self.ledger.record_task_end(&id, end, now));
             }
         }
         effects
@@ -412,8 +414,8 @@
             self.ledger.running().map(|s| s.gang.id.clone()).collect();
         ids.into_iter()
             .flat_map(|id| {
-                let end = End::of(Ending::Lost, Some(worker.clone()));
-                self.ledger.ended(&id, end, now)
+                let end = End::new(Ending::Lost, Some(worker.clone()));
+                self.ledger.record_task_end(&id, end, now)
             })
             .collect()
     }
@@ -422,7 +424,7 @@
         match effect {
             Effect::StartTask(id) => self.start_task(myself, id),
             Effect::StopTask(id) => self.stop_task(myself, id),
-            Effect::TellLead { address, report } => {
+            Effect::ReportToLead { address, report } => {
                 self.tell_lead(myself, address, report)
             }
             Effect::HaltMember { address, gang } => {
@@ -432,7 +434,12 @@
                     // reports, or stops when it cannot.
                     if let Ok(client) = pool.get(&address).await {
                         let call = client.halt(gang);
-                        let _ = link::within(&address, link::CALL, call).await;
+                        let _ = link::with_timeout(
+                            &address,
+                            link::CALL_TIMEOUT,
+                            call,
+                        )
+                        .await;
                     }
                 });
             }
@@ -476,11 +483,12 @@
             };
             let gang = report.gang.clone();
             let call = client.report(report);
-            match link::within(&address, link::CALL, call).await {
+            match link::with_timeout(&address, link::CALL_TIMEOUT, call).await
+            {
                 Ok(verdict) => {
                     let _ = myself.cast(Message::Told(gang, verdict));
                 }
-                Err(_) => pool.drop(&address),
+                Err(_) => pool.remove(&address),
             }
         });
     }
--- a/src/agent/lead.rs
+++ b/src/agent/lead.rs
@@ -4,10 +4,10 @@
 use std::time::Instant;
 
 use crate::agent::ledger::gang_lease;
+use crate::wire::gang::Decision;
 use crate::wire::gang::End;
 use crate::wire::gang::Ending;
 use crate::wire::gang::Gang;
-use crate::wire::gang::Verdict;
 
 /// How long after its own hold the lead may still decide to run a gang.
 ///
@@ -18,7 +18,7 @@
 /// The lead's part of a gang.
 #[derive(Clone, Debug)]
 pub struct Lead {
-    decided: Option<Verdict>,
+    decided: Option<Decision>,
     ran: bool,
     decide_by: Instant,
     members: Vec<Member>,
@@ -51,24 +51,24 @@
     /// Returns the part of a gang whose task was found running.
     pub fn adopted(gang: &Gang, now: Instant) -> Lead {
         Lead {
-            decided: Some(Verdict::Run),
+            decided: Some(Decision::Run),
             ran: true,
             ..Lead::new(gang, now)
         }
     }
 
     /// Decides that the gang runs, unless it was decided or is too late.
-    pub fn decide(&mut self, now: Instant) -> Verdict {
+    pub fn decide(&mut self, now: Instant) -> Decision {
         let verdict = match self.decided {
             Some(verdict) => verdict,
-            None if now <= self.decide_by => Verdict::Run,
-            None => Verdict::Halt,
+            None if now <= self.decide_by => Decision::Run,
+            None => Decision::Halt,
         };
         for member in &mut self.members {
             member.heard = now;
         }
         self.decided = Some(verdict);
-        self.ran |= verdict == Verdict::Run;
+        self.ran |= verdict == Decision::Run;
         verdict
     }
 
@@ -78,13 +78,13 @@
     }
 
     /// Returns the verdict. Who asks before there is one decides: it halts.
-    pub fn verdict(&mut self) -> Verdict {
-        *self.decided.get_or_insert(Verdict::Halt)
+    pub fn verdict(&mut self) -> Decision {
+        *self.decided.get_or_insert(Decision::Halt)
     }
 
     /// Decides that the gang halts; returns whether that is new.
     pub fn halt(&mut self) -> bool {
-        self.decided.replace(Verdict::Halt) != Some(Verdict::Halt)
+        self.decided.replace(Decision::Halt) != Some(Decision::Halt)
     }
 
     /// Returns whether nobody has decided by the time it was due.
@@ -133,7 +133,7 @@
             ends.iter().map(|end| end.kept_ms).min().unwrap_or_default();
         match &self.broken {
             None => Some(own),
-            Some(_) if !begun => Some(End::of(Ending::NotBegun, None)),
+            Some(_) if !begun => Some(End::new(Ending::NotBegun, None)),
             Some(broken) => Some(End {
                 ending: match broken.ending {
                     // Some began and some did not: it ran in part.
--- a/src/agent/ledger.rs
+++ b/src/agent/ledger.rs
@@ -17,7 +17,7 @@
 use std::time::Instant;
 
 use crate::agent::lead::Lead;
-use crate::agent::slot::Place;
+use crate::agent::slot::Phase;
 use crate::agent::slot::Slot;
 use crate::site::Mask;
 use crate::site::WorkerId;
@@ -30,20 +30,20 @@
 use crate::wire::agent::Sequence;
 use crate::wire::agent::Stage;
 use crate::wire::gang;
+use crate::wire::gang::Decision;
 use crate::wire::gang::End;
 use crate::wire::gang::Ending;
 use crate::wire::gang::Gang;
-use crate::wire::gang::Verdict;
 use crate::wire::Epoch;
 
 /// How long a hold stands before the lead is asked.
-pub const HOLD: Duration = Duration::from_secs(6);
+pub const HOLD_DURATION: Duration = Duration::from_secs(6);
 /// How long a small gang stands when its members cannot reach each other.
-pub const GANG_LEASE: Duration = Duration::from_secs(5);
+pub const MIN_GANG_LEASE: Duration = Duration::from_secs(5);
 /// How long an endpoint may take to start a task.
 pub const BEGIN: Duration = Duration::from_secs(5);
 /// How often a member of a small gang reports to its lead.
-pub const REPORT_EVERY: Duration = Duration::from_millis(1500);
+pub const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(1500);
 /// How much longer a member waits for each member of its gang: at 520 bytes
 /// a report, all of them cost the lead no more than 21 KB a second.
 const REPORT_EACH: Duration = Duration::from_millis(25);
@@ -52,13 +52,13 @@
 
 /// Returns how often a member of a gang of so many reports to its lead.
 pub fn report_every(members: usize) -> Duration {
-    REPORT_EVERY.max(REPORT_EACH * members as u32)
+    MIN_REPORT_INTERVAL.max(REPORT_EACH * members as u32)
 }
 
 /// Returns how long a gang of so many stands when its members cannot reach
 /// each other.
 pub fn gang_lease(members: usize) -> Duration {
-    GANG_LEASE.max(report_every(members) * MISSED)
+    MIN_GANG_LEASE.max(report_every(members) * MISSED)
 }
 
 /// Something to do.
@@ -69,7 +69,7 @@
     /// Stop the task at the endpoint.
     StopTask(gang::Id),
     /// Tell the lead.
-    TellLead {
+    ReportToLead {
         /// Where it listens.
         address: String,
         /// What to tell.
@@ -152,7 +152,7 @@
     pub fn is_idle(&self) -> bool {
         self.slots
             .values()
-            .all(|slot| matches!(slot.place, Place::Ended(_)))
+            .all(|slot| matches!(slot.phase, Phase::Ended(_)))
     }
 
     /// Returns a gang in the ledger.
@@ -164,19 +164,19 @@
     pub fn running(&self) -> impl Iterator<Item = &Slot> {
         self.slots.values().filter(|slot| {
             matches!(
-                slot.place,
-                Place::Beginning { .. }
-                    | Place::Begun { .. }
-                    | Place::Halting { .. }
+                slot.phase,
+                Phase::Beginning { .. }
+                    | Phase::Begun { .. }
+                    | Phase::Halting { .. }
             )
         })
     }
 
     /// Returns the accelerators that are held or in use.
-    pub fn taken(&self) -> Mask {
+    pub fn accelerators_in_use(&self) -> Mask {
         self.slots
             .values()
-            .filter(|slot| !matches!(slot.place, Place::Ended(_)))
+            .filter(|slot| !matches!(slot.phase, Phase::Ended(_)))
             .fold(0, |mask, slot| mask | slot.gang.members[slot.me].mask)
     }
 
@@ -185,16 +185,16 @@
     /// # Errors
     ///
     /// If a later planner has spoken, or a later configuration is in force.
-    pub fn admit(&mut self, fence: Fence) -> Result<(), Refusal> {
+    pub fn check_fence(&mut self, fence: Fence) -> Result<(), Refusal> {
         if fence.epoch < self.epoch {
-            return Err(Refusal::Epoch {
+            return Err(Refusal::StaleEpoch {
                 asked: fence.epoch,
                 highest: self.epoch,
             });
         }
         self.epoch = fence.epoch;
         if fence.revision < self.revision {
-            return Err(Refusal::Revision {
+            return Err(Refusal::StaleRevision {
                 asked: fence.revision,
                 highest: self.revision,
             });
@@ -210,10 +210,10 @@
     /// If the planner is not obeyed, the worker is leaving, or accelerators
     /// are taken. Asking twice is as asking once.
     pub fn hold(&mut self, hold: Hold, now: Instant) -> Result<(), Refusal> {
-        self.admit(hold.fence)?;
+        self.check_fence(hold.fence)?;
         let id = hold.gang.id.clone();
-        match self.slots.get(&id).map(|slot| &slot.place) {
-            Some(Place::Ended(_)) => return Err(Refusal::NotHeld),
+        match self.slots.get(&id).map(|slot| &slot.phase) {
+            Some(Phase::Ended(_)) => return Err(Refusal::NotHeld),
             Some(_) => return Ok(()),
             None if self.leaving => return Err(Refusal::Leaving),
             None => {}
@@ -222,16 +222,16 @@
             return Err(Refusal::NotHeld);
         };
         let mask = hold.gang.members[me].mask;
-        let taken = (self.taken() | !self.whole) & mask;
+        let taken = (self.accelerators_in_use() | !self.whole) & mask;
         if taken != 0 {
-            return Err(Refusal::Taken { mask: taken });
+            return Err(Refusal::AcceleratorsTaken { mask: taken });
         }
-        let deadline = now + HOLD;
+        let deadline = now + HOLD_DURATION;
         let lead = (me == 0).then(|| Lead::new(&hold.gang, now));
         let slot = Slot {
             gang: hold.gang,
             me,
-            place: Place::Held { deadline },
+            phase: Phase::Held { deadline },
             lead,
             heard: now,
             report_at: deadline,
@@ -254,15 +254,15 @@
         id: &gang::Id,
         now: Instant,
     ) -> Result<Gang, Refusal> {
-        self.admit(fence)?;
+        self.check_fence(fence)?;
         let slot = self.slots.get_mut(id).ok_or(Refusal::NotHeld)?;
         let lead = slot.lead.as_mut().ok_or(Refusal::NotHeld)?;
         let verdict = lead.decide(now);
         let gang = slot.gang.clone();
         self.touch(id);
         match verdict {
-            Verdict::Run => Ok(gang),
-            Verdict::Halt => Err(Refusal::NotHeld),
+            Decision::Run => Ok(gang),
+            Decision::Halt => Err(Refusal::NotHeld),
         }
     }
 
@@ -279,31 +279,31 @@
         now: Instant,
     ) -> Result<bool, Refusal> {
         let slot = self.slots.get_mut(id).ok_or(Refusal::NotHeld)?;
-        match slot.place {
-            Place::Held { .. } => {
-                slot.place = beginning(now);
+        match slot.phase {
+            Phase::Held { .. } => {
+                slot.phase = beginning(now);
                 slot.heard = now;
                 slot.report_at = now + slot.report_every();
                 self.touch(id);
                 Ok(true)
             }
-            Place::Beginning { .. } | Place::Begun { .. } => Ok(false),
-            Place::Halting { .. } | Place::Ended(_) => Err(Refusal::NotHeld),
+            Phase::Beginning { .. } | Phase::Begun { .. } => Ok(false),
+            Phase::Halting { .. } | Phase::Ended(_) => Err(Refusal::NotHeld),
         }
     }
 
     /// Takes in that the endpoint has started a task.
-    pub fn begun(&mut self, id: &gang::Id, now: Instant) {
+    pub fn record_task_start(&mut self, id: &gang::Id, now: Instant) {
         if let Some(slot) = self.slots.get_mut(id) {
-            if matches!(slot.place, Place::Beginning { .. }) {
-                slot.place = Place::Begun { since: now };
+            if matches!(slot.phase, Phase::Beginning { .. }) {
+                slot.phase = Phase::Begun { since: now };
                 self.touch(id);
             }
         }
     }
 
     /// Takes in that a task has ended here.
-    pub fn ended(
+    pub fn record_task_end(
         &mut self,
         id: &gang::Id,
         end: End,
@@ -312,10 +312,10 @@
         let Some(slot) = self.slots.get_mut(id) else {
             return Vec::new();
         };
-        if matches!(slot.place, Place::Ended(_)) {
+        if matches!(slot.phase, Phase::Ended(_)) {
             return Vec::new();
         }
-        slot.place = Place::Ended(end.clone());
+        slot.phase = Phase::Ended(end.clone());
         slot.report_at = now;
         let me = slot.me;
         self.touch(id);
@@ -326,21 +326,21 @@
     }
 
     /// Takes a member's word, as the lead, and returns the verdict.
-    pub fn report(
+    pub fn handle_report(
         &mut self,
         report: Report,
         now: Instant,
-    ) -> (Verdict, Vec<Effect>) {
+    ) -> (Decision, Vec<Effect>) {
         let Some(slot) = self.slots.get_mut(&report.gang) else {
-            return (Verdict::Halt, Vec::new());
+            return (Decision::Halt, Vec::new());
         };
         let Some(lead) = slot.lead.as_mut() else {
-            return (Verdict::Halt, Vec::new());
+            return (Decision::Halt, Vec::new());
         };
         lead.hear(report.member, now);
         let verdict = lead.verdict();
         let mut effects = Vec::new();
-        if verdict == Verdict::Halt {
+        if verdict == Decision::Halt {
             effects = self.halt(&report.gang, now);
         }
         if let Some(end) = report.end {
@@ -352,30 +352,30 @@
     }
 
     /// Takes in the lead's verdict.
-    pub fn told(
+    pub fn apply_decision(
         &mut self,
         id: &gang::Id,
-        verdict: Verdict,
+        verdict: Decision,
         now: Instant,
     ) -> Vec<Effect> {
         let Some(slot) = self.slots.get_mut(id) else {
             return Vec::new();
         };
         slot.heard = now;
-        match (&slot.place, verdict) {
-            (Place::Held { .. }, Verdict::Run) => {
-                slot.place = beginning(now);
+        match (&slot.phase, verdict) {
+            (Phase::Held { .. }, Decision::Run) => {
+                slot.phase = beginning(now);
                 slot.report_at = now + slot.report_every();
                 self.touch(id);
                 vec![Effect::StartTask(id.clone())]
             }
-            (Place::Ended(_), _) => {
+            (Phase::Ended(_), _) => {
                 // The lead knows now: there is nothing more to tell.
                 slot.report_at = now + Duration::from_secs(86_400);
                 Vec::new()
             }
-            (_, Verdict::Run) => Vec::new(),
-            (_, Verdict::Halt) => self.halt(id, now),
+            (_, Decision::Run) => Vec::new(),
+            (_, Decision::Halt) => self.halt(id, now),
         }
     }
 
@@ -390,9 +390,9 @@
         id: &gang::Id,
         now: Instant,
     ) -> Result<Vec<Effect>, Refusal> {
-        match self.admit(fence) {
+        match self.check_fence(fence) {
             // An older configuration may still stop what it started.
-            Ok(()) | Err(Refusal::Revision { .. }) => {}
+            Ok(()) | Err(Refusal::StaleRevision { .. }) => {}
             Err(refusal) => return Err(refusal),
         }
         Ok(self.halt(id, now))
@@ -413,22 +413,22 @@
                 }));
             }
         }
-        match slot.place {
-            Place::Held { .. } => {
-                let end = End::of(Ending::NotBegun, None);
-                effects.extend(self.ended(id, end, now));
+        match slot.phase {
+            Phase::Held { .. } => {
+                let end = End::new(Ending::NotBegun, None);
+                effects.extend(self.record_task_end(id, end, now));
             }
-            Place::Begun { since } => {
-                slot.place = Place::Halting { since };
+            Phase::Begun { since } => {
+                slot.phase = Phase::Halting { since };
                 self.touch(id);
                 effects.push(Effect::StopTask(id.clone()));
             }
-            Place::Beginning { .. } => {
-                slot.place = Place::Halting { since: now };
+            Phase::Beginning { .. } => {
+                slot.phase = Phase::Halting { since: now };
                 self.touch(id);
                 effects.push(Effect::StopTask(id.clone()));
             }
-            Place::Halting { .. } | Place::Ended(_) => {}
+            Phase::Halting { .. } | Phase::Ended(_) => {}
         }
         effects
     }
@@ -438,7 +438,7 @@
         let gone = self.slots.get(id).is_some_and(|slot| {
             let lead_done =
                 slot.lead.as_ref().is_none_or(|l| l.outcome().is_some());
-            matches!(slot.place, Place::Ended(_)) && lead_done
+            matches!(slot.phase, Phase::Ended(_)) && lead_done
         });
         if gone {
             self.slots.remove(id);
@@ -455,10 +455,10 @@
         let Some(slot) = self.slots.get_mut(id) else {
             return Vec::new();
         };
-        let late = match &slot.place {
-            Place::Beginning { deadline } => *deadline <= now,
+        let late = match &slot.phase {
+            Phase::Beginning { deadline } => *deadline <= now,
             // The lead begins last: past its hold it never will.
-            Place::Held { deadline } => slot.me == 0 && *deadline <= now,
+            Phase::Held { deadline } => slot.me == 0 && *deadline <= now,
             _ => false,
         };
         if late {
@@ -472,12 +472,12 @@
             };
         }
         let silent = now.saturating_duration_since(slot.heard);
-        match &slot.place {
-            Place::Held { deadline } if now >= *deadline + slot.lease() => {
-                let end = End::of(Ending::NotBegun, None);
-                self.ended(id, end, now)
+        match &slot.phase {
+            Phase::Held { deadline } if now >= *deadline + slot.lease() => {
+                let end = End::new(Ending::NotBegun, None);
+                self.record_task_end(id, end, now)
             }
-            Place::Begun { .. } | Place::Beginning { .. }
+            Phase::Begun { .. } | Phase::Beginning { .. }
                 if silent >= slot.lease() =>
             {
                 self.halt(id, now)
@@ -500,7 +500,7 @@
             .get(id)
             .and_then(|slot| slot.gang.members.get(member))
             .map(|member| member.worker.clone());
-        let end = End::of(Ending::Lost, worker);
+        let end = End::new(Ending::Lost, worker);
         self.member_ended(id, member, end, now)
     }
 
@@ -531,11 +531,11 @@
     fn tell_lead(&mut self, id: &gang::Id, now: Instant) -> Option<Effect> {
         let slot = self.slots.get_mut(id)?;
         slot.report_at = now + slot.report_every();
-        let end = match &slot.place {
-            Place::Ended(end) => Some(end.clone()),
+        let end = match &slot.phase {
+            Phase::Ended(end) => Some(end.clone()),
             _ => None,
         };
-        Some(Effect::TellLead {
+        Some(Effect::ReportToLead {
             address: slot.gang.lead().address.clone(),
             report: Report {
                 gang: id.clone(),
@@ -557,7 +557,7 @@
         let slot = Slot {
             gang,
             me,
-            place: Place::Begun { since: now },
+            phase: Phase::Begun { since: now },
             lead,
             heard: now,
             report_at: now,
@@ -588,25 +588,25 @@
     }
 }
 
-fn beginning(now: Instant) -> Place {
-    Place::Beginning {
+fn beginning(now: Instant) -> Phase {
+    Phase::Beginning {
         deadline: now + BEGIN,
     }
 }
 
 fn stage(slot: &Slot, now: Instant) -> Stage {
     let runs = slot.lead.as_ref().is_some_and(Lead::has_run);
-    match &slot.place {
+    match &slot.phase {
         // The lead begins last: other members may have begun.
-        Place::Held { .. } if runs => Stage::Begun { ago_ms: 0 },
-        Place::Held { .. } => Stage::Held,
-        Place::Beginning { .. } => Stage::Begun { ago_ms: 0 },
-        Place::Begun { since } | Place::Halting { since } => {
+        Phase::Held { .. } if runs => Stage::Begun { ago_ms: 0 },
+        Phase::Held { .. } => Stage::Held,
+        Phase::Beginning { .. } => Stage::Begun { ago_ms: 0 },
+        Phase::Begun { since } | Phase::Halting { since } => {
             let ago = now.saturating_duration_since(*since);
             Stage::Begun {
                 ago_ms: ago.as_millis() as u64,
             }
         }
-        Place::Ended(end) => Stage::Ended(end.clone()),
+        Phase::Ended(end) => Stage::Ended(end.clone()),
     }
 }
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -146,8 +146,8 @@
 /// Returns the limits of the calls that one of our processes takes.
 pub(crate) fn server_config() -> jsonrpsee::server::ServerConfig {
     jsonrpsee::server::ServerConfig::builder()
-        .max_request_body_size(link::MAX_MESSAGE)
-        .max_response_body_size(link::MAX_MESSAGE)
+        .max_request_body_size(link::MAX_MESSAGE_BYTES)
+        .max_response_body_size(link::MAX_MESSAGE_BYTES)
         .max_connections(4096)
         .build()
 }
--- a/src/agent/serve.rs
+++ b/src/agent/serve.rs
@@ -18,23 +18,23 @@
 use crate::telemetry::Span;
 use crate::wire::agent::AgentClient;
 use crate::wire::agent::AgentServer;
-use crate::wire::agent::Answer;
 use crate::wire::agent::Changes;
 use crate::wire::agent::Forget;
 use crate::wire::agent::Hold;
 use crate::wire::agent::Incarnation;
 use crate::wire::agent::Launch;
-use crate::wire::agent::Launched;
+use crate::wire::agent::LaunchOutcome;
 use crate::wire::agent::Refusal;
+use crate::wire::agent::Reply;
 use crate::wire::agent::Report;
 use crate::wire::agent::Sequence;
 use crate::wire::agent::Stop;
 use crate::wire::agent::Watch;
 use crate::wire::gang;
+use crate::wire::gang::Decision;
 use crate::wire::gang::Ending;
 use crate::wire::gang::Gang;
 use crate::wire::gang::Member;
-use crate::wire::gang::Verdict;
 use crate::wire::link;
 use crate::wire::Trace;
 
@@ -90,7 +90,7 @@
         let client =
             self.pool.get(address).await.map_err(|_| None::<Refusal>)?;
         let call = client.begin(gang.id.clone(), trace.clone());
-        match link::within(address, link::CALL, call).await {
+        match link::with_timeout(address, link::CALL_TIMEOUT, call).await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(refusal)) => Err(Some(refusal)),
             Err(_) => Err(None),
@@ -122,7 +122,7 @@
         &self,
         id: gang::Id,
         trace: Option<Trace>,
-    ) -> RpcResult<Answer> {
+    ) -> RpcResult<Reply> {
         let span = Span::begin("begin", trace.as_ref());
         span.set("worker", &self.worker);
         let task = Span::begin("task", span.trace().as_ref());
@@ -145,7 +145,7 @@
         gang: &Gang,
         member: Member,
         refusal: Option<Refusal>,
-    ) -> Launched {
+    ) -> LaunchOutcome {
         let id = &gang.id;
         let _ = self.keeper.cast(Message::Halt(id.clone()));
         let lease = gang_lease(gang.members.len());
@@ -155,7 +155,7 @@
             let end = self.ask(|reply| Message::Outcome(id, reply)).await;
             match end {
                 Ok(Some(end)) if end.ending == Ending::NotBegun => {
-                    return Launched::NotStarted {
+                    return LaunchOutcome::NotStarted {
                         worker: Some(member.worker),
                         refusal,
                     };
@@ -164,7 +164,7 @@
                 Ok(None) => tokio::time::sleep(OUTCOME_EVERY).await,
             }
         }
-        Launched::Broken {
+        LaunchOutcome::PartlyStarted {
             worker: member.worker,
         }
     }
@@ -172,7 +172,7 @@
 
 #[async_trait]
 impl AgentServer for Methods {
-    async fn hold(&self, hold: Hold) -> RpcResult<Answer> {
+    async fn hold(&self, hold: Hold) -> RpcResult<Reply> {
         let span = Span::begin("hold", hold.trace.as_ref());
         span.set("worker", &self.worker);
         let hold = Box::new(hold);
@@ -182,7 +182,7 @@
     async fn launch(
         &self,
         launch: Launch,
-    ) -> RpcResult<Result<Launched, Refusal>> {
+    ) -> RpcResult<Result<LaunchOutcome, Refusal>> {
         let span = Span::begin("launch", launch.trace.as_ref());
         span.set("worker", &self.worker);
         let trace = span.trace();
@@ -192,7 +192,7 @@
             Err(refusal) => return Ok(Err(refusal)),
         };
         match self.begin_all(&gang, &trace).await {
-            Ok(()) => Ok(Ok(Launched::Started)),
+            Ok(()) => Ok(Ok(LaunchOutcome::Started)),
             Err((member, refusal)) => {
                 slog::warn!(self.log, "agent: gang {} is broken", gang.id;
                     "worker" => &*member.worker);
@@ -205,15 +205,15 @@
         &self,
         gang: gang::Id,
         trace: Option<Trace>,
-    ) -> RpcResult<Answer> {
+    ) -> RpcResult<Reply> {
         self.begin_here(gang, trace).await
     }
 
-    async fn report(&self, report: Report) -> RpcResult<Verdict> {
+    async fn report(&self, report: Report) -> RpcResult<Decision> {
         self.ask(|reply| Message::Report(report, reply)).await
     }
 
-    async fn stop(&self, stop: Stop) -> RpcResult<Answer> {
+    async fn stop(&self, stop: Stop) -> RpcResult<Reply> {
         self.ask(|reply| Message::Stop(stop, reply)).await
     }
 
@@ -222,7 +222,7 @@
         Ok(())
     }
 
-    async fn forget(&self, forget: Forget) -> RpcResult<Answer> {
+    async fn forget(&self, forget: Forget) -> RpcResult<Reply> {
         self.ask(|reply| Message::Forget(forget, reply)).await
     }
 
@@ -230,7 +230,7 @@
         &self,
         watch: Watch,
     ) -> RpcResult<Result<Changes, Refusal>> {
-        let waits = Duration::from_millis(watch.within_ms);
+        let waits = Duration::from_millis(watch.timeout_ms);
         let deadline = Instant::now() + waits.min(LONGEST_WATCH);
         let mut watched = self.watched.clone();
         // A first call wants all entries, even if there are none.
--- a/src/agent/slot.rs
+++ b/src/agent/slot.rs
@@ -12,7 +12,7 @@
 
 /// Where a gang is in its life, at this member.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Place {
+pub enum Phase {
     /// Accelerators are kept until the lead is to be asked.
     Held {
         /// When that is.
@@ -45,7 +45,7 @@
     /// This worker's position among its members.
     pub me: usize,
     /// Where it is in its life here.
-    pub place: Place,
+    pub phase: Phase,
     /// What its lead keeps of it, if this member leads.
     pub lead: Option<Lead>,
     /// When the lead was last heard.
--- a/src/agent/task.rs
+++ b/src/agent/task.rs
@@ -7,8 +7,8 @@
 use crate::agent::keeper::Message;
 use crate::endpoint;
 use crate::endpoint::Task;
-use crate::wire::agent::Answer;
 use crate::wire::agent::Refusal;
+use crate::wire::agent::Reply;
 use crate::wire::gang;
 use crate::wire::gang::End;
 use crate::wire::gang::Ending;
@@ -29,7 +29,7 @@
     keeper: &ActorRef<Message>,
     gang: &Gang,
     worker: &str,
-) -> Answer {
+) -> Reply {
     let id = gang.id.clone();
     let Some(me) = gang.position(worker) else {
         return Err(Refusal::NotHeld);
@@ -55,15 +55,15 @@
         }
         Err(error @ crate::http::Error::Unreached { .. }) => {
             let worker = Some(worker.into());
-            let end = End::of(Ending::NotBegun, worker);
+            let end = End::new(Ending::NotBegun, worker);
             let _ = keeper.cast(Message::Ended(id, end));
             let reason = error.to_string();
-            Err(Refusal::Endpoint { reason })
+            Err(Refusal::TaskNotStarted { reason })
         }
         Err(error) => {
             let _ = keeper.cast(Message::Halt(id));
             let reason = error.to_string();
-            Err(Refusal::Endpoint { reason })
+            Err(Refusal::TaskNotStarted { reason })
         }
     }
 }
@@ -86,13 +86,13 @@
             Err(crate::http::Error::Unexpected { status, .. })
                 if status == hyper::StatusCode::NOT_FOUND =>
             {
-                return End::of(Ending::Stopped, Some(worker.into()));
+                return End::new(Ending::Stopped, Some(worker.into()));
             }
             Err(_) => {}
         }
         tokio::time::sleep(STOP_RETRY).await;
     }
-    End::of(Ending::Stopped, Some(worker.into()))
+    End::new(Ending::Stopped, Some(worker.into()))
 }
 
 /// Returns how a task ended, if it has.
--- a/src/cell/member/link.rs
+++ b/src/cell/member/link.rs
@@ -58,7 +58,7 @@
                         "planner" => &holder.process, "claim" => revision);
                 }
                 Err(error) => {
-                    turned_away = match error.is_turned_away() {
+                    turned_away = match error.is_rejected() {
                         true => turned_away + 1,
                         false => 0,
                     };
--- a/src/cell/server.rs
+++ b/src/cell/server.rs
@@ -46,7 +46,7 @@
     pub fn of_connections(connections: u32) -> Limits {
         Limits {
             connections,
-            report: link::MAX_MESSAGE,
+            report: link::MAX_MESSAGE_BYTES,
         }
     }
 
@@ -89,7 +89,7 @@
         let config = ServerConfig::builder()
             .max_connections(limits.connections)
             .max_request_body_size(limits.report)
-            .max_response_body_size(link::MAX_MESSAGE)
+            .max_response_body_size(link::MAX_MESSAGE_BYTES)
             .enable_ws_ping(ping)
             .build();
         let full = Arc::new(Full::new(limits, log));
--- a/src/entry/answers.rs
+++ b/src/entry/answers.rs
@@ -114,11 +114,13 @@
     let soon = Duration::from_secs(2);
     match refusal {
         Refusal::Conflict => conflict(),
-        Refusal::NotKnown => refuse(StatusCode::NOT_FOUND, text),
+        Refusal::UnknownJob => refuse(StatusCode::NOT_FOUND, text),
         Refusal::QueueFull { .. } => {
             later(StatusCode::TOO_MANY_REQUESTS, text, soon)
         }
-        Refusal::NotPlanner | Refusal::TakingOver | Refusal::StoreDown => {
+        Refusal::NotPlanner
+        | Refusal::TakingOver
+        | Refusal::StoreUnavailable => {
             later(StatusCode::SERVICE_UNAVAILABLE, text, soon)
         }
     }
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -28,7 +28,7 @@
 use crate::telemetry::Span;
 use crate::util::digest;
 use crate::wire::entry::Admit;
-use crate::wire::entry::Await;
+use crate::wire::entry::Query;
 use crate::wire::entry::Refusal;
 use crate::wire::entry::Status;
 use crate::wire::gang::Work;
@@ -298,9 +298,9 @@
     ) -> http::Response {
         loop {
             let left = deadline - tokio::time::Instant::now();
-            let wait = Await {
+            let wait = Query {
                 job: job.clone(),
-                within_ms: left.as_millis() as u64,
+                timeout_ms: left.as_millis() as u64,
             };
             let status = router::status(self.shared, wait, deadline).await;
             match status {
@@ -311,7 +311,7 @@
                     return answers::shown(StatusCode::ACCEPTED, &status);
                 }
                 Ok(_) => {}
-                Err(Refusal::NotKnown) => {
+                Err(Refusal::UnknownJob) => {
                     if let Some(old) = self.recorded(job).await {
                         if old.end.is_some() {
                             return answers::shown(
@@ -321,7 +321,7 @@
                         }
                     }
                     if !repeatable {
-                        return answers::refused(&Refusal::StoreDown);
+                        return answers::refused(&Refusal::StoreUnavailable);
                     }
                     let again = admit.clone();
                     let admitted =
@@ -352,14 +352,14 @@
         if !self.owns(job) {
             return Err(missing());
         }
-        let wait = Await {
+        let wait = Query {
             job: job.into(),
-            within_ms: 0,
+            timeout_ms: 0,
         };
         let deadline = tokio::time::Instant::now() + CALL;
         match router::status(self.shared, wait, deadline).await {
             Ok(status) => Ok(status),
-            Err(Refusal::NotKnown) => {
+            Err(Refusal::UnknownJob) => {
                 let record = self.recorded(job).await;
                 record.map(|r| answers::status_of(&r)).ok_or_else(missing)
             }
@@ -412,7 +412,7 @@
         let deadline = tokio::time::Instant::now() + CALL;
         match router::cancel(self.shared, job.into(), deadline).await {
             Ok(status) => answers::shown(StatusCode::OK, &status),
-            Err(Refusal::NotKnown) => self.status(job).await,
+            Err(Refusal::UnknownJob) => self.status(job).await,
             Err(refusal) => answers::refused(&refusal),
         }
     }
--- a/src/entry/configuration.rs
+++ b/src/entry/configuration.rs
@@ -64,7 +64,8 @@
             continue;
         };
         let call = client.configuration();
-        let answer = link::within(&address, link::CALL, call).await;
+        let answer =
+            link::with_timeout(&address, link::CALL_TIMEOUT, call).await;
         if let Ok(document) = answer {
             accept(shared, document);
         }
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -240,7 +240,8 @@
         let revision = match shared.pool.get(&address).await {
             Ok(client) => {
                 let call = client.configuration();
-                let asked = link::within(&address, link::CALL, call);
+                let asked =
+                    link::with_timeout(&address, link::CALL_TIMEOUT, call);
                 asked.await.ok().map(|document| document.revision)
             }
             Err(_) => None,
--- a/src/entry/router.rs
+++ b/src/entry/router.rs
@@ -14,9 +14,9 @@
 use crate::job;
 use crate::planner::actor::Message;
 use crate::wire::entry::Admit;
-use crate::wire::entry::Await;
 use crate::wire::entry::CellView;
 use crate::wire::entry::EntryClient;
+use crate::wire::entry::Query;
 use crate::wire::entry::Refusal;
 use crate::wire::entry::Status;
 use crate::wire::link;
@@ -114,10 +114,10 @@
         Output = Result<Result<T, Refusal>, jsonrpsee::core::ClientError>,
     >,
 ) -> Result<T, Refusal> {
-    match link::within(address, limit, call).await {
+    match link::with_timeout(address, limit, call).await {
         Ok(answer) => answer,
         Err(_) => {
-            shared.pool.drop(address);
+            shared.pool.remove(address);
             Err(Refusal::NotPlanner)
         }
     }
@@ -156,10 +156,10 @@
 /// As the planner refuses, or if it is not reached by the deadline.
 pub async fn status(
     shared: &Shared,
-    wait: Await,
+    wait: Query,
     deadline: Instant,
 ) -> Result<Status, Refusal> {
-    let limit = CALL + Duration::from_millis(wait.within_ms);
+    let limit = CALL + Duration::from_millis(wait.timeout_ms);
     persist(deadline, || async {
         let wait = wait.clone();
         match host(shared).await {
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -12,9 +12,9 @@
 use crate::job;
 use crate::planner::actor::Message;
 use crate::wire::entry::Admit;
-use crate::wire::entry::Await;
 use crate::wire::entry::CellView;
 use crate::wire::entry::EntryServer;
+use crate::wire::entry::Query;
 use crate::wire::entry::Refusal;
 use crate::wire::entry::Status;
 
@@ -31,7 +31,7 @@
         Ok(router::ask_here(&self.shared, ask).await)
     }
 
-    async fn status(&self, wait: Await) -> RpcResult<Result<Status, Refusal>> {
+    async fn status(&self, wait: Query) -> RpcResult<Result<Status, Refusal>> {
         let ask = |reply| Message::Status(wait, reply);
         Ok(router::ask_here(&self.shared, ask).await)
     }
--- a/src/planner/actor.rs
+++ b/src/planner/actor.rs
@@ -44,8 +44,8 @@
 use crate::wire::agent;
 use crate::wire::agent::Fence;
 use crate::wire::entry::Admit;
-use crate::wire::entry::Await;
 use crate::wire::entry::CellView;
+use crate::wire::entry::Query;
 use crate::wire::entry::Status;
 use crate::wire::gang;
 use crate::wire::link;
@@ -68,7 +68,7 @@
     /// An entry asks to take a job in.
     Admit(Box<Admit>, Reply),
     /// An entry asks for a job's status.
-    Status(Await, Reply),
+    Status(Query, Reply),
     /// An entry takes a job back.
     Cancel(job::Id, Reply),
     /// An entry asks for the jobs of an account, or all.
--- a/src/planner/actor/admission.rs
+++ b/src/planner/actor/admission.rs
@@ -22,7 +22,7 @@
 use crate::telemetry::metrics;
 use crate::telemetry::Span;
 use crate::wire::entry::Admit;
-use crate::wire::entry::Await;
+use crate::wire::entry::Query;
 use crate::wire::entry::Refusal;
 use crate::wire::entry::Status;
 
@@ -158,14 +158,14 @@
 
     pub(super) fn reply_status(&self, id: &job::Id, reply: Reply) {
         let status = self.books.status(id, &self.plan);
-        let _ = reply.send(status.ok_or(Refusal::NotKnown));
+        let _ = reply.send(status.ok_or(Refusal::UnknownJob));
     }
 
-    pub(super) fn status(&mut self, wait: Await, reply: Reply) {
+    pub(super) fn status(&mut self, wait: Query, reply: Reply) {
         let told = self.books.get(&wait.job).map(|entry| entry.told);
         match told {
-            Some(false) if wait.within_ms > 0 => {
-                let within = Duration::from_millis(wait.within_ms);
+            Some(false) if wait.timeout_ms > 0 => {
+                let within = Duration::from_millis(wait.timeout_ms);
                 let deadline = Instant::now() + within;
                 self.books.wait(&wait.job, reply, deadline);
             }
@@ -174,7 +174,7 @@
                 let _ = reply.send(Err(Refusal::TakingOver));
             }
             None => {
-                let _ = reply.send(Err(Refusal::NotKnown));
+                let _ = reply.send(Err(Refusal::UnknownJob));
             }
         }
     }
@@ -186,7 +186,7 @@
         reply: Reply,
     ) {
         let Some(entry) = self.books.get_mut(&id) else {
-            let _ = reply.send(Err(Refusal::NotKnown));
+            let _ = reply.send(Err(Refusal::UnknownJob));
             return;
         };
         if entry.record.end.is_none() && !entry.record.cancelled {
--- a/src/planner/actor/agents.rs
+++ b/src/planner/actor/agents.rs
@@ -188,10 +188,12 @@
             if ended {
                 let gangs = vec![id];
                 let call = client.forget(agent::Forget { fence, gangs });
-                let _ = link::within(&address, link::CALL, call).await;
+                let _ = link::with_timeout(&address, link::CALL_TIMEOUT, call)
+                    .await;
             } else {
                 let call = client.stop(agent::Stop { fence, gang: id });
-                let _ = link::within(&address, link::CALL, call).await;
+                let _ = link::with_timeout(&address, link::CALL_TIMEOUT, call)
+                    .await;
             }
         });
     }
@@ -206,7 +208,9 @@
             tokio::spawn(async move {
                 if let Ok(client) = pool.get(&address).await {
                     let call = client.forget(agent::Forget { fence, gangs });
-                    let _ = link::within(&address, link::CALL, call).await;
+                    let _ =
+                        link::with_timeout(&address, link::CALL_TIMEOUT, call)
+                            .await;
                 }
             });
         }
--- a/src/planner/books.rs
+++ b/src/planner/books.rs
@@ -15,7 +15,7 @@
 use crate::record::Record;
 use crate::site::WorkerId;
 use crate::telemetry::Span;
-use crate::wire::entry::Line;
+use crate::wire::entry::LogLine;
 use crate::wire::entry::Refusal;
 use crate::wire::entry::Stage;
 use crate::wire::entry::Status;
@@ -90,7 +90,7 @@
     pub trace: Option<Trace>,
     /// The span of its wait for accelerators.
     pub plan: Option<Span>,
-    log: VecDeque<Line>,
+    log: VecDeque<LogLine>,
     waiters: Vec<Waiter>,
 }
 
@@ -121,7 +121,7 @@
             self.log.pop_front();
         }
         let text = text.into();
-        self.log.push_back(Line { at, text });
+        self.log.push_back(LogLine { at, text });
     }
 }
 
@@ -244,7 +244,7 @@
                 admitting.into_iter().partition(|w| w.deadline <= now);
             entry.admitting = rest;
             for waiter in late {
-                let _ = waiter.reply.send(Err(Refusal::StoreDown));
+                let _ = waiter.reply.send(Err(Refusal::StoreUnavailable));
             }
         }
         for (id, entry) in &mut self.jobs {
@@ -256,7 +256,7 @@
         }
         for (id, waiter) in over {
             let status = self.status(&id, plan);
-            let _ = waiter.reply.send(status.ok_or(Refusal::NotKnown));
+            let _ = waiter.reply.send(status.ok_or(Refusal::UnknownJob));
         }
         self.forget(now);
     }
--- a/src/planner/launch.rs
+++ b/src/planner/launch.rs
@@ -7,20 +7,20 @@
 use tokio::time::Instant;
 
 use crate::agent::ledger::gang_lease;
-use crate::agent::ledger::HOLD;
+use crate::agent::ledger::HOLD_DURATION;
 use crate::site::WorkerId;
 use crate::telemetry::Span;
 use crate::wire::agent::AgentClient;
 use crate::wire::agent::Fence;
 use crate::wire::agent::Hold;
 use crate::wire::agent::Launch;
-use crate::wire::agent::Launched;
+use crate::wire::agent::LaunchOutcome;
 use crate::wire::agent::Refusal;
 use crate::wire::agent::Report;
 use crate::wire::agent::Stop;
+use crate::wire::gang::Decision;
 use crate::wire::gang::Gang;
 use crate::wire::gang::Member;
-use crate::wire::gang::Verdict;
 use crate::wire::link;
 use crate::wire::Trace;
 
@@ -82,9 +82,9 @@
 
 fn not_held(why: Option<Refusal>, worker: &WorkerId) -> Outcome {
     match why {
-        Some(Refusal::Epoch { .. }) => Outcome::Fenced,
+        Some(Refusal::StaleEpoch { .. }) => Outcome::Fenced,
         why => Outcome::NotStarted {
-            behind: matches!(why, Some(Refusal::Revision { .. })),
+            behind: matches!(why, Some(Refusal::StaleRevision { .. })),
             unreached: why.is_none().then(|| worker.clone()),
         },
     }
@@ -106,11 +106,13 @@
         worker: member.worker.clone(),
         trace,
     };
-    match link::within(address, link::CALL, client.hold(hold)).await {
+    match link::with_timeout(address, link::CALL_TIMEOUT, client.hold(hold))
+        .await
+    {
         Ok(Ok(())) => Ok(()),
         Ok(Err(refusal)) => Err(Some(refusal)),
         Err(_) => {
-            pool.drop(address);
+            pool.remove(address);
             Err(None)
         }
     }
@@ -132,30 +134,30 @@
         Ok(client) => {
             let call = client.launch(launch);
             let limit = LAUNCH + 2 * gang_lease(gang.members.len());
-            link::within(&lead.address, limit, call).await
+            link::with_timeout(&lead.address, limit, call).await
         }
         Err(error) => Err(error),
     };
     match launched {
-        Ok(Ok(Launched::Started)) => Outcome::Started,
-        Ok(Ok(Launched::NotStarted { worker, refusal })) => {
+        Ok(Ok(LaunchOutcome::Started)) => Outcome::Started,
+        Ok(Ok(LaunchOutcome::NotStarted { worker, refusal })) => {
             release(pool, fence, gang).await;
             Outcome::NotStarted {
                 unreached: worker.filter(|_| refusal.is_none()),
                 behind: false,
             }
         }
-        Ok(Ok(Launched::Broken { worker })) => Outcome::Broken {
+        Ok(Ok(LaunchOutcome::PartlyStarted { worker })) => Outcome::Broken {
             worker,
             known: true,
         },
-        Ok(Err(Refusal::Epoch { .. })) => Outcome::Fenced,
+        Ok(Err(Refusal::StaleEpoch { .. })) => Outcome::Fenced,
         Ok(Err(refusal)) => {
             // Asking settles it: a gang that is not decided by now is
             // decided not to run.
-            let behind = matches!(refusal, Refusal::Revision { .. });
+            let behind = matches!(refusal, Refusal::StaleRevision { .. });
             let verdict = ask(pool, gang).await;
-            if verdict == Some(Verdict::Run) {
+            if verdict == Some(Decision::Run) {
                 return Outcome::Started;
             }
             release(pool, fence, gang).await;
@@ -171,7 +173,7 @@
             }
         }
         Err(_) => {
-            pool.drop(&lead.address);
+            pool.remove(&lead.address);
             lost_launch(pool, fence, gang).await
         }
     }
@@ -179,11 +181,12 @@
 
 /// Finds out what the lead decided when its answer was lost.
 async fn lost_launch(pool: &link::Pool, fence: Fence, gang: &Gang) -> Outcome {
-    let deadline = Instant::now() + HOLD + 2 * gang_lease(gang.members.len());
+    let deadline =
+        Instant::now() + HOLD_DURATION + 2 * gang_lease(gang.members.len());
     while Instant::now() < deadline {
         match ask(pool, gang).await {
-            Some(Verdict::Run) => return Outcome::Started,
-            Some(Verdict::Halt) => break,
+            Some(Decision::Run) => return Outcome::Started,
+            Some(Decision::Halt) => break,
             None => tokio::time::sleep(STOP_RETRY).await,
         }
     }
@@ -198,7 +201,7 @@
 
 /// Asks the lead for its verdict; who asks before there is one decides
 /// that the gang does not run.
-async fn ask(pool: &link::Pool, gang: &Gang) -> Option<Verdict> {
+async fn ask(pool: &link::Pool, gang: &Gang) -> Option<Decision> {
     let address = &gang.lead().address;
     let client = pool.get(address).await.ok()?;
     let report = Report {
@@ -207,7 +210,9 @@
         end: None,
     };
     let call = client.report(report);
-    link::within(address, link::CALL, call).await.ok()
+    link::with_timeout(address, link::CALL_TIMEOUT, call)
+        .await
+        .ok()
 }
 
 /// Tells every member to let go; one that is not reached asks its lead.
@@ -234,10 +239,10 @@
         gang: gang.id.clone(),
     };
     let call = client.stop(stop);
-    match link::within(address, link::CALL, call).await {
+    match link::with_timeout(address, link::CALL_TIMEOUT, call).await {
         Ok(_) => true,
         Err(_) => {
-            pool.drop(address);
+            pool.remove(address);
             false
         }
     }
--- a/src/planner/links.rs
+++ b/src/planner/links.rs
@@ -121,18 +121,18 @@
             let watch = Watch {
                 fence: beat.fence,
                 since,
-                within_ms: beat.heartbeat.as_millis() as u64,
+                timeout_ms: beat.heartbeat.as_millis() as u64,
             };
-            let limit = beat.heartbeat + link::CALL;
+            let limit = beat.heartbeat + link::CALL_TIMEOUT;
             let call = client.watch(watch);
-            let answer = link::within(&self.address, limit, call).await;
+            let answer = link::with_timeout(&self.address, limit, call).await;
             let news = match answer {
                 Ok(Ok(changes)) => {
                     let whole = since == 0;
                     since = changes.sequence;
                     News::Changes { changes, whole }
                 }
-                Ok(Err(Refusal::Epoch { .. })) => News::Fenced,
+                Ok(Err(Refusal::StaleEpoch { .. })) => News::Fenced,
                 Ok(Err(_)) | Err(_) => return,
             };
             if self.tell(news).is_err() {
--- a/src/planner/view.rs
+++ b/src/planner/view.rs
@@ -11,10 +11,10 @@
 use crate::site::WorkerIndex;
 use crate::store::Revision;
 use crate::telemetry::metrics;
+use crate::wire::entry::Allocation;
 use crate::wire::entry::CellView;
 use crate::wire::entry::GuaranteeView;
-use crate::wire::entry::HomeUse;
-use crate::wire::entry::Use;
+use crate::wire::entry::HomeAllocation;
 use crate::wire::entry::WorkerView;
 use crate::wire::Epoch;
 
@@ -82,7 +82,7 @@
     let place = &state.site.workers()[index];
     let jobs = books.jobs.iter().filter_map(|id| {
         let job = state.jobs.get(id)?;
-        Some(Use {
+        Some(Allocation {
             job: id.clone(),
             account: job.spec.account.clone(),
             mask: mask_on(&job.run()?.pieces, index),
@@ -91,7 +91,7 @@
     let homes = state.homes.iter().filter_map(|home| {
         let account = home.owner.clone()?;
         let mask = mask_on(&home.pieces, index);
-        (mask != 0).then_some(HomeUse { account, mask })
+        (mask != 0).then_some(HomeAllocation { account, mask })
     });
     let presence = match books.presence {
         Presence::Up => "up",
--- a/src/wire/agent.rs
+++ b/src/wire/agent.rs
@@ -7,9 +7,9 @@
 
 use crate::store::Revision;
 use crate::wire::gang;
+use crate::wire::gang::Decision;
 use crate::wire::gang::End;
 use crate::wire::gang::Gang;
-use crate::wire::gang::Verdict;
 use crate::wire::Epoch;
 use crate::wire::Trace;
 
@@ -34,7 +34,8 @@
 pub enum Refusal {
     /// A later planner has spoken.
     #[error("epoch {asked} is before {highest}")]
-    Epoch {
+    #[serde(rename = "Epoch")]
+    StaleEpoch {
         /// The epoch that asked.
         asked: Epoch,
         /// The highest seen.
@@ -42,7 +43,8 @@
     },
     /// A later configuration is in force.
     #[error("configuration {asked} is before {highest}")]
-    Revision {
+    #[serde(rename = "Revision")]
+    StaleRevision {
         /// The revision that asked.
         asked: Revision,
         /// The highest seen.
@@ -50,7 +52,8 @@
     },
     /// Accelerators are taken.
     #[error("accelerators {mask:#x} are taken")]
-    Taken {
+    #[serde(rename = "Taken")]
+    AcceleratorsTaken {
         /// Those that are.
         mask: u64,
     },
@@ -62,14 +65,15 @@
     NotHeld,
     /// The endpoint does not start the task.
     #[error("the endpoint does not start the task: {reason}")]
-    Endpoint {
+    #[serde(rename = "Endpoint")]
+    TaskNotStarted {
         /// Why.
         reason: String,
     },
 }
 
 /// What an agent answers to a request that it may refuse.
-pub type Answer = Result<(), Refusal>;
+pub type Reply = Result<(), Refusal>;
 
 /// Asks to keep accelerators for a gang.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -100,7 +104,7 @@
 /// What came of a launch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Launched {
+pub enum LaunchOutcome {
     /// Every member has begun.
     Started,
     /// It was not started, and no member ever began.
@@ -112,7 +116,8 @@
     },
     /// A member failed to begin after others may have; all are stopped
     /// within the gang's lease.
-    Broken {
+    #[serde(rename = "broken")]
+    PartlyStarted {
         /// The member that failed to.
         worker: crate::site::WorkerId,
     },
@@ -197,7 +202,8 @@
     /// The last change seen; 0 for all entries.
     pub since: Sequence,
     /// How many milliseconds to wait at most.
-    pub within_ms: u64,
+    #[serde(rename = "within_ms")]
+    pub timeout_ms: u64,
 }
 
 /// The methods of an agent.
@@ -205,14 +211,14 @@
 pub trait Agent {
     /// Keeps accelerators for a gang.
     #[method(name = "hold")]
-    async fn hold(&self, hold: Hold) -> RpcResult<Answer>;
+    async fn hold(&self, hold: Hold) -> RpcResult<Reply>;
 
     /// Decides on a gang, as its lead, and has all members begin.
     #[method(name = "launch")]
     async fn launch(
         &self,
         launch: Launch,
-    ) -> RpcResult<Result<Launched, Refusal>>;
+    ) -> RpcResult<Result<LaunchOutcome, Refusal>>;
 
     /// Begins the task of a gang, as the lead decided.
     #[method(name = "begin")]
@@ -220,16 +226,16 @@
         &self,
         gang: gang::Id,
         trace: Option<Trace>,
-    ) -> RpcResult<Answer>;
+    ) -> RpcResult<Reply>;
 
     /// Takes a member's word and returns the lead's verdict. A gang that is
     /// not decided yet is decided by this: it does not run.
     #[method(name = "report")]
-    async fn report(&self, report: Report) -> RpcResult<Verdict>;
+    async fn report(&self, report: Report) -> RpcResult<Decision>;
 
     /// Stops a gang, or lets go of a hold.
     #[method(name = "stop")]
-    async fn stop(&self, stop: Stop) -> RpcResult<Answer>;
+    async fn stop(&self, stop: Stop) -> RpcResult<Reply>;
 
     /// Stops this member's task alone, on its lead's word.
     #[method(name = "halt")]
@@ -237,7 +243,7 @@
 
     /// Forgets gangs that have ended and whose outcome is recorded.
     #[method(name = "forget")]
-    async fn forget(&self, forget: Forget) -> RpcResult<Answer>;
+    async fn forget(&self, forget: Forget) -> RpcResult<Reply>;
 
     /// Returns what has changed, once something has.
     #[method(name = "watch")]
--- a/src/wire/entry.rs
+++ b/src/wire/entry.rs
@@ -40,7 +40,7 @@
 
 /// Something that happened to a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct LogLine {
     /// When.
     #[serde(with = "crate::util::time_ms")]
     pub at: SystemTime,
@@ -65,7 +65,7 @@
     pub workers: Vec<WorkerId>,
     /// What has happened to it, the last things last.
     #[serde(default)]
-    pub log: Vec<Line>,
+    pub log: Vec<LogLine>,
     /// How it ended, if it has.
     pub end: Option<End>,
 }
@@ -95,10 +95,12 @@
     Conflict,
     /// The store does not answer, and the job must not go on without.
     #[error("the store does not answer; ask again under the same id")]
-    StoreDown,
+    #[serde(rename = "store_down")]
+    StoreUnavailable,
     /// No such job is known.
     #[error("the job is not known")]
-    NotKnown,
+    #[serde(rename = "not_known")]
+    UnknownJob,
 }
 
 /// Asks a planner to take a job in.
@@ -115,11 +117,12 @@
 
 /// Asks for a job's status, to be told once it has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Await {
+pub struct Query {
     /// The job.
     pub job: job::Id,
     /// How many milliseconds to wait for its end at most; 0 not to wait.
-    pub within_ms: u64,
+    #[serde(rename = "within_ms")]
+    pub timeout_ms: u64,
 }
 
 /// A worker as the planner sees it.
@@ -136,14 +139,14 @@
     /// What is thought of it.
     pub health: String,
     /// Accelerators in use, by job and account.
-    pub jobs: Vec<Use>,
+    pub jobs: Vec<Allocation>,
     /// Accelerators in home blocks, by account.
-    pub homes: Vec<HomeUse>,
+    pub homes: Vec<HomeAllocation>,
 }
 
 /// A job's accelerators on a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Use {
+pub struct Allocation {
     /// The job.
     pub job: job::Id,
     /// Its account.
@@ -154,7 +157,7 @@
 
 /// A home block's accelerators on a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HomeUse {
+pub struct HomeAllocation {
     /// Its owner.
     pub account: account::Id,
     /// Its accelerators.
@@ -210,7 +213,7 @@
 
     /// Returns a job's status, once it has ended or the wait is over.
     #[method(name = "status")]
-    async fn status(&self, wait: Await) -> RpcResult<Result<Status, Refusal>>;
+    async fn status(&self, wait: Query) -> RpcResult<Result<Status, Refusal>>;
 
     /// Takes a job back.
     #[method(name = "cancel")]
--- a/src/wire/gang.rs
+++ b/src/wire/gang.rs
@@ -111,7 +111,7 @@
 
 impl End {
     /// Returns an end without output or checkpoint.
-    pub fn of(ending: Ending, worker: Option<WorkerId>) -> End {
+    pub fn new(ending: Ending, worker: Option<WorkerId>) -> End {
         End {
             ending,
             worker,
@@ -125,7 +125,7 @@
 /// What the lead says of a gang, once and for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Verdict {
+pub enum Decision {
     /// It runs: begin, or go on.
     Run,
     /// It does not run, or no longer: let go.
--- a/src/wire/link.rs
+++ b/src/wire/link.rs
@@ -12,13 +12,13 @@
 use jsonrpsee_client_transport::ws::WsHandshakeError;
 
 /// How long a connection may take to be made.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a call may take, unless it waits for something.
-pub const CALL: Duration = Duration::from_secs(2);
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The most calls under way on one connection.
-const MAX_CALLS: usize = 1024;
+const MAX_CONCURRENT_CALLS: usize = 1024;
 /// The largest message.
-pub const MAX_MESSAGE: u32 = 8 << 20;
+pub const MAX_MESSAGE_BYTES: u32 = 8 << 20;
 
 /// A process that could not be asked, or did not answer.
 #[derive(Debug, thiserror::Error)]
@@ -26,7 +26,7 @@
 pub struct Error {
     address: String,
     reason: String,
-    turned_away: bool,
+    rejected: bool,
 }
 
 impl Error {
@@ -35,13 +35,13 @@
         Error {
             address: address.to_owned(),
             reason: reason.to_string(),
-            turned_away: false,
+            rejected: false,
         }
     }
 
     /// Returns whether the other process is there and takes no connection.
-    pub fn is_turned_away(&self) -> bool {
-        self.turned_away
+    pub fn is_rejected(&self) -> bool {
+        self.rejected
     }
 }
 
@@ -73,7 +73,7 @@
     }
 
     /// Drops the connection to `address`.
-    pub fn drop(&self, address: &str) {
+    pub fn remove(&self, address: &str) {
         self.lock().remove(address);
     }
 
@@ -103,24 +103,24 @@
 /// If it cannot be made.
 pub async fn connect(address: &str) -> Result<Arc<WsClient>, Error> {
     let connecting = WsClientBuilder::default()
-        .connection_timeout(CONNECT)
+        .connection_timeout(CONNECT_TIMEOUT)
         // Each call has its own, shorter or longer, deadline.
         .request_timeout(Duration::from_secs(60))
-        .max_concurrent_requests(MAX_CALLS)
-        .max_request_size(MAX_MESSAGE)
-        .max_response_size(MAX_MESSAGE)
+        .max_concurrent_requests(MAX_CONCURRENT_CALLS)
+        .max_request_size(MAX_MESSAGE_BYTES)
+        .max_response_size(MAX_MESSAGE_BYTES)
         .build(format!("ws://{address}"));
-    match tokio::time::timeout(CONNECT, connecting).await {
+    match tokio::time::timeout(CONNECT_TIMEOUT, connecting).await {
         Ok(Ok(client)) => Ok(Arc::new(client)),
         Ok(Err(error)) => Err(Error {
-            turned_away: is_rejected(&error),
+            rejected: is_handshake_rejection(&error),
             ..Error::new(address, error)
         }),
         Err(_) => Err(Error::new(address, "not connected in time")),
     }
 }
 
-fn is_rejected(error: &ClientError) -> bool {
+fn is_handshake_rejection(error: &ClientError) -> bool {
     let ClientError::Transport(error) = error else {
         return false;
     };
@@ -133,7 +133,7 @@
 /// # Errors
 ///
 /// If the call fails or its deadline passes.
-pub async fn within<T>(
+pub async fn with_timeout<T>(
     address: &str,
     limit: Duration,
     call: impl std::future::Future<Output = Result<T, ClientError>>,
--- a/tests/it/gang_steps.rs
+++ b/tests/it/gang_steps.rs
@@ -13,10 +13,10 @@
 
 use landingvalve::agent::ledger::Effect;
 use landingvalve::agent::ledger::Ledger;
-use landingvalve::agent::ledger::GANG_LEASE;
-use landingvalve::agent::ledger::HOLD;
-use landingvalve::agent::ledger::REPORT_EVERY;
-use landingvalve::agent::slot::Place;
+use landingvalve::agent::ledger::HOLD_DURATION;
+use landingvalve::agent::ledger::MIN_GANG_LEASE;
+use landingvalve::agent::ledger::MIN_REPORT_INTERVAL;
+use landingvalve::agent::slot::Phase;
 use landingvalve::job;
 use landingvalve::site::Shape;
 use landingvalve::site::Within;
@@ -25,19 +25,20 @@
 use landingvalve::wire::agent::Report;
 use landingvalve::wire::agent::Stop;
 use landingvalve::wire::gang;
+use landingvalve::wire::gang::Decision;
 use landingvalve::wire::gang::End;
 use landingvalve::wire::gang::Ending;
 use landingvalve::wire::gang::Gang;
 use landingvalve::wire::gang::Member;
-use landingvalve::wire::gang::Verdict;
 use landingvalve::wire::gang::Work;
 
 const MEMBERS: usize = 3;
 const RUN: Duration = Duration::from_secs(30);
 const TICK: Duration = Duration::from_millis(250);
 /// Within which nothing started in part is left, and no hold.
-const BOUND: Duration =
-    Duration::from_secs(HOLD.as_secs() + 2 * GANG_LEASE.as_secs() + 2);
+const BOUND: Duration = Duration::from_secs(
+    HOLD_DURATION.as_secs() + 2 * MIN_GANG_LEASE.as_secs() + 2,
+);
 const FENCE: Fence = Fence {
     epoch: 5,
     revision: 1,
@@ -50,7 +51,7 @@
     Launch,
     Begin(usize),
     Report(Report),
-    Told(usize, Verdict),
+    Told(usize, Decision),
     Halt(usize),
     TaskStarted(usize),
     TaskEnded(usize, Ending),
@@ -191,7 +192,7 @@
             }
             Fault::Pause(agent) => {
                 self.paused_until[agent] =
-                    self.now + 2 * GANG_LEASE + Duration::from_secs(1);
+                    self.now + 2 * MIN_GANG_LEASE + Duration::from_secs(1);
                 self.deliver(message);
             }
         }
@@ -231,12 +232,12 @@
     fn poll(&mut self, at: usize) {
         let slot = self.ledgers[at].slot(&gang().id);
         let over = self.began[at].is_some() && self.running[at].is_none();
-        match slot.map(|slot| &slot.place) {
-            Some(Place::Begun { .. }) if over => {
+        match slot.map(|slot| &slot.phase) {
+            Some(Phase::Begun { .. }) if over => {
                 let message = Message::TaskEnded(at, Ending::Done);
                 self.queue.push_back(message);
             }
-            Some(Place::Halting { .. }) => {
+            Some(Phase::Halting { .. }) => {
                 self.queue.push_back(Message::StopTask(at));
             }
             _ => {}
@@ -296,8 +297,8 @@
             Message::TaskStarted(at) => self.task_started(at),
             Message::TaskEnded(at, ending) => {
                 let worker = Some(format!("w{at}").into());
-                let end = End::of(ending, worker);
-                let effects = self.ledgers[at].ended(&id, end, now);
+                let end = End::new(ending, worker);
+                let effects = self.ledgers[at].record_task_end(&id, end, now);
                 self.carry_out(at, effects);
             }
             Message::StopTask(at) => {
@@ -307,12 +308,14 @@
             }
             Message::Report(report) => {
                 let at = report.member;
-                let (verdict, effects) = self.ledgers[0].report(report, now);
+                let (verdict, effects) =
+                    self.ledgers[0].handle_report(report, now);
                 self.carry_out(0, effects);
                 self.queue.push_back(Message::Told(at, verdict));
             }
             Message::Told(at, verdict) => {
-                let effects = self.ledgers[at].told(&id, verdict, now);
+                let effects =
+                    self.ledgers[at].apply_decision(&id, verdict, now);
                 self.carry_out(at, effects);
             }
             Message::Halt(at) => {
@@ -325,13 +328,13 @@
     fn task_started(&mut self, at: usize) {
         let slot = self.ledgers[at].slot(&gang().id);
         let wanted = slot
-            .is_some_and(|slot| matches!(slot.place, Place::Beginning { .. }));
+            .is_some_and(|slot| matches!(slot.phase, Phase::Beginning { .. }));
         if wanted {
             assert!(self.began[at].is_none(), "begun twice on w{at}");
             self.running[at] = Some(self.now);
             self.began[at] = Some(self.now);
         }
-        self.ledgers[at].begun(&gang().id, self.now);
+        self.ledgers[at].record_task_start(&gang().id, self.now);
     }
 
     fn carry_out(&mut self, at: usize, effects: Vec<Effect>) {
@@ -339,7 +342,7 @@
             let message = match effect {
                 Effect::StartTask(_) => Message::TaskStarted(at),
                 Effect::StopTask(_) => Message::StopTask(at),
-                Effect::TellLead { report, .. } => Message::Report(report),
+                Effect::ReportToLead { report, .. } => Message::Report(report),
                 Effect::HaltMember { address, .. } => {
                     Message::Halt(address.parse().unwrap())
                 }
@@ -354,7 +357,7 @@
         let done = |at: usize| {
             let slot = self.ledgers[at].slot(&gang().id);
             slot.is_some_and(|slot| {
-                matches!(&slot.place, Place::Ended(end)
+                matches!(&slot.phase, Phase::Ended(end)
                     if end.ending == Ending::Done)
             })
         };
@@ -377,13 +380,13 @@
 
     fn check(&self, what: &str) {
         assert!(
-            self.longest_partial <= GANG_LEASE + 2 * REPORT_EVERY,
+            self.longest_partial <= MIN_GANG_LEASE + 2 * MIN_REPORT_INTERVAL,
             "{what}: in part for {:?}",
             self.longest_partial
         );
         for at in (0..MEMBERS).filter(|at| !self.dead[*at]) {
             assert_eq!(self.running[at], None, "{what}: w{at} runs on");
-            let leaked = self.ledgers[at].taken();
+            let leaked = self.ledgers[at].accelerators_in_use();
             assert_eq!(leaked, 0, "{what}: w{at} holds {leaked:x}");
         }
         let lead = self.ledgers[0].slot(&gang().id);
@@ -438,7 +441,7 @@
         epoch: 6,
         revision: 1,
     };
-    ledger.admit(later).unwrap();
+    ledger.check_fence(later).unwrap();
     let hold = hold(0);
     assert!(ledger.hold(hold, now).is_err());
     let stop = Stop {
@@ -457,7 +460,7 @@
         epoch: 5,
         revision: 9,
     };
-    ledger.admit(newer).unwrap();
+    ledger.check_fence(newer).unwrap();
     let hold = hold(0);
     let refusal = ledger.hold(hold, now).unwrap_err();
     assert_eq!(refusal.to_string(), "configuration 1 is before 9");
