--- a/src/wire/agent.rs
+++ b/src/wire/agent.rs
@@ -1,4 +1,4 @@
-//! What is said to an agent.
+//! Calls to an agent, from planners and from other agents.
 
 use jsonrpsee::core::RpcResult;
 use jsonrpsee::proc_macros::rpc;
@@ -13,180 +13,183 @@
 use crate::wire::Epoch;
 use crate::wire::Trace;
 
-/// Names one life of an agent process.
+/// Identifies one run of an agent process.
 pub type Incarnation = String;
-/// Counts the changes of an agent's ledger.
+/// The number of a change of an agent's ledger; each change increments it.
 pub type Sequence = u64;
 
-/// Under whose authority a planner speaks.
+/// The fencing token of a planner's request: an agent rejects requests with
+/// an older token than the newest that it has seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fence {
     /// The planner's epoch.
     pub epoch: Epoch,
-    /// The configuration that it decided under.
+    /// The revision of the configuration that the planner decided under.
     pub revision: Revision,
 }
 
-/// Why an agent does not do what it is asked.
+/// The reason why an agent refuses a request.
 #[derive(
     Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error,
 )]
 pub enum Refusal {
-    /// A later planner has spoken.
+    /// The agent has seen a request of a later planner.
     #[error("epoch {asked} is before {highest}")]
     #[serde(rename = "Epoch")]
     StaleEpoch {
-        /// The epoch that asked.
+        /// The epoch of the refused request.
         asked: Epoch,
-        /// The highest seen.
+        /// The highest epoch seen.
         highest: Epoch,
     },
-    /// A later configuration is in force.
+    /// The agent has seen a request under a later configuration.
     #[error("configuration {asked} is before {highest}")]
     #[serde(rename = "Revision")]
     StaleRevision {
-        /// The revision that asked.
+        /// The revision of the refused request.
         asked: Revision,
-        /// The highest seen.
+        /// The highest revision seen.
         highest: Revision,
     },
-    /// Accelerators are taken.
+    /// Some of the accelerators are held or in use, or do not exist.
     #[error("accelerators {mask:#x} are taken")]
     #[serde(rename = "Taken")]
     AcceleratorsTaken {
-        /// Those that are.
+        /// The accelerators that are not available, one bit each.
         mask: u64,
     },
-    /// The agent is leaving.
+    /// The worker is leaving and accepts no new work.
     #[error("the worker is leaving")]
     Leaving,
-    /// The gang is not known here, or no longer held.
+    /// The gang is unknown here, or its hold has ended.
     #[error("the gang is not held here")]
     NotHeld,
-    /// The endpoint does not start the task.
+    /// The endpoint could not be reached or did not start the task.
     #[error("the endpoint does not start the task: {reason}")]
     #[serde(rename = "Endpoint")]
     TaskNotStarted {
-        /// Why.
+        /// The error of the call to the endpoint.
         reason: String,
     },
 }
 
-/// What an agent answers to a request that it may refuse.
+/// An agent's reply to a request that it may refuse.
 pub type Reply = Result<(), Refusal>;
 
-/// Asks to keep accelerators for a gang.
+/// Asks an agent to hold its worker's accelerators for a gang.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Hold {
-    /// Under whose authority.
+    /// The planner's fencing token.
     pub fence: Fence,
-    /// The gang.
+    /// The gang to hold for, with all of its members.
     pub gang: Gang,
-    /// The worker that is meant.
+    /// The worker whose accelerators are to be held.
     pub worker: crate::site::WorkerId,
-    /// The span that this belongs to.
+    /// The parent span, if the request is traced.
     #[serde(default)]
     pub trace: Option<Trace>,
 }
 
-/// Asks the lead to decide, now that all members hold.
+/// Asks a gang's lead to start the gang, once all members hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Launch {
-    /// Under whose authority.
+    /// The planner's fencing token.
     pub fence: Fence,
-    /// The gang.
+    /// The gang to start.
     pub gang: gang::Id,
-    /// The span that this belongs to.
+    /// The parent span, if the request is traced.
     #[serde(default)]
     pub trace: Option<Trace>,
 }
 
-/// What came of a launch.
+/// The outcome of a launch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LaunchOutcome {
-    /// Every member has begun.
+    /// Every member began its task.
     Started,
-    /// It was not started, and no member ever began.
+    /// No member began its task, and none will.
     NotStarted {
-        /// The member that stood in the way, if one did.
+        /// The member that prevented the start, if known.
         worker: Option<crate::site::WorkerId>,
-        /// The refusal, if it was one.
+        /// The member's refusal; `None` if it did not answer.
         refusal: Option<Refusal>,
     },
-    /// A member failed to begin after others may have; all are stopped
-    /// within the gang's lease.
+    /// A member failed to begin after others may have begun; all members
+    /// stop within the gang's lease.
     #[serde(rename = "broken")]
     PartlyStarted {
-        /// The member that failed to.
+        /// The member that failed to begin.
         worker: crate::site::WorkerId,
     },
 }
 
-/// Asks to stop a gang, or to let go of a hold.
+/// Asks an agent to stop a gang's task, or to release its hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Stop {
-    /// Under whose authority.
+    /// The planner's fencing token.
     pub fence: Fence,
-    /// The gang.
+    /// The gang to stop.
     pub gang: gang::Id,
 }
 
-/// Lets an agent forget gangs that have ended and whose end is recorded.
+/// Asks an agent to forget gangs that have ended and whose end is recorded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Forget {
-    /// Under whose authority: what an earlier planner does not need any
-    /// more a later one may.
+    /// The planner's fencing token. An earlier planner may not remove what a
+    /// later one still needs.
     pub fence: Fence,
-    /// The gangs.
+    /// The gangs to forget.
     pub gangs: Vec<gang::Id>,
 }
 
-/// A member's word to its lead: the task goes on, or has ended.
+/// A member's report to its lead. A report without an end says that the
+/// member still holds or runs, and asks for the lead's decision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The gang.
+    /// The gang that the member belongs to.
     pub gang: gang::Id,
-    /// The position among the members.
+    /// The reporting member's position among the members.
     pub member: usize,
-    /// How it ended, if it has.
+    /// How the member's task ended; `None` while it has not.
     pub end: Option<End>,
 }
 
-/// Where a gang is in its life, at one member.
+/// The stage of a gang at one member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// Accelerators are kept for it.
+    /// Accelerators are held for the gang.
     Held,
-    /// Its task was begun `ago_ms` milliseconds ago.
+    /// The task was begun and may still run.
     Begun {
-        /// How long ago.
+        /// The time since the task began, in milliseconds.
         ago_ms: u64,
     },
-    /// Its task has ended here.
+    /// The task has ended here, or was never begun.
     Ended(End),
 }
 
 /// A gang in an agent's ledger.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The gang.
+    /// The gang, with all of its members.
     pub gang: Gang,
-    /// Where it is in its life here.
+    /// The gang's stage at this worker.
     pub stage: Stage,
-    /// How the whole gang ended; only its lead says so.
+    /// The end of the whole gang; `None` while it has not ended, and always
+    /// at members other than the lead.
     pub outcome: Option<End>,
 }
 
-/// What has changed in an agent's ledger.
+/// The changes of an agent's ledger since an earlier change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Changes {
-    /// The life of the agent process.
+    /// The agent process whose ledger this is.
     pub incarnation: Incarnation,
-    /// Up to which change this goes.
+    /// The number of the last change included.
     pub sequence: Sequence,
-    /// Whether the worker is leaving.
+    /// Whether the worker is leaving and accepts no new work.
     pub leaving: bool,
     /// Whether the endpoint has stopped answering.
     pub endpoint_lost: bool,
@@ -194,14 +197,14 @@
     pub entries: Vec<Entry>,
 }
 
-/// Asks for changes; waits for them if there are none.
+/// Asks for the changes of the ledger, and waits if there are none yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Watch {
-    /// Under whose authority.
+    /// The planner's fencing token.
     pub fence: Fence,
-    /// The last change seen; 0 for all entries.
+    /// The number of the last change seen; 0 asks for all entries at once.
     pub since: Sequence,
-    /// How many milliseconds to wait at most.
+    /// The maximum wait for a change, in milliseconds.
     #[serde(rename = "within_ms")]
     pub timeout_ms: u64,
 }
@@ -209,18 +212,18 @@
 /// The methods of an agent.
 #[rpc(server, client, namespace = "agent")]
 pub trait Agent {
-    /// Keeps accelerators for a gang.
+    /// Holds accelerators for a gang.
     #[method(name = "hold")]
     async fn hold(&self, hold: Hold) -> RpcResult<Reply>;
 
-    /// Decides on a gang, as its lead, and has all members begin.
+    /// Decides, as the lead, that a gang runs, and has all members begin.
     #[method(name = "launch")]
     async fn launch(
         &self,
         launch: Launch,
     ) -> RpcResult<Result<LaunchOutcome, Refusal>>;
 
-    /// Begins the task of a gang, as the lead decided.
+    /// Begins this member's task, once the lead has decided that it runs.
     #[method(name = "begin")]
     async fn begin(
         &self,
@@ -228,24 +231,24 @@
         trace: Option<Trace>,
     ) -> RpcResult<Reply>;
 
-    /// Takes a member's word and returns the lead's verdict. A gang that is
-    /// not decided yet is decided by this: it does not run.
+    /// Records a member's report and returns the lead's decision. If the
+    /// lead has not decided yet, the report makes it decide to halt.
     #[method(name = "report")]
     async fn report(&self, report: Report) -> RpcResult<Decision>;
 
-    /// Stops a gang, or lets go of a hold.
+    /// Stops a gang's task, or releases its hold.
     #[method(name = "stop")]
     async fn stop(&self, stop: Stop) -> RpcResult<Reply>;
 
-    /// Stops this member's task alone, on its lead's word.
+    /// Stops this member's task; sent by the lead to each other member.
     #[method(name = "halt")]
     async fn halt(&self, gang: gang::Id) -> RpcResult<()>;
 
-    /// Forgets gangs that have ended and whose outcome is recorded.
+    /// Forgets gangs that have ended.
     #[method(name = "forget")]
     async fn forget(&self, forget: Forget) -> RpcResult<Reply>;
 
-    /// Returns what has changed, once something has.
+    /// Returns the changes of the ledger, once there are any.
     #[method(name = "watch")]
     async fn watch(&self, watch: Watch)
         -> RpcResult<Result<Changes, Refusal>>;
--- a/src/wire/entry.rs
+++ b/src/wire/entry.rs
@@ -1,5 +1,5 @@
-//! What entries say to each other: requests for a cell's planner, and the
-//! configuration for one that cannot reach the store.
+//! Calls between entries: requests for a cell's planner, and the
+//! configuration for an entry that cannot reach the store.
 
 use std::time::SystemTime;
 
@@ -22,55 +22,55 @@
 use crate::wire::Epoch;
 use crate::wire::Trace;
 
-/// Where a job is, as its caller sees it.
+/// The stage of a job, as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// It waits for accelerators.
+    /// The job waits for accelerators.
     Queued,
-    /// It has accelerators, and its tasks are being started.
+    /// The job has accelerators, and its tasks are being started.
     Starting,
-    /// It runs.
+    /// The job runs.
     Running,
-    /// It is being stopped.
+    /// The job is being stopped.
     Stopping,
-    /// It has ended.
+    /// The job has ended.
     Ended,
 }
 
-/// Something that happened to a job.
+/// An event in the log of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogLine {
-    /// When.
+    /// The time of the event.
     #[serde(with = "crate::util::time_ms")]
     pub at: SystemTime,
-    /// What.
+    /// A description for the caller.
     pub text: String,
 }
 
-/// What there is to say of a job.
+/// The status of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// The job.
     pub job: job::Id,
-    /// Its client account.
+    /// The client account that submitted the job.
     pub account: account::Id,
-    /// Its template.
+    /// The template that the job was made from.
     pub template: job::TemplateId,
-    /// Where it is.
+    /// The current stage.
     pub stage: Stage,
-    /// The number of its last start, 0 for none.
+    /// The number of the last start; 0 before the first.
     pub attempt: job::Attempt,
-    /// The workers it runs on.
+    /// The workers that the job runs on.
     pub workers: Vec<WorkerId>,
-    /// What has happened to it, the last things last.
+    /// The job's log, oldest event first.
     #[serde(default)]
     pub log: Vec<LogLine>,
-    /// How it ended, if it has.
+    /// The job's end; `None` while it has not ended.
     pub end: Option<End>,
 }
 
-/// Why a planner does not do what it is asked.
+/// The reason why a request for a planner is refused.
 #[derive(
     Clone, Debug, PartialEq, Serialize, Deserialize, thiserror::Error,
 )]
@@ -79,7 +79,7 @@
     /// This entry does not host the planner.
     #[error("this entry does not host the planner")]
     NotPlanner,
-    /// The planner is reading ledgers after a takeover.
+    /// The planner still reads the agents' ledgers after a takeover.
     #[error("the planner is taking over")]
     TakingOver,
     /// The account's queue is full.
@@ -87,40 +87,41 @@
     QueueFull {
         /// The account.
         account: account::Id,
-        /// Its limit.
+        /// The maximum number of queued jobs.
         limit: u32,
     },
-    /// The job was made by another request under the same id.
+    /// The request id belongs to a different request.
     #[error("request_id: another request has used it")]
     Conflict,
-    /// The store does not answer, and the job must not go on without.
-    #[error("the store does not answer; ask again under the same id")]
+    /// The store does not answer, and the job may not proceed without being
+    /// recorded there.
+    #[error("the store does not answer; retry with the same id")]
     #[serde(rename = "store_down")]
     StoreUnavailable,
-    /// No such job is known.
+    /// The planner knows no job of this id.
     #[error("the job is not known")]
     #[serde(rename = "not_known")]
     UnknownJob,
 }
 
-/// Asks a planner to take a job in.
+/// Asks a planner to admit a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Admit {
-    /// The job.
+    /// The job to admit.
     pub record: Record,
-    /// Whether its caller waits for its end.
+    /// Whether the caller waits for the job's end.
     pub waits: bool,
-    /// The span that this belongs to.
+    /// The parent span, if the request is traced.
     #[serde(default)]
     pub trace: Option<Trace>,
 }
 
-/// Asks for a job's status, to be told once it has ended.
+/// Asks for a job's status, optionally waiting for its end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Query {
     /// The job.
     pub job: job::Id,
-    /// How many milliseconds to wait for its end at most; 0 not to wait.
+    /// The maximum wait for the job's end in milliseconds; 0 for no wait.
     #[serde(rename = "within_ms")]
     pub timeout_ms: u64,
 }
@@ -128,19 +129,19 @@
 /// A worker as the planner sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkerView {
-    /// Its name.
+    /// The worker's name.
     pub worker: WorkerId,
-    /// Its hall.
+    /// The hall that the worker stands in.
     pub hall: HallId,
-    /// Its rack.
+    /// The rack that the worker stands in.
     pub rack: RackId,
     /// Whether it is up, silent, leaving or lost.
     pub presence: String,
-    /// What is thought of it.
+    /// The planner's health state of the worker, in words.
     pub health: String,
-    /// Accelerators in use, by job and account.
+    /// The accelerators in use, one item for each job.
     pub jobs: Vec<Allocation>,
-    /// Accelerators in home blocks, by account.
+    /// The accelerators in home blocks, one item for each account.
     pub homes: Vec<HomeAllocation>,
 }
 
@@ -149,54 +150,55 @@
 pub struct Allocation {
     /// The job.
     pub job: job::Id,
-    /// Its account.
+    /// The job's account.
     pub account: account::Id,
-    /// Its accelerators.
+    /// The accelerators that the job uses, one bit each.
     pub mask: Mask,
 }
 
 /// A home block's accelerators on a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HomeAllocation {
-    /// Its owner.
+    /// The account that owns the home block.
     pub account: account::Id,
-    /// Its accelerators.
+    /// The home block's accelerators, one bit each.
     pub mask: Mask,
 }
 
-/// A guaranteed shape as the planner sees it.
+/// A guarantee as the planner sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GuaranteeView {
     /// The account.
     pub account: account::Id,
-    /// The shape.
+    /// The guaranteed shape.
     pub shape: Shape,
-    /// Whether there is a place for it.
+    /// Whether the planner found a home block for the shape.
     pub placed: bool,
-    /// How many of its accelerators the account uses.
+    /// The number of its accelerators that the account uses.
     pub used: u32,
-    /// The jobs of others that have borrowed any of it.
+    /// The other accounts' jobs that borrow any of its accelerators.
     pub borrowers: Vec<job::Id>,
 }
 
 /// A cell as its planner sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CellView {
-    /// Its name.
+    /// The cell's name.
     pub cell: String,
     /// The address of the entry that hosts the planner.
     pub planner: String,
     /// The planner's epoch.
     pub epoch: Epoch,
-    /// The configuration in force there.
+    /// The revision of the configuration in force at the planner.
     pub revision: Revision,
-    /// How many accelerators each worker has.
+    /// The number of accelerators of each worker.
     pub accelerators: u32,
-    /// The share of free accelerators that lie in no free whole worker.
+    /// The fraction of the free accelerators that are not on an entirely free
+    /// worker.
     pub fragmentation: f64,
-    /// How many jobs wait.
+    /// The number of jobs that wait for accelerators.
     pub waiting: usize,
-    /// How many jobs run.
+    /// The number of jobs that run.
     pub running: usize,
     /// The workers.
     pub workers: Vec<WorkerView>,
@@ -207,20 +209,21 @@
 /// The methods of an entry.
 #[rpc(server, client, namespace = "entry")]
 pub trait Entry {
-    /// Takes a job in.
+    /// Admits a job.
     #[method(name = "admit")]
     async fn admit(&self, admit: Admit) -> RpcResult<Result<Status, Refusal>>;
 
-    /// Returns a job's status, once it has ended or the wait is over.
+    /// Returns a job's status, once the job has ended or the wait times out.
     #[method(name = "status")]
     async fn status(&self, wait: Query) -> RpcResult<Result<Status, Refusal>>;
 
-    /// Takes a job back.
+    /// Cancels a job.
     #[method(name = "cancel")]
     async fn cancel(&self, job: job::Id)
         -> RpcResult<Result<Status, Refusal>>;
 
-    /// Returns the status of an account's jobs, or of all.
+    /// Returns the status of an account's jobs, or of all jobs if no account
+    /// is given.
     #[method(name = "list")]
     async fn list(
         &self,
--- a/src/wire/gang.rs
+++ b/src/wire/gang.rs
@@ -1,4 +1,4 @@
-//! Gangs: one start of a job on accelerators of one or more workers.
+//! Gangs: one start of a job on the accelerators of one or more workers.
 
 use std::fmt;
 
@@ -10,7 +10,7 @@
 use crate::site::WorkerId;
 use crate::wire::Epoch;
 
-/// Names one start of a job: by whose epoch, and the how-manieth.
+/// Identifies one start of a job.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -19,7 +19,7 @@
     pub job: job::Id,
     /// The epoch of the planner that started it.
     pub epoch: Epoch,
-    /// The number of the start within the epoch.
+    /// The number of this start within the epoch.
     pub attempt: job::Attempt,
 }
 
@@ -29,36 +29,36 @@
     }
 }
 
-/// A worker's part in a gang.
+/// One worker of a gang and the accelerators that it contributes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The worker.
     pub worker: WorkerId,
-    /// Where its agent listens.
+    /// The address of the worker's agent.
     pub address: String,
-    /// Its accelerators.
+    /// The worker's accelerators that the gang uses.
     pub mask: Mask,
 }
 
-/// What the task of each member is.
+/// The task that each member runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Work {
-    /// What to run.
+    /// The program to run, as the template names it.
     pub run: String,
     /// The caller's parameters.
     pub parameters: serde_json::Value,
-    /// The checkpoint to go on from, if any.
+    /// The checkpoint to resume from; `None` to start from the beginning.
     pub checkpoint: Option<String>,
 }
 
-/// A gang: the job, its members, and the first of them, which leads.
+/// One start of a job on all of its members, the first of which leads.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Gang {
-    /// Its name.
+    /// The identifier of this start.
     pub id: Id,
-    /// The job.
+    /// The job that is started.
     pub spec: job::Spec,
-    /// The members; the first leads.
+    /// The members; the first is the lead.
     pub members: Vec<Member>,
     /// What each member runs.
     pub work: Work,
@@ -70,7 +70,7 @@
         &self.members[0]
     }
 
-    /// Returns the position of a worker among the members.
+    /// Returns the position of `worker` among the members.
     pub fn position(&self, worker: &str) -> Option<usize> {
         self.members
             .iter()
@@ -82,35 +82,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
-    /// It was never begun, and never will be.
+    /// The task was never begun, and never will be.
     NotBegun,
-    /// It ran to its end.
+    /// The task completed.
     Done,
-    /// It failed.
+    /// The task failed.
     Failed,
-    /// It was stopped.
+    /// The task was stopped.
     Stopped,
-    /// Its worker or agent is lost.
+    /// The task's worker or agent was lost.
     Lost,
 }
 
 /// The end of a member's task, or of a whole gang.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct End {
-    /// How it ended.
+    /// The kind of end.
     pub ending: Ending,
-    /// The worker that made it end so, if it did not just end.
+    /// The worker that caused the end; `None` if no worker did.
     pub worker: Option<WorkerId>,
-    /// What the task answered.
+    /// The task's output.
     pub output: Option<String>,
-    /// The checkpoint to go on from.
+    /// The checkpoint that a later start can resume from.
     pub checkpoint: Option<String>,
-    /// How many milliseconds of the run the checkpoint keeps.
+    /// The part of the run that the checkpoint preserves, in milliseconds.
     pub kept_ms: u64,
 }
 
 impl End {
-    /// Returns an end without output or checkpoint.
+    /// Creates an end without output or checkpoint.
     pub fn new(ending: Ending, worker: Option<WorkerId>) -> End {
         End {
             ending,
@@ -122,12 +122,14 @@
     }
 }
 
-/// What the lead says of a gang, once and for all.
+/// The lead's decision on a gang. A decision to run may still change to halt,
+/// never the other way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Decision {
-    /// It runs: begin, or go on.
+    /// The gang runs: members begin or continue their tasks.
     Run,
-    /// It does not run, or no longer: let go.
+    /// The gang does not run, or no longer: members stop their tasks and
+    /// release their accelerators.
     Halt,
 }
--- a/src/wire/link.rs
+++ b/src/wire/link.rs
@@ -1,4 +1,4 @@
-//! Connections to others of our own processes, made when first needed.
+//! Connections to the system's other processes, opened on first use.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,16 +11,16 @@
 use jsonrpsee::ws_client::WsClientBuilder;
 use jsonrpsee_client_transport::ws::WsHandshakeError;
 
-/// How long a connection may take to be made.
+/// The time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a call may take, unless it waits for something.
+/// The time limit of a call that does not wait for an event.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The most calls under way on one connection.
+/// The maximum number of concurrent calls on one connection.
 const MAX_CONCURRENT_CALLS: usize = 1024;
-/// The largest message.
+/// The maximum size of a request or response in bytes.
 pub const MAX_MESSAGE_BYTES: u32 = 8 << 20;
 
-/// A process that could not be asked, or did not answer.
+/// A failed call: the process could not be reached, or did not answer.
 #[derive(Debug, thiserror::Error)]
 #[error("{address}: {reason}")]
 pub struct Error {
@@ -30,7 +30,7 @@
 }
 
 impl Error {
-    /// Returns an error of a call to `address`.
+    /// Creates an error of a call to `address`.
     pub fn new(address: &str, reason: impl std::fmt::Display) -> Error {
         Error {
             address: address.to_owned(),
@@ -39,29 +39,30 @@
         }
     }
 
-    /// Returns whether the other process is there and takes no connection.
+    /// Returns whether the other process answered the handshake and rejected
+    /// the connection.
     pub fn is_rejected(&self) -> bool {
         self.rejected
     }
 }
 
-/// Connections by address.
+/// A pool of shared connections by address.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     clients: Arc<Mutex<HashMap<String, Arc<WsClient>>>>,
 }
 
 impl Pool {
-    /// Returns a pool without connections.
+    /// Creates a pool without connections.
     pub fn new() -> Pool {
         Pool::default()
     }
 
-    /// Returns a connection to `address`.
+    /// Returns the shared connection to `address`, opening it if necessary.
     ///
     /// # Errors
     ///
-    /// If none can be made.
+    /// If the connection cannot be opened.
     pub async fn get(&self, address: &str) -> Result<Arc<WsClient>, Error> {
         if let Some(client) = self.cached(address) {
             return Ok(client);
@@ -72,7 +73,7 @@
         Ok(client)
     }
 
-    /// Drops the connection to `address`.
+    /// Removes the connection to `address`, so that the next call reconnects.
     pub fn remove(&self, address: &str) {
         self.lock().remove(address);
     }
@@ -96,15 +97,15 @@
     }
 }
 
-/// Returns a connection of its own to `address`.
+/// Opens a new connection to `address`, outside any pool.
 ///
 /// # Errors
 ///
-/// If it cannot be made.
+/// If the connection cannot be opened.
 pub async fn connect(address: &str) -> Result<Arc<WsClient>, Error> {
     let connecting = WsClientBuilder::default()
         .connection_timeout(CONNECT_TIMEOUT)
-        // Each call has its own, shorter or longer, deadline.
+        // Only an upper bound: callers set deadlines by `with_timeout`.
         .request_timeout(Duration::from_secs(60))
         .max_concurrent_requests(MAX_CONCURRENT_CALLS)
         .max_request_size(MAX_MESSAGE_BYTES)
@@ -116,7 +117,7 @@
             rejected: is_handshake_rejection(&error),
             ..Error::new(address, error)
         }),
-        Err(_) => Err(Error::new(address, "not connected in time")),
+        Err(_) => Err(Error::new(address, "connection timed out")),
     }
 }
 
@@ -128,11 +129,11 @@
     matches!(rejected, Some(WsHandshakeError::Rejected { .. }))
 }
 
-/// Waits for a call's answer until its deadline.
+/// Waits for the answer to a call, for `limit` at most.
 ///
 /// # Errors
 ///
-/// If the call fails or its deadline passes.
+/// If the call fails or times out.
 pub async fn with_timeout<T>(
     address: &str,
     limit: Duration,
@@ -141,6 +142,6 @@
     match tokio::time::timeout(limit, call).await {
         Ok(Ok(answer)) => Ok(answer),
         Ok(Err(error)) => Err(Error::new(address, error)),
-        Err(_) => Err(Error::new(address, "no answer in time")),
+        Err(_) => Err(Error::new(address, "call timed out")),
     }
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,16 +1,17 @@
-//! What the system's own processes say to each other, over JSON-RPC.
+//! JSON-RPC messages between the system's own processes.
 //!
-//! A planner speaks to [`agent`]s, agents speak to each other about a gang,
-//! and [`entry`] processes hand requests on to the planner of a cell. Every
-//! refusal is typed; an error of the transport means that nothing is known.
+//! A planner calls [`agent`]s, agents call each other about a [`gang`], and
+//! [`entry`] processes forward requests to the planner of a cell. Refusals
+//! are typed; after a transport error the caller cannot know whether the
+//! call took effect.
 
 pub mod agent;
 pub mod entry;
 pub mod gang;
 pub mod link;
 
-/// The number of a planner's claim: the revision at which it was written.
-/// The highest that an agent has seen is the only one it obeys.
+/// The number of a planner's claim: the store revision at which the claim
+/// was written. An agent obeys only the highest epoch that it has seen.
 pub type Epoch = i64;
-/// A context in which spans are parents of others, as W3C `traceparent`.
+/// A trace context, in the format of the W3C `traceparent` header.
 pub type Trace = String;
