--- a/src/agent/keeper.rs
+++ b/src/agent/actor.rs
@@ -39,16 +39,16 @@
 use crate::wire::link;
 
 /// How often the ledger looks at its deadlines.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 /// How often the endpoint is asked for its tasks.
-const POLL: Duration = Duration::from_millis(150);
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
 /// How often it is asked while a task is young: short ones end soon.
-const POLL_YOUNG: Duration = Duration::from_millis(20);
+const YOUNG_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Until what age a task is young.
-const YOUNG: Duration = Duration::from_secs(1);
+const YOUNG_AGE: Duration = Duration::from_secs(1);
 /// The entries that changed, and whether the worker is all there.
 #[derive(Clone, Debug)]
-pub struct View {
+pub struct LedgerView {
     /// The number of the last change.
     pub sequence: Sequence,
     /// Whether the worker is leaving.
@@ -68,15 +68,15 @@
     /// A lead says to begin: the gang, if the endpoint must be asked.
     Begin(gang::Id, RpcReplyPort<Result<Option<Box<Gang>>, Refusal>>),
     /// The span of a task that is being started.
-    Span(gang::Id, Span),
+    TaskSpan(gang::Id, Span),
     /// The endpoint has started a task.
-    Begun(gang::Id),
+    TaskBegun(gang::Id),
     /// A task has ended.
-    Ended(gang::Id, End),
+    TaskEnded(gang::Id, End),
     /// A member reports to this lead.
     Report(Report, RpcReplyPort<Decision>),
     /// The lead of a gang has answered.
-    Told(gang::Id, Decision),
+    LeadDecided(gang::Id, Decision),
     /// A planner stops a gang.
     Stop(Stop, RpcReplyPort<Reply>),
     /// A gang is to be halted.
@@ -86,9 +86,9 @@
     /// How a whole gang ended, if it has.
     Outcome(gang::Id, RpcReplyPort<Option<End>>),
     /// A planner asks for changes.
-    Changes(Fence, Sequence, RpcReplyPort<Result<View, Refusal>>),
+    Changes(Fence, Sequence, RpcReplyPort<Result<LedgerView, Refusal>>),
     /// The endpoint answered with the tasks that it knows.
-    Polled(Vec<TaskId>, Option<Vec<Task>>),
+    TasksPolled(Vec<TaskId>, Option<Vec<Task>>),
     /// No new work from now on.
     Leave,
     /// Whether nothing is held or runs.
@@ -100,57 +100,57 @@
 }
 
 /// What the keeper starts with.
-pub struct Start {
+pub struct Arguments {
     /// An empty ledger.
     pub ledger: Ledger,
     /// The endpoint.
     pub endpoint: endpoint::Client,
     /// Where the number of the last change is shown.
-    pub seen: watch::Sender<Sequence>,
+    pub sequence_sender: watch::Sender<Sequence>,
     /// Where logs go.
     pub log: slog::Logger,
 }
 
 /// The actor that owns the ledger.
-pub struct Keeper;
+pub struct LedgerActor;
 
 /// The ledger and what its effects need.
 pub struct State {
     ledger: Ledger,
     endpoint: endpoint::Client,
     pool: link::Pool,
-    seen: watch::Sender<Sequence>,
-    endpoint_heard: Instant,
+    sequence_sender: watch::Sender<Sequence>,
+    last_endpoint_answer: Instant,
     endpoint_lost: bool,
     polling: bool,
     spans: BTreeMap<gang::Id, Span>,
     log: slog::Logger,
 }
 
-impl Actor for Keeper {
+impl Actor for LedgerActor {
     type Msg = Message;
     type State = State;
-    type Arguments = Start;
+    type Arguments = Arguments;
 
     async fn pre_start(
         &self,
         myself: ActorRef<Message>,
-        start: Start,
+        arguments: Arguments,
     ) -> Result<State, ActorProcessingErr> {
         let mut state = State {
-            ledger: start.ledger,
-            endpoint: start.endpoint,
+            ledger: arguments.ledger,
+            endpoint: arguments.endpoint,
             pool: link::Pool::new(),
-            seen: start.seen,
-            endpoint_heard: Instant::now(),
+            sequence_sender: arguments.sequence_sender,
+            last_endpoint_answer: Instant::now(),
             endpoint_lost: false,
             polling: false,
             spans: BTreeMap::new(),
-            log: start.log,
+            log: arguments.log,
         };
-        state.adopt().await;
-        myself.send_interval(TICK, || Message::Tick);
-        myself.send_after(POLL, || Message::Poll);
+        state.adopt_tasks().await;
+        myself.send_interval(TICK_INTERVAL, || Message::Tick);
+        myself.send_after(POLL_INTERVAL, || Message::Poll);
         Ok(state)
     }
 
@@ -161,15 +161,15 @@
         state: &mut State,
     ) -> Result<(), ActorProcessingErr> {
         let now = Instant::now();
-        let effects = state.take(&myself, message, now);
+        let effects = state.handle(&myself, message, now);
         for effect in effects {
-            state.carry_out(&myself, effect);
+            state.execute(&myself, effect);
         }
         state.end_spans();
         let sequence = state.ledger.sequence();
-        state.seen.send_if_modified(|seen| {
-            let changed = *seen != sequence;
-            *seen = sequence;
+        state.sequence_sender.send_if_modified(|sent| {
+            let changed = *sent != sequence;
+            *sent = sequence;
             changed
         });
         Ok(())
@@ -188,7 +188,7 @@
     }
 
     /// Takes over the tasks found at the endpoint.
-    async fn adopt(&mut self) {
+    async fn adopt_tasks(&mut self) {
         let tasks = self.endpoint.list().await.unwrap_or_default();
         let now = Instant::now();
         for task in tasks {
@@ -204,7 +204,7 @@
         }
     }
 
-    fn take(
+    fn handle(
         &mut self,
         myself: &ActorRef<Message>,
         message: Message,
@@ -227,23 +227,23 @@
                         .map(|slot| Box::new(slot.gang.clone()))
                 }));
             }
-            Message::Span(id, span) => {
+            Message::TaskSpan(id, span) => {
                 self.spans.insert(id, span);
             }
-            Message::Begun(id) => self.ledger.record_task_start(&id, now),
-            Message::Ended(id, end) => {
+            Message::TaskBegun(id) => self.ledger.record_task_start(&id, now),
+            Message::TaskEnded(id, end) => {
                 slog::info!(self.log, "agent: task {id} ended";
                     "how" => ?end.ending);
                 return self.ledger.record_task_end(&id, end, now);
             }
             Message::Report(report, reply) => {
-                let (verdict, effects) =
+                let (decision, effects) =
                     self.ledger.handle_report(report, now);
-                let _ = reply.send(verdict);
+                let _ = reply.send(decision);
                 return effects;
             }
-            Message::Told(id, verdict) => {
-                return self.ledger.apply_decision(&id, verdict, now);
+            Message::LeadDecided(id, decision) => {
+                return self.ledger.apply_decision(&id, decision, now);
             }
             Message::Stop(stop, reply) => {
                 match self.ledger.stop(stop.fence, &stop.gang, now) {
@@ -274,8 +274,8 @@
             Message::Changes(fence, since, reply) => {
                 let _ = reply.send(self.view(fence, since, now));
             }
-            Message::Polled(asked, tasks) => {
-                return self.polled(asked, tasks, now);
+            Message::TasksPolled(asked, tasks) => {
+                return self.process_poll(asked, tasks, now);
             }
             Message::Leave => self.ledger.leave(),
             Message::IsIdle(reply) => {
@@ -290,7 +290,7 @@
             }
             Message::Poll => {
                 self.poll(myself, now);
-                myself.send_after(self.next_poll(now), || Message::Poll);
+                myself.send_after(self.poll_delay(now), || Message::Poll);
             }
         }
         Vec::new()
@@ -301,14 +301,14 @@
         fence: Fence,
         since: Sequence,
         now: Instant,
-    ) -> Result<View, Refusal> {
+    ) -> Result<LedgerView, Refusal> {
         // A planner with an older configuration may look, and learns so
         // from what it tries next.
         let admitted = self.ledger.check_fence(fence);
         if let Err(refusal @ Refusal::StaleEpoch { .. }) = admitted {
             return Err(refusal);
         }
-        Ok(View {
+        Ok(LedgerView {
             sequence: self.ledger.sequence(),
             leaving: self.ledger.is_leaving(),
             endpoint_lost: self.endpoint_lost,
@@ -328,16 +328,16 @@
         }
     }
 
-    fn next_poll(&self, now: Instant) -> Duration {
+    fn poll_delay(&self, now: Instant) -> Duration {
         let is_young = |phase: &Phase| match phase {
             Phase::Beginning { .. } => true,
-            Phase::Begun { since } => now.duration_since(*since) < YOUNG,
+            Phase::Begun { since } => now.duration_since(*since) < YOUNG_AGE,
             _ => false,
         };
         let mut running = self.ledger.running();
         match running.any(|slot| is_young(&slot.phase)) {
-            true => POLL_YOUNG,
-            false => POLL,
+            true => YOUNG_POLL_INTERVAL,
+            false => POLL_INTERVAL,
         }
     }
 
@@ -350,7 +350,7 @@
             .map(|slot| slot.gang.id.to_string())
             .collect();
         if tasks.is_empty() {
-            self.endpoint_heard = now;
+            self.last_endpoint_answer = now;
         }
         if tasks.is_empty() || self.polling {
             return;
@@ -360,11 +360,11 @@
         let myself = myself.clone();
         tokio::spawn(async move {
             let known = endpoint.renew(&tasks).await.ok();
-            let _ = myself.cast(Message::Polled(tasks, known));
+            let _ = myself.cast(Message::TasksPolled(tasks, known));
         });
     }
 
-    fn polled(
+    fn process_poll(
         &mut self,
         asked: Vec<TaskId>,
         tasks: Option<Vec<Task>>,
@@ -372,13 +372,13 @@
     ) -> Vec<Effect> {
         self.polling = false;
         let Some(tasks) = tasks else {
-            let silent = now.duration_since(self.endpoint_heard);
-            return match silent >= task::LEASE {
-                true => self.lose_endpoint(now),
+            let silent = now.duration_since(self.last_endpoint_answer);
+            return match silent >= task::TASK_LEASE {
+                true => self.mark_endpoint_lost(now),
                 false => Vec::new(),
             };
         };
-        self.endpoint_heard = now;
+        self.last_endpoint_answer = now;
         self.endpoint_lost = false;
         let worker = self.ledger.worker().clone();
         let ids: Vec<gang::Id> = self
@@ -406,7 +406,7 @@
     }
 
     /// Takes it that all tasks have stopped: their leases have lapsed.
-    fn lose_endpoint(&mut self, now: Instant) -> Vec<Effect> {
+    fn mark_endpoint_lost(&mut self, now: Instant) -> Vec<Effect> {
         slog::warn!(self.log, "agent: the endpoint does not answer");
         self.endpoint_lost = true;
         let worker = self.ledger.worker().clone();
@@ -420,12 +420,12 @@
             .collect()
     }
 
-    fn carry_out(&self, myself: &ActorRef<Message>, effect: Effect) {
+    fn execute(&self, myself: &ActorRef<Message>, effect: Effect) {
         match effect {
             Effect::StartTask(id) => self.start_task(myself, id),
             Effect::StopTask(id) => self.stop_task(myself, id),
             Effect::ReportToLead { address, report } => {
-                self.tell_lead(myself, address, report)
+                self.report_to_lead(myself, address, report)
             }
             Effect::HaltMember { address, gang } => {
                 let pool = self.pool.clone();
@@ -465,11 +465,11 @@
         let myself = myself.clone();
         tokio::spawn(async move {
             let end = task::stop(&endpoint, &id, &worker).await;
-            let _ = myself.cast(Message::Ended(id, end));
+            let _ = myself.cast(Message::TaskEnded(id, end));
         });
     }
 
-    fn tell_lead(
+    fn report_to_lead(
         &self,
         myself: &ActorRef<Message>,
         address: String,
@@ -485,8 +485,8 @@
             let call = client.report(report);
             match link::with_timeout(&address, link::CALL_TIMEOUT, call).await
             {
-                Ok(verdict) => {
-                    let _ = myself.cast(Message::Told(gang, verdict));
+                Ok(decision) => {
+                    let _ = myself.cast(Message::LeadDecided(gang, decision));
                 }
                 Err(_) => pool.remove(&address),
             }
--- a/src/agent/lead.rs
+++ b/src/agent/lead.rs
@@ -13,22 +13,22 @@
 ///
 /// It is well before a member's hold ends, so that a member is asked to
 /// begin before it has to ask.
-pub const DECIDE: Duration = Duration::from_secs(4);
+pub const DECISION_WINDOW: Duration = Duration::from_secs(4);
 
 /// The lead's part of a gang.
 #[derive(Clone, Debug)]
 pub struct Lead {
-    decided: Option<Decision>,
-    ran: bool,
+    decision: Option<Decision>,
+    ever_ran: bool,
     decide_by: Instant,
     members: Vec<Member>,
     /// The first end that was not a good one.
-    broken: Option<End>,
+    first_failure: Option<End>,
 }
 
 #[derive(Clone, Debug)]
 struct Member {
-    heard: Instant,
+    last_contact: Instant,
     end: Option<End>,
 }
 
@@ -36,74 +36,74 @@
     /// Returns the part of a gang that is not decided.
     pub fn new(gang: &Gang, now: Instant) -> Lead {
         let member = Member {
-            heard: now,
+            last_contact: now,
             end: None,
         };
         Lead {
-            decided: None,
-            ran: false,
-            decide_by: now + DECIDE,
+            decision: None,
+            ever_ran: false,
+            decide_by: now + DECISION_WINDOW,
             members: vec![member; gang.members.len()],
-            broken: None,
+            first_failure: None,
         }
     }
 
     /// Returns the part of a gang whose task was found running.
     pub fn adopted(gang: &Gang, now: Instant) -> Lead {
         Lead {
-            decided: Some(Decision::Run),
-            ran: true,
+            decision: Some(Decision::Run),
+            ever_ran: true,
             ..Lead::new(gang, now)
         }
     }
 
     /// Decides that the gang runs, unless it was decided or is too late.
     pub fn decide(&mut self, now: Instant) -> Decision {
-        let verdict = match self.decided {
-            Some(verdict) => verdict,
+        let decision = match self.decision {
+            Some(decision) => decision,
             None if now <= self.decide_by => Decision::Run,
             None => Decision::Halt,
         };
         for member in &mut self.members {
-            member.heard = now;
+            member.last_contact = now;
         }
-        self.decided = Some(verdict);
-        self.ran |= verdict == Decision::Run;
-        verdict
+        self.decision = Some(decision);
+        self.ever_ran |= decision == Decision::Run;
+        decision
     }
 
     /// Returns whether the gang was ever decided to run.
     pub fn has_run(&self) -> bool {
-        self.ran
+        self.ever_ran
     }
 
     /// Returns the verdict. Who asks before there is one decides: it halts.
-    pub fn verdict(&mut self) -> Decision {
-        *self.decided.get_or_insert(Decision::Halt)
+    pub fn decision_or_halt(&mut self) -> Decision {
+        *self.decision.get_or_insert(Decision::Halt)
     }
 
     /// Decides that the gang halts; returns whether that is new.
     pub fn halt(&mut self) -> bool {
-        self.decided.replace(Decision::Halt) != Some(Decision::Halt)
+        self.decision.replace(Decision::Halt) != Some(Decision::Halt)
     }
 
     /// Returns whether nobody has decided by the time it was due.
-    pub fn is_late(&self, now: Instant) -> bool {
-        self.decided.is_none() && now > self.decide_by
+    pub fn has_missed_decision(&self, now: Instant) -> bool {
+        self.decision.is_none() && now > self.decide_by
     }
 
     /// Takes in that a member was heard.
-    pub fn hear(&mut self, member: usize, now: Instant) {
+    pub fn record_contact(&mut self, member: usize, now: Instant) {
         if let Some(member) = self.members.get_mut(member) {
-            member.heard = now;
+            member.last_contact = now;
         }
     }
 
     /// Takes in that a member has ended.
-    pub fn ended(&mut self, member: usize, end: End) {
+    pub fn record_end(&mut self, member: usize, end: End) {
         let good = end.ending == Ending::Done;
-        if !good && self.broken.is_none() {
-            self.broken = Some(end.clone());
+        if !good && self.first_failure.is_none() {
+            self.first_failure = Some(end.clone());
         }
         if let Some(member) = self.members.get_mut(member) {
             member.end.get_or_insert(end);
@@ -112,12 +112,12 @@
 
     /// Returns a member, other than the lead, that has not been heard for
     /// the gang's lease.
-    pub fn overdue(&self, now: Instant) -> Option<usize> {
-        self.decided?;
+    pub fn overdue_member(&self, now: Instant) -> Option<usize> {
+        self.decision?;
         let lease = gang_lease(self.members.len());
         (1..self.members.len()).find(|&at| {
             let member = &self.members[at];
-            let silent = now.saturating_duration_since(member.heard);
+            let silent = now.saturating_duration_since(member.last_contact);
             member.end.is_none() && silent >= lease
         })
     }
@@ -131,16 +131,16 @@
         let own = ends[0].clone();
         let kept_ms =
             ends.iter().map(|end| end.kept_ms).min().unwrap_or_default();
-        match &self.broken {
+        match &self.first_failure {
             None => Some(own),
             Some(_) if !begun => Some(End::new(Ending::NotBegun, None)),
-            Some(broken) => Some(End {
-                ending: match broken.ending {
+            Some(first_failure) => Some(End {
+                ending: match first_failure.ending {
                     // Some began and some did not: it ran in part.
                     Ending::NotBegun => Ending::Stopped,
                     ending => ending,
                 },
-                worker: broken.worker.clone(),
+                worker: first_failure.worker.clone(),
                 output: None,
                 checkpoint: own.checkpoint.clone(),
                 kept_ms,
--- a/src/agent/ledger.rs
+++ b/src/agent/ledger.rs
@@ -41,24 +41,24 @@
 /// How long a small gang stands when its members cannot reach each other.
 pub const MIN_GANG_LEASE: Duration = Duration::from_secs(5);
 /// How long an endpoint may take to start a task.
-pub const BEGIN: Duration = Duration::from_secs(5);
+pub const TASK_START_TIMEOUT: Duration = Duration::from_secs(5);
 /// How often a member of a small gang reports to its lead.
 pub const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(1500);
 /// How much longer a member waits for each member of its gang: at 520 bytes
 /// a report, all of them cost the lead no more than 21 KB a second.
-const REPORT_EACH: Duration = Duration::from_millis(25);
+const REPORT_INTERVAL_PER_MEMBER: Duration = Duration::from_millis(25);
 /// How many reports may be missed before a member counts as lost.
-const MISSED: u32 = 3;
+const MAX_MISSED_REPORTS: u32 = 3;
 
 /// Returns how often a member of a gang of so many reports to its lead.
-pub fn report_every(members: usize) -> Duration {
-    MIN_REPORT_INTERVAL.max(REPORT_EACH * members as u32)
+pub fn report_interval(members: usize) -> Duration {
+    MIN_REPORT_INTERVAL.max(REPORT_INTERVAL_PER_MEMBER * members as u32)
 }
 
 /// Returns how long a gang of so many stands when its members cannot reach
 /// each other.
 pub fn gang_lease(members: usize) -> Duration {
-    MIN_GANG_LEASE.max(report_every(members) * MISSED)
+    MIN_GANG_LEASE.max(report_interval(members) * MAX_MISSED_REPORTS)
 }
 
 /// Something to do.
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug)]
 pub struct Ledger {
     worker: WorkerId,
-    whole: Mask,
+    all_accelerators: Mask,
     epoch: Epoch,
     revision: Revision,
     leaving: bool,
@@ -106,10 +106,10 @@
         worker: WorkerId,
         accelerators: u32,
     ) -> Result<Ledger, crate::site::Error> {
-        let whole = crate::site::Site::new(accelerators)?.whole();
+        let all_accelerators = crate::site::Site::new(accelerators)?.whole();
         Ok(Ledger {
             worker,
-            whole,
+            all_accelerators,
             epoch: 0,
             revision: 0,
             leaving: false,
@@ -177,7 +177,7 @@
         self.slots
             .values()
             .filter(|slot| !matches!(slot.phase, Phase::Ended(_)))
-            .fold(0, |mask, slot| mask | slot.gang.members[slot.me].mask)
+            .fold(0, |mask, slot| mask | slot.gang.members[slot.position].mask)
     }
 
     /// Takes in a planner's authority.
@@ -218,27 +218,28 @@
             None if self.leaving => return Err(Refusal::Leaving),
             None => {}
         }
-        let Some(me) = hold.gang.position(&self.worker) else {
+        let Some(position) = hold.gang.position(&self.worker) else {
             return Err(Refusal::NotHeld);
         };
-        let mask = hold.gang.members[me].mask;
-        let taken = (self.accelerators_in_use() | !self.whole) & mask;
+        let mask = hold.gang.members[position].mask;
+        let taken =
+            (self.accelerators_in_use() | !self.all_accelerators) & mask;
         if taken != 0 {
             return Err(Refusal::AcceleratorsTaken { mask: taken });
         }
         let deadline = now + HOLD_DURATION;
-        let lead = (me == 0).then(|| Lead::new(&hold.gang, now));
+        let lead = (position == 0).then(|| Lead::new(&hold.gang, now));
         let slot = Slot {
             gang: hold.gang,
-            me,
+            position,
             phase: Phase::Held { deadline },
             lead,
-            heard: now,
-            report_at: deadline,
+            last_contact: now,
+            next_report_at: deadline,
             sequence: 0,
         };
         self.slots.insert(id.clone(), slot);
-        self.touch(&id);
+        self.mark_changed(&id);
         Ok(())
     }
 
@@ -257,10 +258,10 @@
         self.check_fence(fence)?;
         let slot = self.slots.get_mut(id).ok_or(Refusal::NotHeld)?;
         let lead = slot.lead.as_mut().ok_or(Refusal::NotHeld)?;
-        let verdict = lead.decide(now);
+        let decision = lead.decide(now);
         let gang = slot.gang.clone();
-        self.touch(id);
-        match verdict {
+        self.mark_changed(id);
+        match decision {
             Decision::Run => Ok(gang),
             Decision::Halt => Err(Refusal::NotHeld),
         }
@@ -281,10 +282,10 @@
         let slot = self.slots.get_mut(id).ok_or(Refusal::NotHeld)?;
         match slot.phase {
             Phase::Held { .. } => {
-                slot.phase = beginning(now);
-                slot.heard = now;
-                slot.report_at = now + slot.report_every();
-                self.touch(id);
+                slot.phase = beginning_phase(now);
+                slot.last_contact = now;
+                slot.next_report_at = now + slot.report_interval();
+                self.mark_changed(id);
                 Ok(true)
             }
             Phase::Beginning { .. } | Phase::Begun { .. } => Ok(false),
@@ -297,7 +298,7 @@
         if let Some(slot) = self.slots.get_mut(id) {
             if matches!(slot.phase, Phase::Beginning { .. }) {
                 slot.phase = Phase::Begun { since: now };
-                self.touch(id);
+                self.mark_changed(id);
             }
         }
     }
@@ -316,12 +317,12 @@
             return Vec::new();
         }
         slot.phase = Phase::Ended(end.clone());
-        slot.report_at = now;
-        let me = slot.me;
-        self.touch(id);
-        match me {
-            0 => self.member_ended(id, 0, end, now),
-            _ => self.tell_lead(id, now).into_iter().collect(),
+        slot.next_report_at = now;
+        let position = slot.position;
+        self.mark_changed(id);
+        match position {
+            0 => self.record_member_end(id, 0, end, now),
+            _ => self.report_to_lead(id, now).into_iter().collect(),
         }
     }
 
@@ -337,41 +338,41 @@
         let Some(lead) = slot.lead.as_mut() else {
             return (Decision::Halt, Vec::new());
         };
-        lead.hear(report.member, now);
-        let verdict = lead.verdict();
+        lead.record_contact(report.member, now);
+        let decision = lead.decision_or_halt();
         let mut effects = Vec::new();
-        if verdict == Decision::Halt {
+        if decision == Decision::Halt {
             effects = self.halt(&report.gang, now);
         }
         if let Some(end) = report.end {
             let more =
-                self.member_ended(&report.gang, report.member, end, now);
+                self.record_member_end(&report.gang, report.member, end, now);
             effects.extend(more);
         }
-        (verdict, effects)
+        (decision, effects)
     }
 
     /// Takes in the lead's verdict.
     pub fn apply_decision(
         &mut self,
         id: &gang::Id,
-        verdict: Decision,
+        decision: Decision,
         now: Instant,
     ) -> Vec<Effect> {
         let Some(slot) = self.slots.get_mut(id) else {
             return Vec::new();
         };
-        slot.heard = now;
-        match (&slot.phase, verdict) {
+        slot.last_contact = now;
+        match (&slot.phase, decision) {
             (Phase::Held { .. }, Decision::Run) => {
-                slot.phase = beginning(now);
-                slot.report_at = now + slot.report_every();
-                self.touch(id);
+                slot.phase = beginning_phase(now);
+                slot.next_report_at = now + slot.report_interval();
+                self.mark_changed(id);
                 vec![Effect::StartTask(id.clone())]
             }
             (Phase::Ended(_), _) => {
                 // The lead knows now: there is nothing more to tell.
-                slot.report_at = now + Duration::from_secs(86_400);
+                slot.next_report_at = now + Duration::from_secs(86_400);
                 Vec::new()
             }
             (_, Decision::Run) => Vec::new(),
@@ -420,12 +421,12 @@
             }
             Phase::Begun { since } => {
                 slot.phase = Phase::Halting { since };
-                self.touch(id);
+                self.mark_changed(id);
                 effects.push(Effect::StopTask(id.clone()));
             }
             Phase::Beginning { .. } => {
                 slot.phase = Phase::Halting { since: now };
-                self.touch(id);
+                self.mark_changed(id);
                 effects.push(Effect::StopTask(id.clone()));
             }
             Phase::Halting { .. } | Phase::Ended(_) => {}
@@ -448,30 +449,30 @@
     /// Does what is due by `now`.
     pub fn tick(&mut self, now: Instant) -> Vec<Effect> {
         let ids: Vec<gang::Id> = self.slots.keys().cloned().collect();
-        ids.iter().flat_map(|id| self.tick_one(id, now)).collect()
+        ids.iter().flat_map(|id| self.tick_gang(id, now)).collect()
     }
 
-    fn tick_one(&mut self, id: &gang::Id, now: Instant) -> Vec<Effect> {
+    fn tick_gang(&mut self, id: &gang::Id, now: Instant) -> Vec<Effect> {
         let Some(slot) = self.slots.get_mut(id) else {
             return Vec::new();
         };
         let late = match &slot.phase {
             Phase::Beginning { deadline } => *deadline <= now,
             // The lead begins last: past its hold it never will.
-            Phase::Held { deadline } => slot.me == 0 && *deadline <= now,
+            Phase::Held { deadline } => slot.position == 0 && *deadline <= now,
             _ => false,
         };
         if late {
             return self.halt(id, now);
         }
         if let Some(lead) = slot.lead.as_mut() {
-            return match lead.overdue(now) {
-                Some(member) => self.lose_member(id, member, now),
-                None if lead.is_late(now) => self.halt(id, now),
+            return match lead.overdue_member(now) {
+                Some(member) => self.mark_member_lost(id, member, now),
+                None if lead.has_missed_decision(now) => self.halt(id, now),
                 None => Vec::new(),
             };
         }
-        let silent = now.saturating_duration_since(slot.heard);
+        let silent = now.saturating_duration_since(slot.last_contact);
         match &slot.phase {
             Phase::Held { deadline } if now >= *deadline + slot.lease() => {
                 let end = End::new(Ending::NotBegun, None);
@@ -482,14 +483,14 @@
             {
                 self.halt(id, now)
             }
-            _ if now >= slot.report_at => {
-                self.tell_lead(id, now).into_iter().collect()
+            _ if now >= slot.next_report_at => {
+                self.report_to_lead(id, now).into_iter().collect()
             }
             _ => Vec::new(),
         }
     }
 
-    fn lose_member(
+    fn mark_member_lost(
         &mut self,
         id: &gang::Id,
         member: usize,
@@ -501,11 +502,11 @@
             .and_then(|slot| slot.gang.members.get(member))
             .map(|member| member.worker.clone());
         let end = End::new(Ending::Lost, worker);
-        self.member_ended(id, member, end, now)
+        self.record_member_end(id, member, end, now)
     }
 
     /// Takes in, as the lead, that a member has ended.
-    pub fn member_ended(
+    pub fn record_member_end(
         &mut self,
         id: &gang::Id,
         member: usize,
@@ -519,18 +520,22 @@
             return Vec::new();
         };
         let good = end.ending == Ending::Done;
-        lead.ended(member, end);
+        lead.record_end(member, end);
         let effects = match good {
             true => Vec::new(),
             false => self.halt(id, now),
         };
-        self.touch(id);
+        self.mark_changed(id);
         effects
     }
 
-    fn tell_lead(&mut self, id: &gang::Id, now: Instant) -> Option<Effect> {
+    fn report_to_lead(
+        &mut self,
+        id: &gang::Id,
+        now: Instant,
+    ) -> Option<Effect> {
         let slot = self.slots.get_mut(id)?;
-        slot.report_at = now + slot.report_every();
+        slot.next_report_at = now + slot.report_interval();
         let end = match &slot.phase {
             Phase::Ended(end) => Some(end.clone()),
             _ => None,
@@ -539,7 +544,7 @@
             address: slot.gang.lead().address.clone(),
             report: Report {
                 gang: id.clone(),
-                member: slot.me,
+                member: slot.position,
                 end,
             },
         })
@@ -548,23 +553,23 @@
     /// Takes over a task found running at the endpoint, by an agent process
     /// that has just started. It was begun, so its gang was decided.
     pub fn adopt(&mut self, gang: Gang, now: Instant) {
-        let Some(me) = gang.position(&self.worker) else {
+        let Some(position) = gang.position(&self.worker) else {
             return;
         };
         let id = gang.id.clone();
         self.epoch = self.epoch.max(id.epoch);
-        let lead = (me == 0).then(|| Lead::adopted(&gang, now));
+        let lead = (position == 0).then(|| Lead::adopted(&gang, now));
         let slot = Slot {
             gang,
-            me,
+            position,
             phase: Phase::Begun { since: now },
             lead,
-            heard: now,
-            report_at: now,
+            last_contact: now,
+            next_report_at: now,
             sequence: 0,
         };
         self.slots.insert(id.clone(), slot);
-        self.touch(&id);
+        self.mark_changed(&id);
     }
 
     /// Returns the entries that changed after `since`.
@@ -580,7 +585,7 @@
             .collect()
     }
 
-    fn touch(&mut self, id: &gang::Id) {
+    fn mark_changed(&mut self, id: &gang::Id) {
         self.sequence += 1;
         if let Some(slot) = self.slots.get_mut(id) {
             slot.sequence = self.sequence;
@@ -588,9 +593,9 @@
     }
 }
 
-fn beginning(now: Instant) -> Phase {
+fn beginning_phase(now: Instant) -> Phase {
     Phase::Beginning {
-        deadline: now + BEGIN,
+        deadline: now + TASK_START_TIMEOUT,
     }
 }
 
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -5,7 +5,7 @@
 //! effects, on the endpoint's tasks by [`task`], and [`serve`] answers the
 //! calls of planners and other agents.
 
-pub mod keeper;
+pub mod actor;
 pub mod lead;
 pub mod ledger;
 pub mod serve;
@@ -54,14 +54,14 @@
         source: std::io::Error,
     },
     /// The actor did not start.
-    #[error("the keeper did not start: {0}")]
-    Keeper(#[from] ractor::SpawnErr),
+    #[error("the ledger actor did not start: {0}")]
+    Actor(#[from] ractor::SpawnErr),
 }
 
 /// An agent that runs.
 pub struct Agent {
     address: SocketAddr,
-    keeper: ActorRef<keeper::Message>,
+    actor: ActorRef<actor::Message>,
     server: ServerHandle,
 }
 
@@ -76,24 +76,25 @@
             ledger::Ledger::new(config.worker.clone(), config.accelerators)?;
         let endpoint =
             endpoint::Client::new(http::Client::new(), &config.endpoint);
-        let (seen, watched) = tokio::sync::watch::channel(0);
-        let (keeper, _) = ractor::Actor::spawn(
+        let (sequence_sender, sequence_receiver) =
+            tokio::sync::watch::channel(0);
+        let (actor, _) = ractor::Actor::spawn(
             None,
-            keeper::Keeper,
-            keeper::Start {
+            actor::LedgerActor,
+            actor::Arguments {
                 ledger,
                 endpoint: endpoint.clone(),
-                seen,
+                sequence_sender,
                 log: config.log.clone(),
             },
         )
         .await?;
         let methods = serve::Methods {
             worker: config.worker,
-            keeper: keeper.clone(),
+            actor: actor.clone(),
             endpoint,
             pool: link::Pool::new(),
-            watched,
+            sequence_receiver,
             incarnation: uuid::Uuid::new_v4().simple().to_string(),
             log: config.log,
         };
@@ -110,7 +111,7 @@
         let server = server.start(methods.into_rpc());
         Ok(Agent {
             address,
-            keeper,
+            actor,
             server,
         })
     }
@@ -124,10 +125,10 @@
     /// the deadline, and stops. Tasks still running then go on under their
     /// lease, for an agent that starts here anew to take over.
     pub async fn stop(self, deadline: tokio::time::Instant) {
-        let _ = self.keeper.cast(keeper::Message::Leave);
+        let _ = self.actor.cast(actor::Message::Leave);
         while tokio::time::Instant::now() < deadline {
             let idle =
-                ractor::call_t!(self.keeper, keeper::Message::IsIdle, 1000);
+                ractor::call_t!(self.actor, actor::Message::IsIdle, 1000);
             if matches!(idle, Ok(true)) {
                 break;
             }
@@ -139,7 +140,7 @@
     /// Stops at once, as a process that is killed.
     pub fn kill(self) {
         let _ = self.server.stop();
-        self.keeper.kill();
+        self.actor.kill();
     }
 }
 
--- a/src/agent/serve.rs
+++ b/src/agent/serve.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::agent::keeper::Message;
+use crate::agent::actor::Message;
 use crate::agent::ledger::gang_lease;
 use crate::agent::task;
 use crate::endpoint;
@@ -39,24 +39,24 @@
 use crate::wire::Trace;
 
 /// The code of an error that says the keeper has stopped.
-const STOPPED: i32 = -32000;
+const ACTOR_STOPPED_CODE: i32 = -32000;
 /// The longest that a call for changes waits.
-const LONGEST_WATCH: Duration = Duration::from_secs(30);
+const MAX_WATCH: Duration = Duration::from_secs(30);
 /// How often the outcome of a broken launch is looked for.
-const OUTCOME_EVERY: Duration = Duration::from_millis(100);
+const OUTCOME_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The methods of an agent.
 pub struct Methods {
     /// The worker's name.
     pub worker: crate::site::WorkerId,
     /// The actor that owns the ledger.
-    pub keeper: ActorRef<Message>,
+    pub actor: ActorRef<Message>,
     /// The endpoint.
     pub endpoint: endpoint::Client,
     /// Connections to other agents.
     pub pool: link::Pool,
     /// The number of the last change.
-    pub watched: watch::Receiver<Sequence>,
+    pub sequence_receiver: watch::Receiver<Sequence>,
     /// The life of this process.
     pub incarnation: Incarnation,
     /// Where logs go.
@@ -64,15 +64,15 @@
 }
 
 impl Methods {
-    async fn ask<T: Send + 'static>(
+    async fn call<T: Send + 'static>(
         &self,
         message: impl FnOnce(RpcReplyPort<T>) -> Message,
     ) -> RpcResult<T> {
-        let asked = self.keeper.call(message, None).await;
+        let asked = self.actor.call(message, None).await;
         match asked {
             Ok(ractor::rpc::CallResult::Success(answer)) => Ok(answer),
             _ => Err(ErrorObjectOwned::owned(
-                STOPPED,
+                ACTOR_STOPPED_CODE,
                 "the agent is stopping",
                 None::<()>,
             )),
@@ -80,7 +80,7 @@
     }
 
     /// Has one member begin; the error says why it does not.
-    async fn begin_at(
+    async fn begin_member(
         &self,
         member: &Member,
         gang: &Gang,
@@ -104,21 +104,21 @@
         trace: &Option<Trace>,
     ) -> Result<(), (Member, Option<Refusal>)> {
         let others = gang.members.iter().skip(1).map(|member| async move {
-            let begun = self.begin_at(member, gang, trace).await;
+            let begun = self.begin_member(member, gang, trace).await;
             begun.map_err(|refusal| (member.clone(), refusal))
         });
         for begun in join_all(others).await {
             begun?;
         }
         let lead = gang.lead().clone();
-        match self.begin_here(gang.id.clone(), trace.clone()).await {
+        match self.begin_own_task(gang.id.clone(), trace.clone()).await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(refusal)) => Err((lead, Some(refusal))),
             Err(_) => Err((lead, None)),
         }
     }
 
-    async fn begin_here(
+    async fn begin_own_task(
         &self,
         id: gang::Id,
         trace: Option<Trace>,
@@ -127,32 +127,32 @@
         span.set("worker", &self.worker);
         let task = Span::begin("task", span.trace().as_ref());
         task.set("worker", &self.worker);
-        let _ = self.keeper.cast(Message::Span(id.clone(), task));
-        let begun = self.ask(|reply| Message::Begin(id, reply)).await?;
+        let _ = self.actor.cast(Message::TaskSpan(id.clone(), task));
+        let begun = self.call(|reply| Message::Begin(id, reply)).await?;
         let gang = match begun {
             Ok(Some(gang)) => gang,
             Ok(None) => return Ok(Ok(())),
             Err(refusal) => return Ok(Err(refusal)),
         };
-        let (endpoint, keeper) = (&self.endpoint, &self.keeper);
-        let answer = task::start(endpoint, keeper, &gang, &self.worker);
+        let (endpoint, actor) = (&self.endpoint, &self.actor);
+        let answer = task::start(endpoint, actor, &gang, &self.worker);
         Ok(answer.await)
     }
 
     /// Waits until a halted gang's members have all been heard of.
-    async fn settle(
+    async fn await_outcome(
         &self,
         gang: &Gang,
         member: Member,
         refusal: Option<Refusal>,
     ) -> LaunchOutcome {
         let id = &gang.id;
-        let _ = self.keeper.cast(Message::Halt(id.clone()));
+        let _ = self.actor.cast(Message::Halt(id.clone()));
         let lease = gang_lease(gang.members.len());
         let deadline = Instant::now() + 2 * lease;
         while Instant::now() < deadline {
             let id = id.clone();
-            let end = self.ask(|reply| Message::Outcome(id, reply)).await;
+            let end = self.call(|reply| Message::Outcome(id, reply)).await;
             match end {
                 Ok(Some(end)) if end.ending == Ending::NotBegun => {
                     return LaunchOutcome::NotStarted {
@@ -161,7 +161,7 @@
                     };
                 }
                 Ok(Some(_)) | Err(_) => break,
-                Ok(None) => tokio::time::sleep(OUTCOME_EVERY).await,
+                Ok(None) => tokio::time::sleep(OUTCOME_POLL_INTERVAL).await,
             }
         }
         LaunchOutcome::PartlyStarted {
@@ -176,7 +176,7 @@
         let span = Span::begin("hold", hold.trace.as_ref());
         span.set("worker", &self.worker);
         let hold = Box::new(hold);
-        self.ask(|reply| Message::Hold(hold, reply)).await
+        self.call(|reply| Message::Hold(hold, reply)).await
     }
 
     async fn launch(
@@ -186,7 +186,7 @@
         let span = Span::begin("launch", launch.trace.as_ref());
         span.set("worker", &self.worker);
         let trace = span.trace();
-        let decided = self.ask(|reply| Message::Launch(launch, reply));
+        let decided = self.call(|reply| Message::Launch(launch, reply));
         let gang = match decided.await? {
             Ok(gang) => gang,
             Err(refusal) => return Ok(Err(refusal)),
@@ -196,7 +196,7 @@
             Err((member, refusal)) => {
                 slog::warn!(self.log, "agent: gang {} is broken", gang.id;
                     "worker" => &*member.worker);
-                Ok(Ok(self.settle(&gang, member, refusal).await))
+                Ok(Ok(self.await_outcome(&gang, member, refusal).await))
             }
         }
     }
@@ -206,24 +206,24 @@
         gang: gang::Id,
         trace: Option<Trace>,
     ) -> RpcResult<Reply> {
-        self.begin_here(gang, trace).await
+        self.begin_own_task(gang, trace).await
     }
 
     async fn report(&self, report: Report) -> RpcResult<Decision> {
-        self.ask(|reply| Message::Report(report, reply)).await
+        self.call(|reply| Message::Report(report, reply)).await
     }
 
     async fn stop(&self, stop: Stop) -> RpcResult<Reply> {
-        self.ask(|reply| Message::Stop(stop, reply)).await
+        self.call(|reply| Message::Stop(stop, reply)).await
     }
 
     async fn halt(&self, gang: gang::Id) -> RpcResult<()> {
-        let _ = self.keeper.cast(Message::Halt(gang));
+        let _ = self.actor.cast(Message::Halt(gang));
         Ok(())
     }
 
     async fn forget(&self, forget: Forget) -> RpcResult<Reply> {
-        self.ask(|reply| Message::Forget(forget, reply)).await
+        self.call(|reply| Message::Forget(forget, reply)).await
     }
 
     async fn watch(
@@ -231,18 +231,19 @@
         watch: Watch,
     ) -> RpcResult<Result<Changes, Refusal>> {
         let waits = Duration::from_millis(watch.timeout_ms);
-        let deadline = Instant::now() + waits.min(LONGEST_WATCH);
-        let mut watched = self.watched.clone();
+        let deadline = Instant::now() + waits.min(MAX_WATCH);
+        let mut sequence = self.sequence_receiver.clone();
         // A first call wants all entries, even if there are none.
-        while watch.since != 0 && *watched.borrow_and_update() <= watch.since {
+        while watch.since != 0 && *sequence.borrow_and_update() <= watch.since
+        {
             let changed =
-                tokio::time::timeout_at(deadline, watched.changed()).await;
+                tokio::time::timeout_at(deadline, sequence.changed()).await;
             if !matches!(changed, Ok(Ok(()))) {
                 break;
             }
         }
         let view = self
-            .ask(|reply| Message::Changes(watch.fence, watch.since, reply));
+            .call(|reply| Message::Changes(watch.fence, watch.since, reply));
         Ok(view.await?.map(|view| Changes {
             incarnation: self.incarnation.clone(),
             sequence: view.sequence,
--- a/src/agent/slot.rs
+++ b/src/agent/slot.rs
@@ -5,7 +5,7 @@
 
 use crate::agent::lead::Lead;
 use crate::agent::ledger::gang_lease;
-use crate::agent::ledger::report_every;
+use crate::agent::ledger::report_interval;
 use crate::wire::agent::Sequence;
 use crate::wire::gang::End;
 use crate::wire::gang::Gang;
@@ -43,23 +43,23 @@
     /// The gang.
     pub gang: Gang,
     /// This worker's position among its members.
-    pub me: usize,
+    pub position: usize,
     /// Where it is in its life here.
     pub phase: Phase,
     /// What its lead keeps of it, if this member leads.
     pub lead: Option<Lead>,
     /// When the lead was last heard.
-    pub heard: Instant,
+    pub last_contact: Instant,
     /// When the lead is to be told next.
-    pub report_at: Instant,
+    pub next_report_at: Instant,
     /// The change that last touched it.
     pub sequence: Sequence,
 }
 
 impl Slot {
     /// Returns how often the lead is told.
-    pub fn report_every(&self) -> Duration {
-        report_every(self.gang.members.len())
+    pub fn report_interval(&self) -> Duration {
+        report_interval(self.gang.members.len())
     }
 
     /// Returns how long the gang stands without word.
--- a/src/agent/task.rs
+++ b/src/agent/task.rs
@@ -4,7 +4,7 @@
 
 use ractor::ActorRef;
 
-use crate::agent::keeper::Message;
+use crate::agent::actor::Message;
 use crate::endpoint;
 use crate::endpoint::Task;
 use crate::wire::agent::Refusal;
@@ -15,9 +15,9 @@
 use crate::wire::gang::Gang;
 
 /// How long a task runs on at its endpoint when its agent is silent.
-pub const LEASE: Duration = Duration::from_secs(10);
+pub const TASK_LEASE: Duration = Duration::from_secs(10);
 /// The wait between two tries to stop a task.
-const STOP_RETRY: Duration = Duration::from_millis(500);
+const STOP_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Starts the task of a gang's member and tells the keeper what came of it.
 ///
@@ -26,20 +26,20 @@
 /// If the endpoint does not start it.
 pub async fn start(
     endpoint: &endpoint::Client,
-    keeper: &ActorRef<Message>,
+    actor: &ActorRef<Message>,
     gang: &Gang,
     worker: &str,
 ) -> Reply {
     let id = gang.id.clone();
-    let Some(me) = gang.position(worker) else {
+    let Some(position) = gang.position(worker) else {
         return Err(Refusal::NotHeld);
     };
     let start = endpoint::Start {
         task: id.to_string(),
         run: gang.work.run.clone(),
         parameters: gang.work.parameters.clone(),
-        accelerators: gang.members[me].mask,
-        lease_seconds: LEASE.as_secs(),
+        accelerators: gang.members[position].mask,
+        lease_seconds: TASK_LEASE.as_secs(),
         checkpoint: gang.work.checkpoint.clone(),
         note: serde_json::to_string(gang).unwrap_or_default(),
     };
@@ -50,18 +50,18 @@
     }
     match answer {
         Ok(_) => {
-            let _ = keeper.cast(Message::Begun(id));
+            let _ = actor.cast(Message::TaskBegun(id));
             Ok(())
         }
         Err(error @ crate::http::Error::Unreached { .. }) => {
             let worker = Some(worker.into());
             let end = End::new(Ending::NotBegun, worker);
-            let _ = keeper.cast(Message::Ended(id, end));
+            let _ = actor.cast(Message::TaskEnded(id, end));
             let reason = error.to_string();
             Err(Refusal::TaskNotStarted { reason })
         }
         Err(error) => {
-            let _ = keeper.cast(Message::Halt(id));
+            let _ = actor.cast(Message::Halt(id));
             let reason = error.to_string();
             Err(Refusal::TaskNotStarted { reason })
         }
@@ -75,7 +75,7 @@
     worker: &str,
 ) -> End {
     let name = id.to_string();
-    let lapsed = tokio::time::Instant::now() + LEASE;
+    let lapsed = tokio::time::Instant::now() + TASK_LEASE;
     while tokio::time::Instant::now() < lapsed {
         match endpoint.stop(&name).await {
             Ok(task) => {
@@ -90,7 +90,7 @@
             }
             Err(_) => {}
         }
-        tokio::time::sleep(STOP_RETRY).await;
+        tokio::time::sleep(STOP_RETRY_DELAY).await;
     }
     End::new(Ending::Stopped, Some(worker.into()))
 }
