--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -16,8 +16,8 @@
 use crate::config::Account;
 use crate::config::Document;
 use crate::config::Problem;
-use crate::entry::answers;
 use crate::entry::operators;
+use crate::entry::responses;
 use crate::entry::router;
 use crate::entry::Shared;
 use crate::http;
@@ -35,16 +35,16 @@
 use crate::wire::Trace;
 
 /// The largest body of a request.
-const MAX_BODY: usize = 256 * 1024;
+const MAX_BODY_BYTES: usize = 256 * 1024;
 /// How long a request that waits for nothing may take.
-const CALL: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a caller may wait, and does unless it says.
-const LONGEST_WAIT: Duration = Duration::from_secs(300);
+const MAX_WAIT: Duration = Duration::from_secs(300);
 
 /// A job that a caller asks for.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Submit {
+struct Submission {
     template: String,
     #[serde(default)]
     parameters: Option<Value>,
@@ -59,49 +59,53 @@
 }
 
 /// The HTTP side of an entry.
-pub struct Front {
+pub struct CallerApi {
     /// What the parts of the entry share.
     pub shared: Arc<Shared>,
 }
 
-impl Handler for Front {
+impl Handler for CallerApi {
     async fn handle(&self, request: http::Request) -> http::Response {
         let path = request.uri().path().to_owned();
         let parts: Vec<&str> =
             path.split('/').filter(|part| !part.is_empty()).collect();
         match &parts[..] {
-            ["v1", "jobs", rest @ ..] => self.jobs(request, rest).await,
+            ["v1", "jobs", rest @ ..] => self.handle_jobs(request, rest).await,
             ["healthz"] => http::text(StatusCode::OK, "ok\n"),
             _ => operators::handle(&self.shared, request, &parts).await,
         }
     }
 }
 
-impl Front {
-    async fn jobs(
+impl CallerApi {
+    async fn handle_jobs(
         &self,
         request: http::Request,
         rest: &[&str],
     ) -> http::Response {
         let document = self.shared.document.borrow().clone();
-        let owner = bearer(&request).and_then(|t| document.owner(t));
+        let owner = bearer_token(&request).and_then(|t| document.owner(t));
         let Some(id) = owner else {
-            return answers::refuse(
+            return responses::failure(
                 StatusCode::UNAUTHORIZED,
                 "authorization: the token of a client account is expected",
             );
         };
         let Some(account) = document.account(&id) else {
-            return answers::refuse(
+            return responses::failure(
                 StatusCode::UNAUTHORIZED,
                 "no such account",
             );
         };
         let now = Instant::now();
-        if let Err(wait) = self.shared.limits.request(&id, account, now) {
+        if let Err(wait) = self.shared.limits.take_token(&id, account, now) {
             let text =
                 format!("rate: more than {} requests a second", account.rate);
-            return answers::later(StatusCode::TOO_MANY_REQUESTS, text, wait);
+            return responses::retry_later(
+                StatusCode::TOO_MANY_REQUESTS,
+                text,
+                wait,
+            );
         }
         let caller = Caller {
             shared: &self.shared,
@@ -115,11 +119,11 @@
             (Method::GET, [job]) => caller.status(job).await,
             (Method::GET, [job, "answer"]) => caller.answer(job).await,
             (Method::DELETE, [job]) => caller.cancel(job).await,
-            (_, [] | [_] | [_, "answer"]) => answers::refuse(
+            (_, [] | [_] | [_, "answer"]) => responses::failure(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "method not allowed",
             ),
-            _ => answers::refuse(StatusCode::NOT_FOUND, "no such path"),
+            _ => responses::failure(StatusCode::NOT_FOUND, "no such path"),
         }
     }
 }
@@ -139,18 +143,18 @@
         let parent = parent.map(str::to_owned);
         let span = Span::begin("call", parent.as_ref());
         span.set("account", &self.id);
-        let body = match http::read(request, MAX_BODY).await {
+        let body = match http::read(request, MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(error) => {
                 let status = StatusCode::PAYLOAD_TOO_LARGE;
-                return answers::refuse(status, error.to_string());
+                return responses::failure(status, error.to_string());
             }
         };
-        let submit: Submit = match serde_json::from_slice(&body) {
+        let submit: Submission = match serde_json::from_slice(&body) {
             Ok(submit) => submit,
             Err(error) => {
                 let status = StatusCode::BAD_REQUEST;
-                return answers::refuse(status, format!("body: {error}"));
+                return responses::failure(status, format!("body: {error}"));
             }
         };
         match self.record(&submit) {
@@ -158,12 +162,12 @@
                 span.set("job", &record.spec.id);
                 self.admit(record, &submit, span.trace()).await
             }
-            Err(problems) => answers::invalid(problems),
+            Err(problems) => responses::invalid_fields(problems),
         }
     }
 
     /// Returns the record that a request asks for.
-    fn record(&self, submit: &Submit) -> Result<Record, Vec<Problem>> {
+    fn record(&self, submit: &Submission) -> Result<Record, Vec<Problem>> {
         let Some(template) = self.document.template(&submit.template) else {
             let names: Vec<&str> =
                 self.document.templates.keys().map(|t| &**t).collect();
@@ -185,7 +189,7 @@
                 "1 to 64 characters of a-z, A-Z, 0-9, - and _",
             ));
         }
-        let never = self
+        let is_never_repeated = self
             .account
             .never_repeat
             .iter()
@@ -197,13 +201,13 @@
             template: submit.template.as_str().into(),
             shape: template.shape,
             declared: template.declared,
-            repeatable: template.repeatable && !never,
+            repeatable: template.repeatable && !is_never_repeated,
             checkpoint: template.checkpoint,
             urgent: template.urgent,
             submitted: now,
             due: submit.due_ms.map(|ms| now + Duration::from_millis(ms)),
         };
-        let nominal = self.shared.nominal.borrow().clone();
+        let nominal = self.shared.nominal_plan.borrow().clone();
         let has_site = !nominal.state().workers.is_empty();
         let refusal = admit::impossible(nominal.state(), &spec);
         if let Some(reason) = refusal.filter(|_| has_site) {
@@ -216,10 +220,10 @@
         if !problems.is_empty() {
             return Err(problems);
         }
-        let told = serde_json::json!([submit.template, parameters]);
+        let request = serde_json::json!([submit.template, parameters]);
         Ok(Record {
             spec,
-            request: digest::of(told.to_string().as_bytes()),
+            request: digest::of(request.to_string().as_bytes()),
             work: Work {
                 run: template.run.clone(),
                 parameters,
@@ -234,37 +238,39 @@
     async fn admit(
         &self,
         record: Record,
-        submit: &Submit,
+        submit: &Submission,
         trace: Option<Trace>,
     ) -> http::Response {
         let job = record.spec.id.clone();
         let repeatable = record.spec.repeatable;
-        if let Some(old) = self.recorded(&job).await {
+        if let Some(old) = self.read_record(&job).await {
             match old.request == record.request {
-                false => return answers::conflict(),
+                false => return responses::conflict(),
                 // An ended job is answered from its record.
                 true if old.end.is_some() => {
-                    return answers::shown(
+                    return responses::job_status(
                         StatusCode::OK,
-                        &answers::status_of(&old),
+                        &responses::status_from_record(&old),
                     );
                 }
                 true => {}
             }
         }
-        let place = match submit.wait {
-            true => match self.shared.limits.wait(&self.id, self.account) {
-                Some(place) => Some(place),
-                None => {
-                    let text = format!(
-                        "waiting: {} callers wait already",
-                        self.account.waiting
-                    );
-                    let wait = Duration::from_secs(1);
-                    let status = StatusCode::TOO_MANY_REQUESTS;
-                    return answers::later(status, text, wait);
+        let permit = match submit.wait {
+            true => {
+                match self.shared.limits.acquire_wait(&self.id, self.account) {
+                    Some(permit) => Some(permit),
+                    None => {
+                        let text = format!(
+                            "waiting: {} callers wait already",
+                            self.account.waiting
+                        );
+                        let wait = Duration::from_secs(1);
+                        let status = StatusCode::TOO_MANY_REQUESTS;
+                        return responses::retry_later(status, text, wait);
+                    }
                 }
-            },
+            }
             false => None,
         };
         let admit = Admit {
@@ -273,23 +279,25 @@
             trace,
         };
         let wait = submit.wait_ms.map(Duration::from_millis);
-        let wait = wait.unwrap_or(LONGEST_WAIT).min(LONGEST_WAIT);
+        let wait = wait.unwrap_or(MAX_WAIT).min(MAX_WAIT);
         let deadline = tokio::time::Instant::now() + wait;
-        let soon = tokio::time::Instant::now() + CALL;
-        let admitted = router::admit(self.shared, admit.clone(), soon).await;
+        let admission_deadline = tokio::time::Instant::now() + CALL_TIMEOUT;
+        let admitted =
+            router::admit(self.shared, admit.clone(), admission_deadline)
+                .await;
         let status = match admitted {
             Ok(status) => status,
-            Err(refusal) => return answers::refused(&refusal),
+            Err(refusal) => return responses::from_refusal(&refusal),
         };
-        if place.is_none() {
-            return answers::shown(StatusCode::ACCEPTED, &status);
+        if permit.is_none() {
+            return responses::job_status(StatusCode::ACCEPTED, &status);
         }
-        self.wait(&job, admit, repeatable, deadline).await
+        self.wait_for_end(&job, admit, repeatable, deadline).await
     }
 
     /// Waits for a job's end. Should its planner die and forget it, it is
     /// admitted anew: under the same id it is the same job.
-    async fn wait(
+    async fn wait_for_end(
         &self,
         job: &job::Id,
         admit: Admit,
@@ -297,45 +305,50 @@
         deadline: tokio::time::Instant,
     ) -> http::Response {
         loop {
-            let left = deadline - tokio::time::Instant::now();
+            let remaining = deadline - tokio::time::Instant::now();
             let wait = Query {
                 job: job.clone(),
-                timeout_ms: left.as_millis() as u64,
+                timeout_ms: remaining.as_millis() as u64,
             };
             let status = router::status(self.shared, wait, deadline).await;
             match status {
                 Ok(status) if status.end.is_some() => {
-                    return answers::shown(StatusCode::OK, &status);
+                    return responses::job_status(StatusCode::OK, &status);
                 }
                 Ok(status) if deadline <= tokio::time::Instant::now() => {
-                    return answers::shown(StatusCode::ACCEPTED, &status);
+                    return responses::job_status(
+                        StatusCode::ACCEPTED,
+                        &status,
+                    );
                 }
                 Ok(_) => {}
                 Err(Refusal::UnknownJob) => {
-                    if let Some(old) = self.recorded(job).await {
+                    if let Some(old) = self.read_record(job).await {
                         if old.end.is_some() {
-                            return answers::shown(
+                            return responses::job_status(
                                 StatusCode::OK,
-                                &answers::status_of(&old),
+                                &responses::status_from_record(&old),
                             );
                         }
                     }
                     if !repeatable {
-                        return answers::refused(&Refusal::StoreUnavailable);
+                        return responses::from_refusal(
+                            &Refusal::StoreUnavailable,
+                        );
                     }
-                    let again = admit.clone();
+                    let retry = admit.clone();
                     let admitted =
-                        router::admit(self.shared, again, deadline).await;
+                        router::admit(self.shared, retry, deadline).await;
                     if let Err(refusal) = admitted {
-                        return answers::refused(&refusal);
+                        return responses::from_refusal(&refusal);
                     }
                 }
-                Err(refusal) => return answers::refused(&refusal),
+                Err(refusal) => return responses::from_refusal(&refusal),
             }
         }
     }
 
-    async fn recorded(&self, job: &str) -> Option<Record> {
+    async fn read_record(&self, job: &str) -> Option<Record> {
         let item = self.shared.store.get(&Record::key(job)).await.ok()??;
         Record::parse(&item.value)
     }
@@ -346,39 +359,42 @@
     }
 
     /// Returns a job's status from its planner, or its record.
-    async fn find(&self, job: &str) -> Result<Status, http::Response> {
-        let missing =
-            || answers::refuse(StatusCode::NOT_FOUND, "job: it is not known");
+    async fn find_status(&self, job: &str) -> Result<Status, http::Response> {
+        let not_found = || {
+            responses::failure(StatusCode::NOT_FOUND, "job: it is not known")
+        };
         if !self.owns(job) {
-            return Err(missing());
+            return Err(not_found());
         }
         let wait = Query {
             job: job.into(),
             timeout_ms: 0,
         };
-        let deadline = tokio::time::Instant::now() + CALL;
+        let deadline = tokio::time::Instant::now() + CALL_TIMEOUT;
         match router::status(self.shared, wait, deadline).await {
             Ok(status) => Ok(status),
             Err(Refusal::UnknownJob) => {
-                let record = self.recorded(job).await;
-                record.map(|r| answers::status_of(&r)).ok_or_else(missing)
+                let record = self.read_record(job).await;
+                record
+                    .map(|r| responses::status_from_record(&r))
+                    .ok_or_else(not_found)
             }
-            Err(refusal) => match self.recorded(job).await {
-                Some(record) => Ok(answers::status_of(&record)),
-                None => Err(answers::refused(&refusal)),
+            Err(refusal) => match self.read_record(job).await {
+                Some(record) => Ok(responses::status_from_record(&record)),
+                None => Err(responses::from_refusal(&refusal)),
             },
         }
     }
 
     async fn status(&self, job: &str) -> http::Response {
-        match self.find(job).await {
-            Ok(status) => answers::shown(StatusCode::OK, &status),
+        match self.find_status(job).await {
+            Ok(status) => responses::job_status(StatusCode::OK, &status),
             Err(response) => response,
         }
     }
 
     async fn answer(&self, job: &str) -> http::Response {
-        let status = match self.find(job).await {
+        let status = match self.find_status(job).await {
             Ok(status) => status,
             Err(response) => return response,
         };
@@ -387,14 +403,14 @@
         match (end, output) {
             (Some(_), Some(output)) => {
                 let mut response = http::text(StatusCode::OK, output);
-                answers::name(&mut response, &status);
+                responses::set_job_headers(&mut response, &status);
                 response
             }
-            (Some(end), None) => answers::refuse(
+            (Some(end), None) => responses::failure(
                 StatusCode::GONE,
                 format!("job: it ended as {} without answer", end.outcome),
             ),
-            (None, _) => answers::later(
+            (None, _) => responses::retry_later(
                 StatusCode::CONFLICT,
                 "job: it has not ended",
                 Duration::from_secs(1),
@@ -404,31 +420,31 @@
 
     async fn cancel(&self, job: &str) -> http::Response {
         if !self.owns(job) {
-            return answers::refuse(
+            return responses::failure(
                 StatusCode::NOT_FOUND,
                 "job: it is not known",
             );
         }
-        let deadline = tokio::time::Instant::now() + CALL;
+        let deadline = tokio::time::Instant::now() + CALL_TIMEOUT;
         match router::cancel(self.shared, job.into(), deadline).await {
-            Ok(status) => answers::shown(StatusCode::OK, &status),
+            Ok(status) => responses::job_status(StatusCode::OK, &status),
             Err(Refusal::UnknownJob) => self.status(job).await,
-            Err(refusal) => answers::refused(&refusal),
+            Err(refusal) => responses::from_refusal(&refusal),
         }
     }
 
     async fn list(&self) -> http::Response {
-        let deadline = tokio::time::Instant::now() + CALL;
+        let deadline = tokio::time::Instant::now() + CALL_TIMEOUT;
         let account = Some(self.id.clone());
         match router::list(self.shared, account, deadline).await {
             Ok(jobs) => http::json(StatusCode::OK, &jobs),
-            Err(refusal) => answers::refused(&refusal),
+            Err(refusal) => responses::from_refusal(&refusal),
         }
     }
 }
 
 /// Returns the token that a request shows.
-pub fn bearer(request: &http::Request) -> Option<&str> {
+pub fn bearer_token(request: &http::Request) -> Option<&str> {
     let value = request.headers().get(AUTHORIZATION)?.to_str().ok()?;
     value.strip_prefix("Bearer ")
 }
--- a/src/entry/claim.rs
+++ b/src/entry/claim.rs
@@ -11,7 +11,7 @@
 use ractor::ActorRef;
 use tokio::time::Instant;
 
-use crate::entry::jitter;
+use crate::entry::sleep_with_jitter;
 use crate::entry::Claim;
 use crate::entry::Shared;
 use crate::planner;
@@ -25,45 +25,45 @@
 use crate::wire::Epoch;
 
 /// How long a claim stands without renewal.
-const LEASE: Duration = Duration::from_secs(3);
+const CLAIM_LEASE: Duration = Duration::from_secs(3);
 /// How often a claim is renewed.
-const RENEW: Duration = Duration::from_millis(900);
+const RENEW_INTERVAL: Duration = Duration::from_millis(900);
 /// The wait after the store has failed, or a try at claiming.
-const RETRY: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 /// How long a watch is trusted before the claim is read again.
-const WATCH: Duration = Duration::from_secs(10);
+const MAX_WATCH: Duration = Duration::from_secs(10);
 
 /// Follows the claim, and takes it whenever nobody has it.
 ///
 /// An entry that stops still follows it: its callers' requests move to the
 /// next planner.
 pub async fn follow(shared: Arc<Shared>) {
-    let key = key(&shared.config.cell);
+    let key = claim_key(&shared.config.cell);
     loop {
         let stopping = *shared.stopping.borrow();
         let followed = match shared.store.get(&key).await {
             Ok(Some(item)) => {
-                see(&shared, &item);
+                update_claim(&shared, &item);
                 wait_for_change(&shared, &key, item.modified + 1).await
             }
             Ok(None) if stopping => {
-                jitter(RETRY).await;
+                sleep_with_jitter(RETRY_DELAY).await;
                 Ok(())
             }
             Ok(None) => try_claim(&shared, &key).await,
             Err(error) => Err(error),
         };
         if followed.is_err() {
-            jitter(RETRY).await;
+            sleep_with_jitter(RETRY_DELAY).await;
         }
     }
 }
 
-fn key(cell: &str) -> String {
+fn claim_key(cell: &str) -> String {
     format!("/landingvalve/claim/{cell}")
 }
 
-fn see(shared: &Shared, item: &store::Item) {
+fn update_claim(shared: &Shared, item: &store::Item) {
     let claim: Option<Claim> = serde_json::from_slice(&item.value).ok();
     shared.claim.send_if_modified(|seen| {
         let changed = *seen != claim;
@@ -78,7 +78,7 @@
     from: store::Revision,
 ) -> Result<(), store::Error> {
     let mut watch = shared.store.watch(key, from).await?;
-    let deadline = Instant::now() + WATCH;
+    let deadline = Instant::now() + MAX_WATCH;
     loop {
         let changes = tokio::time::timeout_at(deadline, watch.next());
         match changes.await {
@@ -93,23 +93,23 @@
     shared: &Arc<Shared>,
     key: &str,
 ) -> Result<(), store::Error> {
-    let lease = shared.store.grant(LEASE).await?;
+    let lease = shared.store.grant(CLAIM_LEASE).await?;
     let claim = Claim {
         address: shared.address.clone(),
         nonce: uuid::Uuid::new_v4().simple().to_string(),
     };
-    let Some(epoch) = write(shared, key, &claim, lease).await? else {
+    let Some(epoch) = write_claim(shared, key, &claim, lease).await? else {
         return shared.store.revoke(lease).await;
     };
     slog::info!(shared.config.log, "entry: has claimed the cell";
         "cell" => &shared.config.cell, "epoch" => epoch);
     shared.claim.send_replace(Some(claim));
-    host(shared, key, epoch, lease).await;
+    host_planner(shared, key, epoch, lease).await;
     Ok(())
 }
 
 /// Writes the claim if nobody has it; returns its epoch if it is ours.
-async fn write(
+async fn write_claim(
     shared: &Shared,
     key: &str,
     claim: &Claim,
@@ -138,7 +138,12 @@
 
 /// Hosts the planner until it steps down, the claim is lost to another, or
 /// the entry is to stop.
-async fn host(shared: &Arc<Shared>, key: &str, epoch: Epoch, lease: LeaseId) {
+async fn host_planner(
+    shared: &Arc<Shared>,
+    key: &str,
+    epoch: Epoch,
+    lease: LeaseId,
+) {
     let config = planner::Config {
         cell: shared.config.cell.clone(),
         claim: key.to_owned(),
@@ -161,11 +166,11 @@
     };
     shared.planner.send_replace(Some(planner.clone()));
     // What changed while the planner was being started.
-    refresh(shared, &planner);
+    send_current_inputs(shared, &planner);
     let mut stopping = shared.stopping.subscribe();
     tokio::select! {
         _ = &mut ended => {}
-        _ = keep(shared, lease) => {}
+        _ = renew_until_lapsed(shared, lease) => {}
         _ = stopping.wait_for(|stopping| *stopping) => {}
     }
     planner.stop(None);
@@ -175,7 +180,7 @@
         "epoch" => epoch);
 }
 
-fn refresh(shared: &Shared, planner: &ActorRef<Message>) {
+fn send_current_inputs(shared: &Shared, planner: &ActorRef<Message>) {
     let vms = shared.vms.borrow().clone();
     let document = shared.document.borrow().clone();
     let _ = planner.cast(Message::Vms(vms));
@@ -184,9 +189,9 @@
 
 /// Renews the lease; returns once the store says that it has lapsed. While
 /// the store does not answer, nobody else can claim either.
-async fn keep(shared: &Shared, lease: LeaseId) {
+async fn renew_until_lapsed(shared: &Shared, lease: LeaseId) {
     loop {
-        tokio::time::sleep(RENEW).await;
+        tokio::time::sleep(RENEW_INTERVAL).await;
         if let Ok(false) = shared.store.keep_alive(lease).await {
             return;
         }
--- a/src/entry/configuration.rs
+++ b/src/entry/configuration.rs
@@ -17,15 +17,15 @@
 use crate::wire::link;
 
 /// The wait after the store or a watch has failed.
-const RETRY: Duration = Duration::from_millis(800);
+const RETRY_DELAY: Duration = Duration::from_millis(800);
 
 /// Follows the configuration for as long as the entry runs.
 pub async fn follow(shared: Arc<Shared>) {
     loop {
         if follow_store(&shared).await.is_err() {
-            ask_peers(&shared).await;
+            read_from_peers(&shared).await;
         }
-        crate::entry::jitter(RETRY).await;
+        crate::entry::sleep_with_jitter(RETRY_DELAY).await;
     }
 }
 
@@ -33,7 +33,7 @@
 async fn follow_store(shared: &Shared) -> Result<(), store::Error> {
     let listing = shared.store.list(config::PREFIX, 0).await?;
     let document = Document::read(&listing.items);
-    accept(shared, document);
+    apply_if_newer(shared, document);
     let from = listing.revision + 1;
     let mut watch = shared.store.watch(config::PREFIX, from).await?;
     loop {
@@ -45,12 +45,12 @@
         for change in &changes {
             document.apply(change);
         }
-        accept(shared, document);
+        apply_if_newer(shared, document);
     }
 }
 
 /// Takes the highest revision that any peer has.
-async fn ask_peers(shared: &Shared) {
+async fn read_from_peers(shared: &Shared) {
     let peers: Vec<String> = shared
         .vms
         .borrow()
@@ -67,13 +67,13 @@
         let answer =
             link::with_timeout(&address, link::CALL_TIMEOUT, call).await;
         if let Ok(document) = answer {
-            accept(shared, document);
+            apply_if_newer(shared, document);
         }
     }
 }
 
 /// Puts a configuration in force, unless a later one is.
-pub fn accept(shared: &Shared, document: Document) {
+pub fn apply_if_newer(shared: &Shared, document: Document) {
     let document = Arc::new(document);
     let newer = shared.document.send_if_modified(|current| {
         let newer = document.revision > current.revision;
@@ -89,12 +89,12 @@
 }
 
 /// Keeps the plan that requests are checked against up to date.
-pub async fn check(shared: Arc<Shared>) {
+pub async fn follow_nominal_plan(shared: Arc<Shared>) {
     let mut documents = shared.document.subscribe();
     let mut vms = shared.vms.subscribe();
     loop {
-        let plan = nominal(&shared);
-        shared.nominal.send_replace(Arc::new(plan));
+        let plan = nominal_plan(&shared);
+        shared.nominal_plan.send_replace(Arc::new(plan));
         tokio::select! {
             changed = documents.changed() => if changed.is_err() { return },
             changed = vms.changed() => if changed.is_err() { return },
@@ -104,10 +104,10 @@
 
 /// Returns the site of the VMs listed now.
 pub fn site(shared: &Shared) -> Site {
-    nominal(shared).state().site.clone()
+    nominal_plan(shared).state().site.clone()
 }
 
-fn nominal(shared: &Shared) -> Plan {
+fn nominal_plan(shared: &Shared) -> Plan {
     let accelerators = shared.config.accelerators;
     let site = Site::new(accelerators)
         .unwrap_or_else(|_| Site::new(1).expect("1 is in range"));
--- a/src/entry/edits.rs
+++ b/src/entry/edits.rs
@@ -23,7 +23,7 @@
 
 /// How often an edit is tried again when it lost a race that does not
 /// concern its item, or its answer was lost.
-const TRIES: usize = 5;
+const MAX_ATTEMPTS: usize = 5;
 
 /// What an item is to become.
 #[derive(Clone, Debug, PartialEq)]
@@ -33,7 +33,7 @@
     /// A template.
     Template(Template),
     /// Nothing: the item goes.
-    Gone,
+    Deleted,
 }
 
 /// An edit of one item.
@@ -44,9 +44,9 @@
     /// What it is to become.
     pub value: Value,
     /// The revision that it was made on; 0 for a new item.
-    pub on: Revision,
+    pub base_revision: Revision,
     /// The edit's name: made again, it is the same edit.
-    pub edit: EditId,
+    pub id: EditId,
 }
 
 /// An edit that was not made.
@@ -90,7 +90,7 @@
         (Name::Template(id), Value::Template(template)) => {
             config::check_template(id, template, &site)
         }
-        (_, Value::Gone) => Vec::new(),
+        (_, Value::Deleted) => Vec::new(),
         (_, _) => vec![Problem::new("value", &"another kind", "its kind")],
     }
 }
@@ -101,10 +101,10 @@
 ///
 /// If the item is not as it should be, was changed by another edit, or the
 /// store does not answer.
-pub async fn make(shared: &Shared, edit: &Edit) -> Result<Revision, Error> {
+pub async fn apply(shared: &Shared, edit: &Edit) -> Result<Revision, Error> {
     let mut last = None;
-    for _ in 0..TRIES {
-        match attempt(shared, edit).await {
+    for _ in 0..MAX_ATTEMPTS {
+        match try_apply(shared, edit).await {
             Ok(Some(revision)) => return Ok(revision),
             // Another guarantee was changed meanwhile: check again.
             Ok(None) => last = None,
@@ -122,7 +122,7 @@
     }
 }
 
-async fn attempt(
+async fn try_apply(
     shared: &Shared,
     edit: &Edit,
 ) -> Result<Option<Revision>, Error> {
@@ -133,11 +133,11 @@
     let find = |key: &str| listing.items.iter().find(|i| i.key == key);
     let item = find(&key);
     let last = find(config::LAST);
-    if let Some(revision) = made(item, last, edit) {
+    if let Some(revision) = applied_revision(item, last, edit) {
         return Ok(Some(revision));
     }
     let revision = item.map_or(0, |item| item.modified);
-    if revision != edit.on {
+    if revision != edit.base_revision {
         let current =
             item.and_then(|item| serde_json::from_slice(&item.value).ok());
         return Err(Error::Conflict { current, revision });
@@ -146,15 +146,16 @@
     if !problems.is_empty() {
         return Err(Error::Invalid(problems));
     }
-    let mut conditions = vec![Compare::Modified(key.clone(), edit.on)];
-    let last = edit.edit.clone().into_bytes();
+    let mut conditions =
+        vec![Compare::Modified(key.clone(), edit.base_revision)];
+    let last = edit.id.clone().into_bytes();
     let last = Put::Value(config::LAST.to_owned(), last, 0);
-    let mut puts = vec![put(key, item, edit), last];
+    let mut puts = vec![item_write(key, item, edit), last];
     if matches!(edit.name, Name::Account(_)) {
         let modified = guarantees.map_or(0, |item| item.modified);
         let guarantees = config::GUARANTEES.to_owned();
         conditions.push(Compare::Modified(guarantees.clone(), modified));
-        let value = edit.edit.clone().into_bytes();
+        let value = edit.id.clone().into_bytes();
         puts.push(Put::Value(guarantees, value, 0));
     }
     match shared.store.swap(&conditions, puts).await? {
@@ -164,38 +165,38 @@
 }
 
 /// Returns the revision at which an edit was made before, if it was.
-fn made(
+fn applied_revision(
     item: Option<&store::Item>,
     last: Option<&store::Item>,
     edit: &Edit,
 ) -> Option<Revision> {
     let Some(item) = item else {
         // Of an item that is gone only the last edit of all can tell.
-        let last = last.filter(|_| edit.value == Value::Gone)?;
-        let ours = last.value == edit.edit.as_bytes();
+        let last = last.filter(|_| edit.value == Value::Deleted)?;
+        let ours = last.value == edit.id.as_bytes();
         return ours.then_some(last.modified);
     };
     let value: Item<serde_json::Value> =
         serde_json::from_slice(&item.value).ok()?;
-    let ours = value.edits.iter().any(|made| made.edit == edit.edit);
+    let ours = value.edits.iter().any(|made| made.edit == edit.id);
     ours.then_some(item.modified)
 }
 
-fn put(key: String, old: Option<&store::Item>, edit: &Edit) -> Put {
+fn item_write(key: String, old: Option<&store::Item>, edit: &Edit) -> Put {
     let at = SystemTime::now();
-    let name = edit.edit.clone();
+    let name = edit.id.clone();
     match &edit.value {
         Value::Account(account) => {
-            Put::Value(key, edited(old, account, name, at), 0)
+            Put::Value(key, edited_item(old, account, name, at), 0)
         }
         Value::Template(template) => {
-            Put::Value(key, edited(old, template, name, at), 0)
+            Put::Value(key, edited_item(old, template, name, at), 0)
         }
-        Value::Gone => Put::Delete(key),
+        Value::Deleted => Put::Delete(key),
     }
 }
 
-fn edited<T: Clone + Serialize + DeserializeOwned>(
+fn edited_item<T: Clone + Serialize + DeserializeOwned>(
     old: Option<&store::Item>,
     value: &T,
     edit: EditId,
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -16,7 +16,7 @@
 
 struct Bucket {
     tokens: f64,
-    filled: Instant,
+    refilled_at: Instant,
 }
 
 /// The use that client accounts make of this entry.
@@ -27,12 +27,12 @@
 }
 
 /// A caller's place among those who wait; given back when dropped.
-pub struct Place {
+pub struct WaitPermit {
     account: account::Id,
     waiting: Arc<Mutex<HashMap<account::Id, u32>>>,
 }
 
-impl Drop for Place {
+impl Drop for WaitPermit {
     fn drop(&mut self) {
         if let Some(count) = lock(&self.waiting).get_mut(&self.account) {
             *count = count.saturating_sub(1);
@@ -46,23 +46,23 @@
     /// # Errors
     ///
     /// If the account has used its rate up: after how long to come back.
-    pub fn request(
+    pub fn take_token(
         &self,
         id: &account::Id,
         account: &Account,
         now: Instant,
     ) -> Result<(), Duration> {
         let rate = f64::from(account.rate.max(1));
-        let most = rate * BURST_SECONDS;
+        let max_tokens = rate * BURST_SECONDS;
         let mut buckets = lock(&self.buckets);
         let bucket = buckets.entry(id.clone()).or_insert(Bucket {
-            tokens: most,
-            filled: now,
+            tokens: max_tokens,
+            refilled_at: now,
         });
-        let passed = now.saturating_duration_since(bucket.filled);
-        bucket.filled = now;
+        let passed = now.saturating_duration_since(bucket.refilled_at);
+        bucket.refilled_at = now;
         bucket.tokens += passed.as_secs_f64() * rate;
-        bucket.tokens = bucket.tokens.min(most);
+        bucket.tokens = bucket.tokens.min(max_tokens);
         match bucket.tokens >= 1.0 {
             true => {
                 bucket.tokens -= 1.0;
@@ -76,12 +76,16 @@
     }
 
     /// Returns a place for a caller who waits, if there is one.
-    pub fn wait(&self, id: &account::Id, account: &Account) -> Option<Place> {
+    pub fn acquire_wait(
+        &self,
+        id: &account::Id,
+        account: &Account,
+    ) -> Option<WaitPermit> {
         let mut waiting = lock(&self.waiting);
         let count = waiting.entry(id.clone()).or_default();
         (*count < account.waiting).then(|| {
             *count += 1;
-            Place {
+            WaitPermit {
                 account: id.clone(),
                 waiting: self.waiting.clone(),
             }
--- a/src/entry/listing.rs
+++ b/src/entry/listing.rs
@@ -8,13 +8,13 @@
 use crate::vms;
 
 /// The shortest time between two looks at the list.
-const LEAST: Duration = Duration::from_secs(1);
+const MIN_PERIOD: Duration = Duration::from_secs(1);
 /// The longest time between two looks at the list.
-const MOST: Duration = Duration::from_secs(60);
+const MAX_PERIOD: Duration = Duration::from_secs(60);
 /// How much longer the list is let be for each VM on it: at 130 bytes a VM,
 /// reading it takes some 3 KB a second, a small part of what a node may
 /// spend on control.
-const EACH: Duration = Duration::from_millis(60);
+const PERIOD_PER_VM: Duration = Duration::from_millis(60);
 
 /// Looks at the list again and again; while it cannot be had, what was
 /// last seen stands.
@@ -32,12 +32,12 @@
             }
         }
         let length = shared.vms.borrow().len() as u32;
-        crate::entry::jitter(period(length)).await;
+        crate::entry::sleep_with_jitter(period(length)).await;
     }
 }
 
 /// Returns how long a list of so many VMs is let be. That a worker leaves
 /// is learned from its agent at once; the list is for when it cannot say.
 fn period(length: u32) -> Duration {
-    (EACH * length).clamp(LEAST, MOST)
+    (PERIOD_PER_VM * length).clamp(MIN_PERIOD, MAX_PERIOD)
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -5,7 +5,6 @@
 //! [`claim`] hosts it, [`configuration`] and [`listing`] follow the store
 //! and the platform's list, and [`serve`] answers other entries.
 
-pub mod answers;
 pub mod callers;
 pub mod claim;
 pub mod configuration;
@@ -13,6 +12,7 @@
 pub mod limits;
 pub mod listing;
 pub mod operators;
+pub mod responses;
 pub mod router;
 pub mod serve;
 
@@ -102,7 +102,7 @@
     /// The VMs, as last listed.
     pub vms: watch::Sender<Vec<Vm>>,
     /// A plan of the site without jobs, to check requests against.
-    pub nominal: watch::Sender<Arc<Plan>>,
+    pub nominal_plan: watch::Sender<Arc<Plan>>,
     /// The planner, while it is hosted here.
     pub planner: watch::Sender<Option<ActorRef<planner::actor::Message>>>,
     /// The claim, as last seen.
@@ -132,21 +132,21 @@
     pub async fn start(config: Config) -> Result<Entry, Error> {
         let http = http::Client::new();
         let site = crate::site::Site::new(config.accelerators)?;
-        let nominal = Arc::new(Plan::new(site, config.policy.clone()));
+        let nominal_plan = Arc::new(Plan::new(site, config.policy.clone()));
         let listener = jsonrpsee::server::Server::builder()
             .set_config(crate::agent::server_config())
             .build(config.peers)
             .await
-            .map_err(|source| listen(config.peers, source))?;
+            .map_err(|source| listen_error(config.peers, source))?;
         let address = listener
             .local_addr()
-            .map_err(|source| listen(config.peers, source))?;
+            .map_err(|source| listen_error(config.peers, source))?;
         let shared = Arc::new(Shared {
             address: address.to_string(),
             store: store::Client::new(http.clone(), &config.store),
             document: watch::channel(Arc::default()).0,
             vms: watch::channel(Vec::new()).0,
-            nominal: watch::channel(nominal).0,
+            nominal_plan: watch::channel(nominal_plan).0,
             planner: watch::channel(None).0,
             claim: watch::channel(None).0,
             pool: link::Pool::new(),
@@ -158,18 +158,18 @@
             shared: shared.clone(),
         };
         let peers = listener.start(methods.into_rpc());
-        let wanted = shared.config.callers;
-        let front = Arc::new(callers::Front {
+        let callers_address = shared.config.callers;
+        let api = Arc::new(callers::CallerApi {
             shared: shared.clone(),
         });
-        let callers = http::Server::start(wanted, front)
+        let callers = http::Server::start(callers_address, api)
             .await
-            .map_err(|source| listen(wanted, source))?;
+            .map_err(|source| listen_error(callers_address, source))?;
         let list = vms::Client::new(http, &shared.config.vms);
         let tasks = vec![
             tokio::spawn(listing::follow(shared.clone(), list)),
             tokio::spawn(configuration::follow(shared.clone())),
-            tokio::spawn(configuration::check(shared.clone())),
+            tokio::spawn(configuration::follow_nominal_plan(shared.clone())),
             tokio::spawn(claim::follow(shared.clone())),
         ];
         Ok(Entry {
@@ -229,14 +229,14 @@
     }
 }
 
-fn listen(address: SocketAddr, source: std::io::Error) -> Error {
+fn listen_error(address: SocketAddr, source: std::io::Error) -> Error {
     Error::Listen { address, source }
 }
 
-/// Waits between half and all of `most`, so that processes that failed
+/// Waits between half and all of `max`, so that processes that failed
 /// together do not come back together.
-pub(crate) async fn jitter(most: Duration) {
-    let most = most.as_millis() as u64;
-    let wait = fastrand::u64(most / 2..=most);
+pub(crate) async fn sleep_with_jitter(max: Duration) {
+    let max = max.as_millis() as u64;
+    let wait = fastrand::u64(max / 2..=max);
     tokio::time::sleep(Duration::from_millis(wait)).await;
 }
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -14,11 +14,11 @@
 use crate::config::Account;
 use crate::config::Name;
 use crate::config::Template;
-use crate::entry::answers;
 use crate::entry::callers;
 use crate::entry::edits;
 use crate::entry::edits::Edit;
 use crate::entry::edits::Value;
+use crate::entry::responses;
 use crate::entry::router;
 use crate::entry::Shared;
 use crate::http;
@@ -30,14 +30,14 @@
 use crate::wire::link;
 
 /// The largest body of a request.
-const MAX_BODY: usize = 900 * 1024;
+const MAX_BODY_BYTES: usize = 900 * 1024;
 /// How long the planner may take to describe its cell.
-const CALL: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// An edit as an operator sends it.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Asked {
+struct EditRequest {
     value: Json,
     #[serde(default)]
     revision: Revision,
@@ -75,12 +75,12 @@
 ) -> http::Response {
     let known = matches!(parts, ["v1", "config" | "status", ..]);
     if !known {
-        return answers::refuse(StatusCode::NOT_FOUND, "no such path");
+        return responses::failure(StatusCode::NOT_FOUND, "no such path");
     }
-    let shown = callers::bearer(&request).unwrap_or_default();
-    let shown = digest::of(shown.as_bytes());
-    if !digest::equal(&shown, &shared.config.operator) {
-        return answers::refuse(
+    let token = callers::bearer_token(&request).unwrap_or_default();
+    let token = digest::of(token.as_bytes());
+    if !digest::equal(&token, &shared.config.operator) {
+        return responses::failure(
             StatusCode::UNAUTHORIZED,
             "authorization: the operators' token is expected",
         );
@@ -94,10 +94,10 @@
             http::json(StatusCode::OK, &*document)
         }
         (Method::GET, ["v1", "config", "accounts", id]) => {
-            found(document.accounts.get(*id))
+            item_response(document.accounts.get(*id))
         }
         (Method::GET, ["v1", "config", "templates", id]) => {
-            found(document.templates.get(*id))
+            item_response(document.templates.get(*id))
         }
         (Method::PUT, ["v1", "config", kind, id]) => {
             edit(shared, request, kind, id, false).await
@@ -108,14 +108,14 @@
         (Method::DELETE, ["v1", "config", kind, id]) => {
             edit(shared, request, kind, id, false).await
         }
-        _ => answers::refuse(StatusCode::NOT_FOUND, "no such path"),
+        _ => responses::failure(StatusCode::NOT_FOUND, "no such path"),
     }
 }
 
-fn found(item: Option<&impl Serialize>) -> http::Response {
+fn item_response(item: Option<&impl Serialize>) -> http::Response {
     match item {
         Some(item) => http::json(StatusCode::OK, item),
-        None => answers::refuse(StatusCode::NOT_FOUND, "no such item"),
+        None => responses::failure(StatusCode::NOT_FOUND, "no such item"),
     }
 }
 
@@ -126,26 +126,26 @@
     id: &str,
     check: bool,
 ) -> http::Response {
-    let gone = request.method() == Method::DELETE;
-    let body = match http::read(request, MAX_BODY).await {
+    let is_deleted = request.method() == Method::DELETE;
+    let body = match http::read(request, MAX_BODY_BYTES).await {
         Ok(body) => body,
         Err(error) => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
-            return answers::refuse(status, error.to_string());
+            return responses::failure(status, error.to_string());
         }
     };
-    let asked: Asked = match serde_json::from_slice(&body) {
-        Ok(asked) => asked,
+    let request_body: EditRequest = match serde_json::from_slice(&body) {
+        Ok(request_body) => request_body,
         Err(error) => {
             let status = StatusCode::BAD_REQUEST;
-            return answers::refuse(status, format!("body: {error}"));
+            return responses::failure(status, format!("body: {error}"));
         }
     };
-    let edit = match parse(asked, kind, id, gone) {
+    let edit = match parse(request_body, kind, id, is_deleted) {
         Ok(edit) => edit,
         Err(error) => {
             let status = StatusCode::UNPROCESSABLE_ENTITY;
-            return answers::refuse(status, error);
+            return responses::failure(status, error);
         }
     };
     if check {
@@ -153,81 +153,83 @@
         let problems = edits::check(shared, &document, &edit);
         return match problems.is_empty() {
             true => http::json(StatusCode::OK, &json!({"problems": []})),
-            false => answers::invalid(problems),
+            false => responses::invalid_fields(problems),
         };
     }
-    make(shared, &edit).await
+    apply_edit(shared, &edit).await
 }
 
-async fn make(shared: &Arc<Shared>, edit: &Edit) -> http::Response {
-    match edits::make(shared, edit).await {
+async fn apply_edit(shared: &Arc<Shared>, edit: &Edit) -> http::Response {
+    match edits::apply(shared, edit).await {
         Ok(revision) => {
             slog::info!(shared.config.log, "entry: accepted an edit";
-                "edit" => &edit.edit, "item" => edit.name.key(),
+                "edit" => &edit.id, "item" => edit.name.key(),
                 "revision" => revision);
-            let answer = json!({"revision": revision, "edit": edit.edit});
+            let answer = json!({"revision": revision, "edit": edit.id});
             http::json(StatusCode::OK, &answer)
         }
-        Err(edits::Error::Invalid(problems)) => answers::invalid(problems),
+        Err(edits::Error::Invalid(problems)) => {
+            responses::invalid_fields(problems)
+        }
         Err(edits::Error::Conflict { current, revision }) => {
             let answer = json!({
                 "error": format!("revision: {}, expected {revision}, \
-                    since another edit came before", edit.on),
+                    since another edit came before", edit.base_revision),
                 "current": current, "revision": revision});
             http::json(StatusCode::CONFLICT, &answer)
         }
         Err(edits::Error::Store(error)) => {
             let text = format!(
                 "{error}; make the edit again under the same name: {}",
-                edit.edit
+                edit.id
             );
-            answers::refuse(StatusCode::SERVICE_UNAVAILABLE, text)
+            responses::failure(StatusCode::SERVICE_UNAVAILABLE, text)
         }
     }
 }
 
 fn parse(
-    asked: Asked,
+    request_body: EditRequest,
     kind: &str,
-    id: &str,
-    gone: bool,
+    item: &str,
+    is_deleted: bool,
 ) -> Result<Edit, String> {
     let name = match kind {
-        "accounts" => Name::Account(id.into()),
-        "templates" => Name::Template(id.into()),
+        "accounts" => Name::Account(item.into()),
+        "templates" => Name::Template(item.into()),
         _ => {
             return Err(format!(
                 "kind: {kind:?}, expected accounts or templates"
             ))
         }
     };
-    let wrong = |error: serde_json::Error| format!("value: {error}");
+    let invalid = |error: serde_json::Error| format!("value: {error}");
     let value = match &name {
-        _ if gone => Value::Gone,
+        _ if is_deleted => Value::Deleted,
         Name::Account(_) => {
             let account: Account =
-                serde_json::from_value(asked.value).map_err(wrong)?;
+                serde_json::from_value(request_body.value).map_err(invalid)?;
             Value::Account(account)
         }
         Name::Template(_) => {
             let template: Template =
-                serde_json::from_value(asked.value).map_err(wrong)?;
+                serde_json::from_value(request_body.value).map_err(invalid)?;
             Value::Template(template)
         }
     };
-    let edit = asked
+    let id = request_body
         .edit
         .unwrap_or_else(|| uuid::Uuid::new_v4().simple().to_string());
     Ok(Edit {
         name,
         value,
-        on: asked.revision,
-        edit,
+        base_revision: request_body.revision,
+        id,
     })
 }
 
 async fn view(shared: &Arc<Shared>) -> View {
-    let deadline = tokio::time::Instant::now() + CALL;
+    let deadline = tokio::time::Instant::now() + CALL_TIMEOUT;
     let cell = router::cell(shared, deadline);
     let addresses: Vec<String> = shared
         .vms
@@ -240,9 +242,9 @@
         let revision = match shared.pool.get(&address).await {
             Ok(client) => {
                 let call = client.configuration();
-                let asked =
+                let answer =
                     link::with_timeout(&address, link::CALL_TIMEOUT, call);
-                asked.await.ok().map(|document| document.revision)
+                answer.await.ok().map(|document| document.revision)
             }
             Err(_) => None,
         };
--- a/src/entry/answers.rs
+++ b/src/entry/responses.rs
@@ -19,7 +19,7 @@
 
 /// An answer that is not what the caller wanted.
 #[derive(Debug, Serialize)]
-pub struct Problems {
+pub struct ErrorBody {
     /// What happened, in words.
     pub error: String,
     /// The fields that are not as they should be.
@@ -28,7 +28,7 @@
 }
 
 /// Returns what there is to say of a job by its record alone.
-pub fn status_of(record: &Record) -> Status {
+pub fn status_from_record(record: &Record) -> Status {
     let end = record.end.clone();
     let stage = match end {
         Some(_) => Stage::Ended,
@@ -47,15 +47,15 @@
 }
 
 /// Returns a job's status, named in the headers too.
-pub fn shown(code: StatusCode, status: &Status) -> http::Response {
+pub fn job_status(code: StatusCode, status: &Status) -> http::Response {
     let mut response = http::json(code, status);
-    name(&mut response, status);
+    set_job_headers(&mut response, status);
     response
 }
 
 /// Names the job, the start, the length and the digest in the headers, so
 /// that an answer can be told from another's.
-pub fn name(response: &mut http::Response, status: &Status) {
+pub fn set_job_headers(response: &mut http::Response, status: &Status) {
     let mut put = |name: &'static str, value: String| {
         if let Ok(value) = HeaderValue::from_str(&value) {
             response.headers_mut().insert(name, value);
@@ -70,21 +70,24 @@
 }
 
 /// Returns a refusal in words.
-pub fn refuse(status: StatusCode, error: impl Into<String>) -> http::Response {
+pub fn failure(
+    status: StatusCode,
+    error: impl Into<String>,
+) -> http::Response {
     let error = error.into();
     let label = KeyValue::new("status", i64::from(status.as_u16()));
     metrics::get().refused.add(1, &[label]);
     let problems = Vec::new();
-    http::json(status, &Problems { error, problems })
+    http::json(status, &ErrorBody { error, problems })
 }
 
 /// Returns a refusal that says when to come back.
-pub fn later(
+pub fn retry_later(
     status: StatusCode,
     error: impl Into<String>,
     wait: Duration,
 ) -> http::Response {
-    let mut response = refuse(status, error);
+    let mut response = failure(status, error);
     let seconds = wait.as_secs_f64().ceil().max(1.0) as u64;
     response
         .headers_mut()
@@ -93,35 +96,35 @@
 }
 
 /// Returns a refusal that names fields.
-pub fn invalid(problems: Vec<Problem>) -> http::Response {
+pub fn invalid_fields(problems: Vec<Problem>) -> http::Response {
     let error = problems
         .iter()
         .map(Problem::to_string)
         .collect::<Vec<_>>()
         .join("; ");
     let status = StatusCode::UNPROCESSABLE_ENTITY;
-    http::json(status, &Problems { error, problems })
+    http::json(status, &ErrorBody { error, problems })
 }
 
 /// Returns that the request id belongs to another request.
 pub fn conflict() -> http::Response {
-    refuse(StatusCode::CONFLICT, Refusal::Conflict.to_string())
+    failure(StatusCode::CONFLICT, Refusal::Conflict.to_string())
 }
 
 /// Returns what a planner's refusal is to a caller.
-pub fn refused(refusal: &Refusal) -> http::Response {
+pub fn from_refusal(refusal: &Refusal) -> http::Response {
     let text = refusal.to_string();
-    let soon = Duration::from_secs(2);
+    let retry_after = Duration::from_secs(2);
     match refusal {
         Refusal::Conflict => conflict(),
-        Refusal::UnknownJob => refuse(StatusCode::NOT_FOUND, text),
+        Refusal::UnknownJob => failure(StatusCode::NOT_FOUND, text),
         Refusal::QueueFull { .. } => {
-            later(StatusCode::TOO_MANY_REQUESTS, text, soon)
+            retry_later(StatusCode::TOO_MANY_REQUESTS, text, retry_after)
         }
         Refusal::NotPlanner
         | Refusal::TakingOver
         | Refusal::StoreUnavailable => {
-            later(StatusCode::SERVICE_UNAVAILABLE, text, soon)
+            retry_later(StatusCode::SERVICE_UNAVAILABLE, text, retry_after)
         }
     }
 }
--- a/src/entry/router.rs
+++ b/src/entry/router.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::account;
-use crate::entry::jitter;
+use crate::entry::sleep_with_jitter;
 use crate::entry::Shared;
 use crate::job;
 use crate::planner::actor::Message;
@@ -22,20 +22,20 @@
 use crate::wire::link;
 
 /// The wait between two tries to reach the planner.
-const RETRY: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// How long a planner may take over a call that waits for nothing.
-const CALL: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Asks the planner hosted here.
 ///
 /// # Errors
 ///
 /// As the planner refuses; [`Refusal::NotPlanner`] if there is none.
-pub async fn ask_here<T: Send + 'static>(
+pub async fn ask_local<T: Send + 'static>(
     shared: &Shared,
     message: impl FnOnce(RpcReplyPort<Result<T, Refusal>>) -> Message,
 ) -> Result<T, Refusal> {
-    let planner = here(shared).ok_or(Refusal::NotPlanner)?;
+    let planner = local_planner(shared).ok_or(Refusal::NotPlanner)?;
     match planner.call(message, None).await {
         Ok(ractor::rpc::CallResult::Success(answer)) => answer,
         _ => Err(Refusal::NotPlanner),
@@ -47,42 +47,42 @@
 /// # Errors
 ///
 /// [`Refusal::NotPlanner`] if there is none.
-pub async fn query_here<T: Send + 'static>(
+pub async fn query_local<T: Send + 'static>(
     shared: &Shared,
     message: impl FnOnce(RpcReplyPort<T>) -> Message,
 ) -> Result<T, Refusal> {
-    let planner = here(shared).ok_or(Refusal::NotPlanner)?;
+    let planner = local_planner(shared).ok_or(Refusal::NotPlanner)?;
     match planner.call(message, None).await {
         Ok(ractor::rpc::CallResult::Success(answer)) => Ok(answer),
         _ => Err(Refusal::NotPlanner),
     }
 }
 
-fn here(shared: &Shared) -> Option<ActorRef<Message>> {
+fn local_planner(shared: &Shared) -> Option<ActorRef<Message>> {
     shared.planner.borrow().clone()
 }
 
 /// Where to ask: here, or at another entry.
-enum Host {
-    Here,
-    There(String, Arc<jsonrpsee::ws_client::WsClient>),
+enum Location {
+    Local,
+    Remote(String, Arc<jsonrpsee::ws_client::WsClient>),
 }
 
-async fn host(shared: &Shared) -> Option<Host> {
-    if here(shared).is_some() {
-        return Some(Host::Here);
+async fn locate_planner(shared: &Shared) -> Option<Location> {
+    if local_planner(shared).is_some() {
+        return Some(Location::Local);
     }
     let address = shared.claim.borrow().as_ref()?.address.clone();
     if address == shared.address {
         return None;
     }
     let client = shared.pool.get(&address).await.ok()?;
-    Some(Host::There(address, client))
+    Some(Location::Remote(address, client))
 }
 
 /// Asks until the planner answers or the deadline passes. All that is
 /// asked this way may be asked twice.
-async fn persist<T, F>(
+async fn retry_until<T, F>(
     deadline: Instant,
     mut ask: impl FnMut() -> F,
 ) -> Result<T, Refusal>
@@ -96,17 +96,17 @@
         };
         match answer {
             Err(refusal @ (Refusal::NotPlanner | Refusal::TakingOver)) => {
-                if Instant::now() + RETRY >= deadline {
+                if Instant::now() + RETRY_DELAY >= deadline {
                     return Err(refusal);
                 }
-                jitter(RETRY).await;
+                sleep_with_jitter(RETRY_DELAY).await;
             }
             answer => return answer,
         }
     }
 }
 
-async fn there<T>(
+async fn call_remote<T>(
     shared: &Shared,
     address: &str,
     limit: Duration,
@@ -133,15 +133,21 @@
     admit: Admit,
     deadline: Instant,
 ) -> Result<Status, Refusal> {
-    persist(deadline, || async {
+    retry_until(deadline, || async {
         let admit = admit.clone();
-        match host(shared).await {
-            Some(Host::Here) => {
+        match locate_planner(shared).await {
+            Some(Location::Local) => {
                 let ask = |reply| Message::Admit(Box::new(admit), reply);
-                ask_here(shared, ask).await
+                ask_local(shared, ask).await
             }
-            Some(Host::There(address, client)) => {
-                there(shared, &address, CALL, client.admit(admit)).await
+            Some(Location::Remote(address, client)) => {
+                call_remote(
+                    shared,
+                    &address,
+                    CALL_TIMEOUT,
+                    client.admit(admit),
+                )
+                .await
             }
             None => Err(Refusal::NotPlanner),
         }
@@ -159,15 +165,15 @@
     wait: Query,
     deadline: Instant,
 ) -> Result<Status, Refusal> {
-    let limit = CALL + Duration::from_millis(wait.timeout_ms);
-    persist(deadline, || async {
+    let limit = CALL_TIMEOUT + Duration::from_millis(wait.timeout_ms);
+    retry_until(deadline, || async {
         let wait = wait.clone();
-        match host(shared).await {
-            Some(Host::Here) => {
-                ask_here(shared, |reply| Message::Status(wait, reply)).await
+        match locate_planner(shared).await {
+            Some(Location::Local) => {
+                ask_local(shared, |reply| Message::Status(wait, reply)).await
             }
-            Some(Host::There(address, client)) => {
-                there(shared, &address, limit, client.status(wait)).await
+            Some(Location::Remote(address, client)) => {
+                call_remote(shared, &address, limit, client.status(wait)).await
             }
             None => Err(Refusal::NotPlanner),
         }
@@ -185,14 +191,15 @@
     job: job::Id,
     deadline: Instant,
 ) -> Result<Status, Refusal> {
-    persist(deadline, || async {
+    retry_until(deadline, || async {
         let job = job.clone();
-        match host(shared).await {
-            Some(Host::Here) => {
-                ask_here(shared, |reply| Message::Cancel(job, reply)).await
+        match locate_planner(shared).await {
+            Some(Location::Local) => {
+                ask_local(shared, |reply| Message::Cancel(job, reply)).await
             }
-            Some(Host::There(address, client)) => {
-                there(shared, &address, CALL, client.cancel(job)).await
+            Some(Location::Remote(address, client)) => {
+                call_remote(shared, &address, CALL_TIMEOUT, client.cancel(job))
+                    .await
             }
             None => Err(Refusal::NotPlanner),
         }
@@ -210,15 +217,21 @@
     account: Option<account::Id>,
     deadline: Instant,
 ) -> Result<Vec<Status>, Refusal> {
-    persist(deadline, || async {
+    retry_until(deadline, || async {
         let account = account.clone();
-        match host(shared).await {
-            Some(Host::Here) => {
+        match locate_planner(shared).await {
+            Some(Location::Local) => {
                 let ask = |reply| Message::List(account, reply);
-                query_here(shared, ask).await
+                query_local(shared, ask).await
             }
-            Some(Host::There(address, client)) => {
-                there(shared, &address, CALL, client.list(account)).await
+            Some(Location::Remote(address, client)) => {
+                call_remote(
+                    shared,
+                    &address,
+                    CALL_TIMEOUT,
+                    client.list(account),
+                )
+                .await
             }
             None => Err(Refusal::NotPlanner),
         }
@@ -235,11 +248,12 @@
     shared: &Shared,
     deadline: Instant,
 ) -> Result<CellView, Refusal> {
-    persist(deadline, || async {
-        match host(shared).await {
-            Some(Host::Here) => query_here(shared, Message::Cell).await,
-            Some(Host::There(address, client)) => {
-                there(shared, &address, CALL, client.cell()).await
+    retry_until(deadline, || async {
+        match locate_planner(shared).await {
+            Some(Location::Local) => query_local(shared, Message::Cell).await,
+            Some(Location::Remote(address, client)) => {
+                call_remote(shared, &address, CALL_TIMEOUT, client.cell())
+                    .await
             }
             None => Err(Refusal::NotPlanner),
         }
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -28,12 +28,12 @@
 impl EntryServer for Methods {
     async fn admit(&self, admit: Admit) -> RpcResult<Result<Status, Refusal>> {
         let ask = |reply| Message::Admit(Box::new(admit), reply);
-        Ok(router::ask_here(&self.shared, ask).await)
+        Ok(router::ask_local(&self.shared, ask).await)
     }
 
     async fn status(&self, wait: Query) -> RpcResult<Result<Status, Refusal>> {
         let ask = |reply| Message::Status(wait, reply);
-        Ok(router::ask_here(&self.shared, ask).await)
+        Ok(router::ask_local(&self.shared, ask).await)
     }
 
     async fn cancel(
@@ -41,7 +41,7 @@
         job: job::Id,
     ) -> RpcResult<Result<Status, Refusal>> {
         let ask = |reply| Message::Cancel(job, reply);
-        Ok(router::ask_here(&self.shared, ask).await)
+        Ok(router::ask_local(&self.shared, ask).await)
     }
 
     async fn list(
@@ -49,11 +49,11 @@
         account: Option<account::Id>,
     ) -> RpcResult<Result<Vec<Status>, Refusal>> {
         let ask = |reply| Message::List(account, reply);
-        Ok(router::query_here(&self.shared, ask).await)
+        Ok(router::query_local(&self.shared, ask).await)
     }
 
     async fn cell(&self) -> RpcResult<Result<CellView, Refusal>> {
-        Ok(router::query_here(&self.shared, Message::Cell).await)
+        Ok(router::query_local(&self.shared, Message::Cell).await)
     }
 
     async fn configuration(&self) -> RpcResult<Document> {
