--- a/src/agent/actor.rs
+++ b/src/agent/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the ledger and carries out its effects.
+//! The actor that owns the ledger and executes its effects.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -38,20 +38,22 @@
 use crate::wire::gang::Gang;
 use crate::wire::link;
 
-/// How often the ledger looks at its deadlines.
+/// The interval at which the ledger checks its deadlines.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
-/// How often the endpoint is asked for its tasks.
+/// The interval at which the endpoint is polled for the state of tasks.
 const POLL_INTERVAL: Duration = Duration::from_millis(150);
-/// How often it is asked while a task is young: short ones end soon.
+/// The interval of polls while a task is young, so that the end of a short
+/// task is noticed soon.
 const YOUNG_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Until what age a task is young.
+/// The age below which a task is young.
 const YOUNG_AGE: Duration = Duration::from_secs(1);
-/// The entries that changed, and whether the worker is all there.
+
+/// The changes of the ledger and the state of the worker.
 #[derive(Clone, Debug)]
 pub struct LedgerView {
     /// The number of the last change.
     pub sequence: Sequence,
-    /// Whether the worker is leaving.
+    /// Whether the worker is leaving and accepts no new work.
     pub leaving: bool,
     /// Whether the endpoint has stopped answering.
     pub endpoint_lost: bool,
@@ -59,15 +61,16 @@
     pub entries: Vec<Entry>,
 }
 
-/// What the keeper is told and asked.
+/// A message to the ledger's actor.
 pub enum Message {
-    /// A planner asks to keep accelerators.
+    /// A planner asks to hold accelerators.
     Hold(Box<Hold>, RpcReplyPort<Reply>),
-    /// A planner asks the lead to decide.
+    /// A planner asks this lead to decide that a gang runs.
     Launch(Launch, RpcReplyPort<Result<Gang, Refusal>>),
-    /// A lead says to begin: the gang, if the endpoint must be asked.
+    /// The lead asks to begin. The reply holds the gang if its task still has
+    /// to be started at the endpoint.
     Begin(gang::Id, RpcReplyPort<Result<Option<Box<Gang>>, Refusal>>),
-    /// The span of a task that is being started.
+    /// A task that is being started has this span.
     TaskSpan(gang::Id, Span),
     /// The endpoint has started a task.
     TaskBegun(gang::Id),
@@ -75,46 +78,46 @@
     TaskEnded(gang::Id, End),
     /// A member reports to this lead.
     Report(Report, RpcReplyPort<Decision>),
-    /// The lead of a gang has answered.
+    /// The lead of a gang has answered a report with its decision.
     LeadDecided(gang::Id, Decision),
     /// A planner stops a gang.
     Stop(Stop, RpcReplyPort<Reply>),
-    /// A gang is to be halted.
+    /// A gang has to halt: its lead asked, or a start failed.
     Halt(gang::Id),
-    /// Gangs may be forgotten.
+    /// A planner allows gangs to be forgotten.
     Forget(Forget, RpcReplyPort<Reply>),
-    /// How a whole gang ended, if it has.
+    /// Asks for the end of a whole gang that this worker leads.
     Outcome(gang::Id, RpcReplyPort<Option<End>>),
     /// A planner asks for changes.
     Changes(Fence, Sequence, RpcReplyPort<Result<LedgerView, Refusal>>),
-    /// The endpoint answered with the tasks that it knows.
+    /// A poll of these tasks is over; `None` if the endpoint did not answer.
     TasksPolled(Vec<TaskId>, Option<Vec<Task>>),
-    /// No new work from now on.
+    /// The worker leaves: the ledger accepts no new work.
     Leave,
-    /// Whether nothing is held or runs.
+    /// Asks whether nothing is held or runs.
     IsIdle(RpcReplyPort<bool>),
-    /// Deadlines may have passed.
+    /// The ledger checks its deadlines.
     Tick,
-    /// The endpoint is to be asked for its tasks.
+    /// The endpoint is polled.
     Poll,
 }
 
-/// What the keeper starts with.
+/// The arguments of the actor's start.
 pub struct Arguments {
     /// An empty ledger.
     pub ledger: Ledger,
     /// The endpoint.
     pub endpoint: endpoint::Client,
-    /// Where the number of the last change is shown.
+    /// The channel on which the number of the last change is published.
     pub sequence_sender: watch::Sender<Sequence>,
-    /// Where logs go.
+    /// The logger.
     pub log: slog::Logger,
 }
 
 /// The actor that owns the ledger.
 pub struct LedgerActor;
 
-/// The ledger and what its effects need.
+/// The ledger and the connections that its effects use.
 pub struct State {
     ledger: Ledger,
     endpoint: endpoint::Client,
@@ -187,7 +190,7 @@
         });
     }
 
-    /// Takes over the tasks found at the endpoint.
+    /// Adopts the tasks found at the endpoint: their notes hold their gangs.
     async fn adopt_tasks(&mut self) {
         let tasks = self.endpoint.list().await.unwrap_or_default();
         let now = Instant::now();
@@ -196,7 +199,7 @@
                 continue;
             };
             let id = gang.id.clone();
-            slog::info!(self.log, "agent: adopts task {}", task.task);
+            slog::info!(self.log, "agent: adopting task {}", task.task);
             self.ledger.adopt(gang, now);
             if let Some(end) = task::end_of(&task, self.ledger.worker()) {
                 self.ledger.record_task_end(&id, end, now);
@@ -302,8 +305,8 @@
         since: Sequence,
         now: Instant,
     ) -> Result<LedgerView, Refusal> {
-        // A planner with an older configuration may look, and learns so
-        // from what it tries next.
+        // A planner with an older configuration may read. Its next hold or
+        // launch is refused.
         let admitted = self.ledger.check_fence(fence);
         if let Err(refusal @ Refusal::StaleEpoch { .. }) = admitted {
             return Err(refusal);
@@ -341,7 +344,7 @@
         }
     }
 
-    /// Renews the leases of tasks and learns which have ended.
+    /// Renews the leases of running tasks and reads their states.
     fn poll(&mut self, myself: &ActorRef<Message>, now: Instant) {
         let tasks: Vec<TaskId> = self
             .ledger
@@ -392,7 +395,7 @@
             let name = id.to_string();
             let end = match tasks.iter().find(|task| task.task == name) {
                 Some(task) => task::end_of(task, &worker),
-                // It was asked for, and the endpoint does not know it.
+                // The endpoint was asked for the task and does not know it.
                 None if asked.contains(&name) => {
                     Some(End::new(Ending::Lost, Some(worker.clone())))
                 }
@@ -405,7 +408,8 @@
         effects
     }
 
-    /// Takes it that all tasks have stopped: their leases have lapsed.
+    /// Records that all tasks have ended: without the endpoint's answers
+    /// their leases have expired.
     fn mark_endpoint_lost(&mut self, now: Instant) -> Vec<Effect> {
         slog::warn!(self.log, "agent: the endpoint does not answer");
         self.endpoint_lost = true;
@@ -430,8 +434,9 @@
             Effect::HaltMember { address, gang } => {
                 let pool = self.pool.clone();
                 tokio::spawn(async move {
-                    // A member that is not reached learns it when it next
-                    // reports, or stops when it cannot.
+                    // A member that cannot be reached gets the decision as
+                    // the answer to its next report, or stops if it cannot
+                    // report.
                     if let Ok(client) = pool.get(&address).await {
                         let call = client.halt(gang);
                         let _ = link::with_timeout(
--- a/src/agent/lead.rs
+++ b/src/agent/lead.rs
@@ -1,4 +1,5 @@
-//! What the lead of a gang keeps: the one decision, and who was heard.
+//! The state of a gang at its lead: the decision whether the gang runs, and
+//! the last report and the end of each member.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,20 +10,20 @@
 use crate::wire::gang::Ending;
 use crate::wire::gang::Gang;
 
-/// How long after its own hold the lead may still decide to run a gang.
+/// The time after its own hold in which the lead may decide to run a gang.
 ///
-/// It is well before a member's hold ends, so that a member is asked to
-/// begin before it has to ask.
+/// The window closes well before a member's hold expires, so that members
+/// are asked to begin before they have to ask for the decision.
 pub const DECISION_WINDOW: Duration = Duration::from_secs(4);
 
-/// The lead's part of a gang.
+/// The state of a gang at its lead.
 #[derive(Clone, Debug)]
 pub struct Lead {
     decision: Option<Decision>,
     ever_ran: bool,
     decide_by: Instant,
     members: Vec<Member>,
-    /// The first end that was not a good one.
+    /// The first end of a member that was not [`Ending::Done`].
     first_failure: Option<End>,
 }
 
@@ -33,7 +34,7 @@
 }
 
 impl Lead {
-    /// Returns the part of a gang that is not decided.
+    /// Creates the state of a gang that is not decided.
     pub fn new(gang: &Gang, now: Instant) -> Lead {
         let member = Member {
             last_contact: now,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Returns the part of a gang whose task was found running.
+    /// Creates the state of a gang whose task was found running.
     pub fn adopted(gang: &Gang, now: Instant) -> Lead {
         Lead {
             decision: Some(Decision::Run),
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Decides that the gang runs, unless it was decided or is too late.
+    /// Decides that the gang runs, unless it was decided before or the
+    /// decision window has closed; returns the decision.
     pub fn decide(&mut self, now: Instant) -> Decision {
         let decision = match self.decision {
             Some(decision) => decision,
@@ -77,29 +79,30 @@
         self.ever_ran
     }
 
-    /// Returns the verdict. Who asks before there is one decides: it halts.
+    /// Returns the decision. If there is none yet, the gang is decided to
+    /// halt.
     pub fn decision_or_halt(&mut self) -> Decision {
         *self.decision.get_or_insert(Decision::Halt)
     }
 
-    /// Decides that the gang halts; returns whether that is new.
+    /// Decides that the gang halts; returns whether the decision changed.
     pub fn halt(&mut self) -> bool {
         self.decision.replace(Decision::Halt) != Some(Decision::Halt)
     }
 
-    /// Returns whether nobody has decided by the time it was due.
+    /// Returns whether the decision window closed without a decision.
     pub fn has_missed_decision(&self, now: Instant) -> bool {
         self.decision.is_none() && now > self.decide_by
     }
 
-    /// Takes in that a member was heard.
+    /// Records that a member has reported.
     pub fn record_contact(&mut self, member: usize, now: Instant) {
         if let Some(member) = self.members.get_mut(member) {
             member.last_contact = now;
         }
     }
 
-    /// Takes in that a member has ended.
+    /// Records the end of a member's task; only its first end counts.
     pub fn record_end(&mut self, member: usize, end: End) {
         let good = end.ending == Ending::Done;
         if !good && self.first_failure.is_none() {
@@ -110,8 +113,8 @@
         }
     }
 
-    /// Returns a member, other than the lead, that has not been heard for
-    /// the gang's lease.
+    /// Returns a member, other than the lead, that has neither ended nor
+    /// reported for the gang's lease. There is none before the decision.
     pub fn overdue_member(&self, now: Instant) -> Option<usize> {
         self.decision?;
         let lease = gang_lease(self.members.len());
@@ -122,7 +125,7 @@
         })
     }
 
-    /// Returns how the whole gang ended, once every member has.
+    /// Returns the end of the whole gang, once every member has ended.
     pub fn outcome(&self) -> Option<End> {
         let ends: Option<Vec<&End>> =
             self.members.iter().map(|m| m.end.as_ref()).collect();
@@ -136,7 +139,7 @@
             Some(_) if !begun => Some(End::new(Ending::NotBegun, None)),
             Some(first_failure) => Some(End {
                 ending: match first_failure.ending {
-                    // Some began and some did not: it ran in part.
+                    // Other members began: the gang ran in part.
                     Ending::NotBegun => Ending::Stopped,
                     ending => ending,
                 },
--- a/src/agent/ledger.rs
+++ b/src/agent/ledger.rs
@@ -1,16 +1,20 @@
-//! The ledger of one worker: who holds its accelerators, and who runs.
+//! The ledger of one worker: which gangs hold or use its accelerators.
 //!
-//! It has no clock and does no I/O. What it wants done it returns as
-//! [`Effect`]s. It keeps the rules that make gangs whole:
+//! The ledger has no clock and does no I/O: callers pass the time, and the
+//! ledger returns [`Effect`]s to execute. Its rules keep a gang from running
+//! with only some of its members:
 //!
-//! * A member that holds does not let go by itself: when its deadline has
-//!   passed it asks the lead, which decides once. Only if the lead cannot
-//!   be reached for the [`gang_lease`] past that does it let go: a lead that
-//!   decided to run without hearing from it has halted the gang by then.
-//! * A member that runs and cannot reach its lead for as long stops; a lead
-//!   that does not hear from a member for as long halts the gang.
+//! * A member that holds does not release its accelerators by itself. When
+//!   its deadline has passed, the member asks the lead, which decides once.
+//!   Only if the lead cannot be reached for a further [`gang_lease`] does the
+//!   member release: by then a lead that had decided to run has halted the
+//!   gang, because this member did not report.
+//! * A member that runs and cannot reach its lead for a [`gang_lease`] stops.
+//!   A lead that gets no report of a member for a [`gang_lease`] halts the
+//!   gang.
 //!
-//! So nothing that was started in part outlives that lease and two reports.
+//! So a gang that was started only in part runs for no longer than one
+//! [`gang_lease`] and two report intervals.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -36,50 +40,53 @@
 use crate::wire::gang::Gang;
 use crate::wire::Epoch;
 
-/// How long a hold stands before the lead is asked.
+/// The time that a member holds before it asks its lead for the decision.
 pub const HOLD_DURATION: Duration = Duration::from_secs(6);
-/// How long a small gang stands when its members cannot reach each other.
+/// The lease of a small gang: how long it continues while its members cannot
+/// reach each other.
 pub const MIN_GANG_LEASE: Duration = Duration::from_secs(5);
-/// How long an endpoint may take to start a task.
+/// The time limit for the endpoint to start a task.
 pub const TASK_START_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often a member of a small gang reports to its lead.
+/// The interval at which a member of a small gang reports to its lead.
 pub const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(1500);
-/// How much longer a member waits for each member of its gang: at 520 bytes
-/// a report, all of them cost the lead no more than 21 KB a second.
+/// The report interval of a large gang for each of its members: at 520 bytes
+/// a report, all reports together cost the lead at most 21 KB a second.
 const REPORT_INTERVAL_PER_MEMBER: Duration = Duration::from_millis(25);
-/// How many reports may be missed before a member counts as lost.
+/// The number of report intervals without a report after which a member of a
+/// large gang counts as lost.
 const MAX_MISSED_REPORTS: u32 = 3;
 
-/// Returns how often a member of a gang of so many reports to its lead.
+/// Returns the interval at which each member of a gang of `members` reports
+/// to the lead.
 pub fn report_interval(members: usize) -> Duration {
     MIN_REPORT_INTERVAL.max(REPORT_INTERVAL_PER_MEMBER * members as u32)
 }
 
-/// Returns how long a gang of so many stands when its members cannot reach
-/// each other.
+/// Returns the lease of a gang of `members`: how long it continues while its
+/// members cannot reach each other.
 pub fn gang_lease(members: usize) -> Duration {
     MIN_GANG_LEASE.max(report_interval(members) * MAX_MISSED_REPORTS)
 }
 
-/// Something to do.
+/// An action that the ledger asks its owner to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Start the task at the endpoint.
     StartTask(gang::Id),
     /// Stop the task at the endpoint.
     StopTask(gang::Id),
-    /// Tell the lead.
+    /// Send a report to the lead of a gang.
     ReportToLead {
-        /// Where it listens.
+        /// The address of the lead's agent.
         address: String,
-        /// What to tell.
+        /// The report to send.
         report: Report,
     },
-    /// Tell a member to stop.
+    /// Ask a member to stop its task.
     HaltMember {
-        /// Where it listens.
+        /// The address of the member's agent.
         address: String,
-        /// The gang.
+        /// The gang to stop.
         gang: gang::Id,
     },
 }
@@ -97,7 +104,7 @@
 }
 
 impl Ledger {
-    /// Returns an empty ledger of a worker with `accelerators`.
+    /// Creates the empty ledger of a worker with `accelerators`.
     ///
     /// # Errors
     ///
@@ -114,7 +121,8 @@
             revision: 0,
             leaving: false,
             slots: BTreeMap::new(),
-            // Who has seen nothing yet asks from 0, and is told at once.
+            // A planner that asks for all changes since 0 is answered at
+            // once.
             sequence: 1,
         })
     }
@@ -129,7 +137,7 @@
         self.sequence
     }
 
-    /// Returns the highest epoch and configuration seen.
+    /// Returns the highest epoch and configuration revision seen.
     pub fn fence(&self) -> Fence {
         Fence {
             epoch: self.epoch,
@@ -142,13 +150,13 @@
         self.leaving
     }
 
-    /// Lets no new work in from now on.
+    /// Marks the worker as leaving: new holds are refused.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.sequence += 1;
     }
 
-    /// Returns whether nothing is held or runs here.
+    /// Returns whether no gang holds or runs here.
     pub fn is_idle(&self) -> bool {
         self.slots
             .values()
@@ -160,7 +168,7 @@
         self.slots.get(id)
     }
 
-    /// Returns the gangs whose task runs, or is being started or stopped.
+    /// Returns the gangs whose tasks run, or are being started or stopped.
     pub fn running(&self) -> impl Iterator<Item = &Slot> {
         self.slots.values().filter(|slot| {
             matches!(
@@ -180,11 +188,12 @@
             .fold(0, |mask, slot| mask | slot.gang.members[slot.position].mask)
     }
 
-    /// Takes in a planner's authority.
+    /// Checks a request's fencing token and raises the highest one seen.
     ///
     /// # Errors
     ///
-    /// If a later planner has spoken, or a later configuration is in force.
+    /// If a request of a later planner, or under a later configuration, has
+    /// been seen.
     pub fn check_fence(&mut self, fence: Fence) -> Result<(), Refusal> {
         if fence.epoch < self.epoch {
             return Err(Refusal::StaleEpoch {
@@ -203,12 +212,13 @@
         Ok(())
     }
 
-    /// Keeps accelerators for a gang.
+    /// Holds accelerators for a gang. Repeating the request has no further
+    /// effect.
     ///
     /// # Errors
     ///
-    /// If the planner is not obeyed, the worker is leaving, or accelerators
-    /// are taken. Asking twice is as asking once.
+    /// If the fencing token is stale, the worker is leaving, the accelerators
+    /// are not free, the gang has no member here, or it has ended.
     pub fn hold(&mut self, hold: Hold, now: Instant) -> Result<(), Refusal> {
         self.check_fence(hold.fence)?;
         let id = hold.gang.id.clone();
@@ -243,12 +253,12 @@
         Ok(())
     }
 
-    /// Decides, as the lead, that a gang runs; returns its members.
+    /// Decides, as the lead, that a gang runs, and returns the gang.
     ///
     /// # Errors
     ///
-    /// If the planner is not obeyed, or the gang is not held any more or
-    /// has been decided otherwise.
+    /// If the fencing token is stale, this worker does not lead the gang, or
+    /// the gang is decided to halt.
     pub fn launch(
         &mut self,
         fence: Fence,
@@ -267,9 +277,10 @@
         }
     }
 
-    /// Begins the task of a gang, on its lead's word.
+    /// Begins this member's task of a gang, at its lead's request.
     ///
-    /// Returns whether the endpoint has to be asked; not if it was before.
+    /// Returns whether the caller has to start the task at the endpoint, which
+    /// is false if the task was begun before.
     ///
     /// # Errors
     ///
@@ -293,7 +304,7 @@
         }
     }
 
-    /// Takes in that the endpoint has started a task.
+    /// Records that the endpoint has started a task.
     pub fn record_task_start(&mut self, id: &gang::Id, now: Instant) {
         if let Some(slot) = self.slots.get_mut(id) {
             if matches!(slot.phase, Phase::Beginning { .. }) {
@@ -303,7 +314,7 @@
         }
     }
 
-    /// Takes in that a task has ended here.
+    /// Records the end of this member's task.
     pub fn record_task_end(
         &mut self,
         id: &gang::Id,
@@ -326,7 +337,7 @@
         }
     }
 
-    /// Takes a member's word, as the lead, and returns the verdict.
+    /// Records a member's report, as the lead, and returns the decision.
     pub fn handle_report(
         &mut self,
         report: Report,
@@ -352,7 +363,7 @@
         (decision, effects)
     }
 
-    /// Takes in the lead's verdict.
+    /// Applies the lead's decision, as one of the other members.
     pub fn apply_decision(
         &mut self,
         id: &gang::Id,
@@ -371,7 +382,7 @@
                 vec![Effect::StartTask(id.clone())]
             }
             (Phase::Ended(_), _) => {
-                // The lead knows now: there is nothing more to tell.
+                // The lead has the end: no report is due for a day.
                 slot.next_report_at = now + Duration::from_secs(86_400);
                 Vec::new()
             }
@@ -380,11 +391,11 @@
         }
     }
 
-    /// Stops a gang, or lets go of a hold, for a planner.
+    /// Stops a gang or releases its hold, at a planner's request.
     ///
     /// # Errors
     ///
-    /// If the planner is not obeyed.
+    /// If a request of a later planner has been seen.
     pub fn stop(
         &mut self,
         fence: Fence,
@@ -392,14 +403,15 @@
         now: Instant,
     ) -> Result<Vec<Effect>, Refusal> {
         match self.check_fence(fence) {
-            // An older configuration may still stop what it started.
+            // A planner with an older configuration may still stop gangs.
             Ok(()) | Err(Refusal::StaleRevision { .. }) => {}
             Err(refusal) => return Err(refusal),
         }
         Ok(self.halt(id, now))
     }
 
-    /// Stops this member's task, and as the lead the whole gang.
+    /// Stops this member's task or releases its hold; as the lead, halts the
+    /// whole gang.
     pub fn halt(&mut self, id: &gang::Id, now: Instant) -> Vec<Effect> {
         let Some(slot) = self.slots.get_mut(id) else {
             return Vec::new();
@@ -434,7 +446,8 @@
         effects
     }
 
-    /// Forgets a gang that has ended. One that has not stays.
+    /// Removes a gang that has ended here and, at its lead, as a whole. Any
+    /// other gang stays.
     pub fn forget(&mut self, id: &gang::Id) {
         let gone = self.slots.get(id).is_some_and(|slot| {
             let lead_done =
@@ -446,7 +459,7 @@
         }
     }
 
-    /// Does what is due by `now`.
+    /// Handles the deadlines that have passed by `now`.
     pub fn tick(&mut self, now: Instant) -> Vec<Effect> {
         let ids: Vec<gang::Id> = self.slots.keys().cloned().collect();
         ids.iter().flat_map(|id| self.tick_gang(id, now)).collect()
@@ -458,7 +471,7 @@
         };
         let late = match &slot.phase {
             Phase::Beginning { deadline } => *deadline <= now,
-            // The lead begins last: past its hold it never will.
+            // The lead begins last, and does not begin past its own hold.
             Phase::Held { deadline } => slot.position == 0 && *deadline <= now,
             _ => false,
         };
@@ -505,7 +518,8 @@
         self.record_member_end(id, member, end, now)
     }
 
-    /// Takes in, as the lead, that a member has ended.
+    /// Records, as the lead, the end of a member's task; any end other than
+    /// [`Ending::Done`] halts the gang.
     pub fn record_member_end(
         &mut self,
         id: &gang::Id,
@@ -550,8 +564,8 @@
         })
     }
 
-    /// Takes over a task found running at the endpoint, by an agent process
-    /// that has just started. It was begun, so its gang was decided.
+    /// Adopts a task that a newly started agent process found at the endpoint.
+    /// The task was begun, so its gang was decided to run.
     pub fn adopt(&mut self, gang: Gang, now: Instant) {
         let Some(position) = gang.position(&self.worker) else {
             return;
@@ -572,7 +586,7 @@
         self.mark_changed(&id);
     }
 
-    /// Returns the entries that changed after `since`.
+    /// Returns the entries that changed after the change `since`.
     pub fn changes(&self, since: Sequence, now: Instant) -> Vec<Entry> {
         self.slots
             .values()
@@ -602,7 +616,7 @@
 fn stage(slot: &Slot, now: Instant) -> Stage {
     let runs = slot.lead.as_ref().is_some_and(Lead::has_run);
     match &slot.phase {
-        // The lead begins last: other members may have begun.
+        // The lead begins last, so other members may have begun.
         Phase::Held { .. } if runs => Stage::Begun { ago_ms: 0 },
         Phase::Held { .. } => Stage::Held,
         Phase::Beginning { .. } => Stage::Begun { ago_ms: 0 },
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -1,9 +1,10 @@
-//! The process beside an endpoint: owns its worker's accelerators.
+//! The agent: the process beside an endpoint that assigns the accelerators of
+//! its worker to gangs.
 //!
-//! [`ledger`] decides, by [`slot`]s, [`lead`] is its part for gangs that this worker
-//! leads, [`keeper`] is the actor that owns them and carries out their
-//! effects, on the endpoint's tasks by [`task`], and [`serve`] answers the
-//! calls of planners and other agents.
+//! [`ledger`] holds the rules and one [`slot`] for each gang; [`lead`] is the
+//! state of gangs that this worker leads. [`actor`] owns the ledger and
+//! executes its effects, starting and stopping the endpoint's tasks through
+//! [`task`]. [`serve`] answers the calls of planners and other agents.
 
 pub mod actor;
 pub mod lead;
@@ -24,41 +25,41 @@
 use crate::wire::agent::AgentServer;
 use crate::wire::link;
 
-/// What an agent has to know.
+/// The configuration of an agent.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The worker's name.
     pub worker: WorkerId,
-    /// How many accelerators it has.
+    /// The number of accelerators of the worker.
     pub accelerators: u32,
-    /// Where to listen.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// Where the endpoint listens.
+    /// The base URL of the endpoint.
     pub endpoint: String,
-    /// Where logs go.
+    /// The logger.
     pub log: slog::Logger,
 }
 
-/// An agent that cannot start.
+/// The reason why an agent cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The number of accelerators is out of range.
     #[error("{0}")]
     Accelerators(#[from] crate::site::Error),
-    /// The address cannot be listened on.
+    /// The agent cannot listen on its address.
     #[error("listen: {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The cause.
+        /// The cause of the failure.
         source: std::io::Error,
     },
-    /// The actor did not start.
+    /// The ledger's actor did not start.
     #[error("the ledger actor did not start: {0}")]
     Actor(#[from] ractor::SpawnErr),
 }
 
-/// An agent that runs.
+/// A running agent.
 pub struct Agent {
     address: SocketAddr,
     actor: ActorRef<actor::Message>,
@@ -66,11 +67,11 @@
 }
 
 impl Agent {
-    /// Starts an agent; it takes over tasks that run at its endpoint.
+    /// Starts an agent, which adopts the tasks found at its endpoint.
     ///
     /// # Errors
     ///
-    /// If it cannot listen, or its settings are out of range.
+    /// If the agent cannot listen, or its settings are out of range.
     pub async fn start(config: Config) -> Result<Agent, Error> {
         let ledger =
             ledger::Ledger::new(config.worker.clone(), config.accelerators)?;
@@ -116,14 +117,14 @@
         })
     }
 
-    /// Returns where the agent listens.
+    /// Returns the address that the agent listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Lets no new work in, waits until what is here has ended, or until
-    /// the deadline, and stops. Tasks still running then go on under their
-    /// lease, for an agent that starts here anew to take over.
+    /// Stops accepting work, waits until all gangs here have ended or the
+    /// deadline passes, and stops. Tasks that still run then continue under
+    /// their leases, and an agent that is started again here adopts them.
     pub async fn stop(self, deadline: tokio::time::Instant) {
         let _ = self.actor.cast(actor::Message::Leave);
         while tokio::time::Instant::now() < deadline {
@@ -137,14 +138,14 @@
         self.kill();
     }
 
-    /// Stops at once, as a process that is killed.
+    /// Stops at once without cleanup, as a killed process would.
     pub fn kill(self) {
         let _ = self.server.stop();
         self.actor.kill();
     }
 }
 
-/// Returns the limits of the calls that one of our processes takes.
+/// Returns the limits of the JSON-RPC servers of agents and entries.
 pub(crate) fn server_config() -> jsonrpsee::server::ServerConfig {
     jsonrpsee::server::ServerConfig::builder()
         .max_request_body_size(link::MAX_MESSAGE_BYTES)
--- a/src/agent/serve.rs
+++ b/src/agent/serve.rs
@@ -1,4 +1,4 @@
-//! Answers to the calls of planners and of other agents.
+//! Serves the JSON-RPC calls of planners and of other agents.
 
 use std::time::Duration;
 
@@ -38,16 +38,16 @@
 use crate::wire::link;
 use crate::wire::Trace;
 
-/// The code of an error that says the keeper has stopped.
+/// The JSON-RPC error code of calls to an actor that has stopped.
 const ACTOR_STOPPED_CODE: i32 = -32000;
-/// The longest that a call for changes waits.
+/// The maximum time that a call for changes waits.
 const MAX_WATCH: Duration = Duration::from_secs(30);
-/// How often the outcome of a broken launch is looked for.
+/// The interval at which the outcome of a failed launch is polled.
 const OUTCOME_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The methods of an agent.
+/// The JSON-RPC methods of an agent.
 pub struct Methods {
-    /// The worker's name.
+    /// The name of the worker.
     pub worker: crate::site::WorkerId,
     /// The actor that owns the ledger.
     pub actor: ActorRef<Message>,
@@ -55,11 +55,11 @@
     pub endpoint: endpoint::Client,
     /// Connections to other agents.
     pub pool: link::Pool,
-    /// The number of the last change.
+    /// The number of the ledger's last change.
     pub sequence_receiver: watch::Receiver<Sequence>,
-    /// The life of this process.
+    /// The identifier of this run of the process.
     pub incarnation: Incarnation,
-    /// Where logs go.
+    /// The logger.
     pub log: slog::Logger,
 }
 
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Has one member begin; the error says why it does not.
+    /// Asks one member to begin. The error is the member's refusal, or `None`
+    /// if the member did not answer.
     async fn begin_member(
         &self,
         member: &Member,
@@ -97,7 +98,8 @@
         }
     }
 
-    /// Has all members begin, the others first and the lead last.
+    /// Has all members begin, the lead last. The error names the first member
+    /// that did not.
     async fn begin_all(
         &self,
         gang: &Gang,
@@ -139,7 +141,8 @@
         Ok(answer.await)
     }
 
-    /// Waits until a halted gang's members have all been heard of.
+    /// Halts a gang that failed to start, waits until all of its members have
+    /// ended, and returns whether any of them may have begun.
     async fn await_outcome(
         &self,
         gang: &Gang,
@@ -233,7 +236,7 @@
         let waits = Duration::from_millis(watch.timeout_ms);
         let deadline = Instant::now() + waits.min(MAX_WATCH);
         let mut sequence = self.sequence_receiver.clone();
-        // A first call wants all entries, even if there are none.
+        // A first call returns at once, even if there are no entries.
         while watch.since != 0 && *sequence.borrow_and_update() <= watch.since
         {
             let changed =
--- a/src/agent/slot.rs
+++ b/src/agent/slot.rs
@@ -1,4 +1,4 @@
-//! A gang in a ledger, and where it is in its life there.
+//! The record of one gang in a worker's ledger.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,59 +10,61 @@
 use crate::wire::gang::End;
 use crate::wire::gang::Gang;
 
-/// Where a gang is in its life, at this member.
+/// The phase of a gang at this member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Phase {
-    /// Accelerators are kept until the lead is to be asked.
+    /// Accelerators are held, and the gang has not begun here.
     Held {
-        /// When that is.
+        /// The time past which a member asks the lead for the decision, and
+        /// the lead itself halts the gang.
         deadline: Instant,
     },
     /// The endpoint has been asked to start the task.
     Beginning {
-        /// By when it must have.
+        /// The time by which the task must have started.
         deadline: Instant,
     },
     /// The task runs.
     Begun {
-        /// Since when.
+        /// The time at which the start was confirmed or the task adopted.
         since: Instant,
     },
     /// The endpoint has been asked to stop the task.
     Halting {
-        /// Since when the task ran.
+        /// The same time as in [`Phase::Begun`]; the time of the stop if the
+        /// start was not confirmed.
         since: Instant,
     },
     /// The task has ended, or was never begun.
     Ended(End),
 }
 
-/// A gang in the ledger.
+/// A gang in a ledger.
 #[derive(Clone, Debug)]
 pub struct Slot {
     /// The gang.
     pub gang: Gang,
-    /// This worker's position among its members.
+    /// This worker's position among the gang's members.
     pub position: usize,
-    /// Where it is in its life here.
+    /// The gang's phase at this worker.
     pub phase: Phase,
-    /// What its lead keeps of it, if this member leads.
+    /// The lead's state; `None` if another member leads.
     pub lead: Option<Lead>,
-    /// When the lead was last heard.
+    /// The time of the last call or answer of the lead.
     pub last_contact: Instant,
-    /// When the lead is to be told next.
+    /// The time of the next report to the lead.
     pub next_report_at: Instant,
-    /// The change that last touched it.
+    /// The number of the last change of this gang.
     pub sequence: Sequence,
 }
 
 impl Slot {
-    /// Returns how often the lead is told.
+    /// Returns the interval between reports to the lead.
     pub fn report_interval(&self) -> Duration {
         report_interval(self.gang.members.len())
     }
 
-    /// Returns how long the gang stands without word.
+    /// Returns the time after which a member without contact stops.
     pub fn lease(&self) -> Duration {
         gang_lease(self.gang.members.len())
     }
--- a/src/agent/task.rs
+++ b/src/agent/task.rs
@@ -1,4 +1,4 @@
-//! Tasks at the endpoint: starting, stopping, and how they end.
+//! Starts and stops tasks at the endpoint and reads their ends.
 
 use std::time::Duration;
 
@@ -14,16 +14,17 @@
 use crate::wire::gang::Ending;
 use crate::wire::gang::Gang;
 
-/// How long a task runs on at its endpoint when its agent is silent.
+/// The lease of a task: the time that it continues to run at its endpoint
+/// without a renewal by its agent.
 pub const TASK_LEASE: Duration = Duration::from_secs(10);
-/// The wait between two tries to stop a task.
+/// The delay between two attempts to stop a task.
 const STOP_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Starts the task of a gang's member and tells the keeper what came of it.
+/// Starts this worker's task of a gang and reports the outcome to the actor.
 ///
 /// # Errors
 ///
-/// If the endpoint does not start it.
+/// If the endpoint does not start the task.
 pub async fn start(
     endpoint: &endpoint::Client,
     actor: &ActorRef<Message>,
@@ -45,7 +46,7 @@
     };
     let mut answer = endpoint.start(&start).await;
     if matches!(answer, Err(crate::http::Error::Lost { .. })) {
-        // Starting twice starts once, so a lost answer is asked for again.
+        // Starts are idempotent, so a start without an answer is repeated.
         answer = endpoint.start(&start).await;
     }
     match answer {
@@ -68,7 +69,8 @@
     }
 }
 
-/// Stops a task; returns once it has stopped, if only by its lease.
+/// Stops a task. Returns once the task has ended, or once its lease has
+/// expired if the endpoint does not confirm.
 pub async fn stop(
     endpoint: &endpoint::Client,
     id: &gang::Id,
@@ -95,7 +97,7 @@
     End::new(Ending::Stopped, Some(worker.into()))
 }
 
-/// Returns how a task ended, if it has.
+/// Returns the end of a task; `None` while it runs.
 pub fn end_of(task: &Task, worker: &str) -> Option<End> {
     let ending = match task.state {
         endpoint::State::Running => return None,
