--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -1,4 +1,5 @@
-//! HTTP for callers: submit, status, answer, cancel, list.
+//! HTTP for callers: submits, shows, cancels and lists jobs, and returns their
+//! answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,14 +35,14 @@
 use crate::wire::gang::Work;
 use crate::wire::Trace;
 
-/// The largest body of a request.
+/// The maximum size of a request's body in bytes.
 const MAX_BODY_BYTES: usize = 256 * 1024;
-/// How long a request that waits for nothing may take.
+/// The time limit of a call to the planner that does not wait for a job's end.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a caller may wait, and does unless it says.
+/// The maximum time that a caller may wait for a job's end, and the default.
 const MAX_WAIT: Duration = Duration::from_secs(300);
 
-/// A job that a caller asks for.
+/// The body of a request that submits a job.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Submission {
@@ -58,9 +59,9 @@
     due_ms: Option<u64>,
 }
 
-/// The HTTP side of an entry.
+/// The HTTP handler of an entry.
 pub struct CallerApi {
-    /// What the parts of the entry share.
+    /// The state of the entry.
     pub shared: Arc<Shared>,
 }
 
@@ -128,7 +129,7 @@
     }
 }
 
-/// A caller that has shown its token.
+/// An authenticated caller.
 struct Caller<'a> {
     shared: &'a Shared,
     document: &'a Document,
@@ -166,7 +167,8 @@
         }
     }
 
-    /// Returns the record that a request asks for.
+    /// Returns the record of the job that a request describes, or the problems
+    /// of the request.
     fn record(&self, submit: &Submission) -> Result<Record, Vec<Problem>> {
         let Some(template) = self.document.template(&submit.template) else {
             let names: Vec<&str> =
@@ -246,7 +248,7 @@
         if let Some(old) = self.read_record(&job).await {
             match old.request == record.request {
                 false => return responses::conflict(),
-                // An ended job is answered from its record.
+                // The planner is not needed for a job that has ended.
                 true if old.end.is_some() => {
                     return responses::job_status(
                         StatusCode::OK,
@@ -295,8 +297,8 @@
         self.wait_for_end(&job, admit, repeatable, deadline).await
     }
 
-    /// Waits for a job's end. Should its planner die and forget it, it is
-    /// admitted anew: under the same id it is the same job.
+    /// Waits for a job's end. If a new planner does not know the job, a
+    /// repeatable job is admitted again: under the same id it is the same job.
     async fn wait_for_end(
         &self,
         job: &job::Id,
@@ -358,7 +360,7 @@
             .is_some_and(|(account, _)| account == &*self.id)
     }
 
-    /// Returns a job's status from its planner, or its record.
+    /// Returns a job's status from its planner, or else from its record.
     async fn find_status(&self, job: &str) -> Result<Status, http::Response> {
         let not_found = || {
             responses::failure(StatusCode::NOT_FOUND, "job: it is not known")
@@ -443,7 +445,7 @@
     }
 }
 
-/// Returns the token that a request shows.
+/// Returns the bearer token of a request.
 pub fn bearer_token(request: &http::Request) -> Option<&str> {
     let value = request.headers().get(AUTHORIZATION)?.to_str().ok()?;
     value.strip_prefix("Bearer ")
--- a/src/entry/claim.rs
+++ b/src/entry/claim.rs
@@ -1,8 +1,9 @@
 //! Claims the cell, and hosts its planner while the claim is held.
 //!
-//! A claim is a key that hangs on a lease. The lease only says when another
-//! may try: what keeps two planners apart is the claim's revision, the
-//! epoch, below which no agent obeys once it has seen a higher.
+//! A claim is a key in the store that is attached to a lease. The lease only
+//! determines when another entry may claim. Two planners are kept apart by the
+//! epoch, the revision at which the claim was written: an agent that has seen
+//! a higher epoch refuses requests of a lower one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,19 +25,20 @@
 use crate::store::Swap;
 use crate::wire::Epoch;
 
-/// How long a claim stands without renewal.
+/// The lease of a claim: the time that a claim lasts without renewal.
 const CLAIM_LEASE: Duration = Duration::from_secs(3);
-/// How often a claim is renewed.
+/// The interval at which a claim is renewed.
 const RENEW_INTERVAL: Duration = Duration::from_millis(900);
-/// The wait after the store has failed, or a try at claiming.
+/// The maximum delay after an error of the store, and between two looks for
+/// the next planner's claim while this entry stops.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
-/// How long a watch is trusted before the claim is read again.
+/// The maximum duration of a watch, after which the claim is read again.
 const MAX_WATCH: Duration = Duration::from_secs(10);
 
-/// Follows the claim, and takes it whenever nobody has it.
+/// Follows the claim, and claims the cell whenever nobody holds the claim.
 ///
-/// An entry that stops still follows it: its callers' requests move to the
-/// next planner.
+/// An entry that stops still follows the claim, because its callers' requests
+/// move on to the next planner, but does not claim.
 pub async fn follow(shared: Arc<Shared>) {
     let key = claim_key(&shared.config.cell);
     loop {
@@ -101,14 +103,14 @@
     let Some(epoch) = write_claim(shared, key, &claim, lease).await? else {
         return shared.store.revoke(lease).await;
     };
-    slog::info!(shared.config.log, "entry: has claimed the cell";
+    slog::info!(shared.config.log, "entry: claimed the cell";
         "cell" => &shared.config.cell, "epoch" => epoch);
     shared.claim.send_replace(Some(claim));
     host_planner(shared, key, epoch, lease).await;
     Ok(())
 }
 
-/// Writes the claim if nobody has it; returns its epoch if it is ours.
+/// Writes the claim if nobody holds one; returns its epoch if it was written.
 async fn write_claim(
     shared: &Shared,
     key: &str,
@@ -125,7 +127,8 @@
             error @ (store::Error::Unreached(_) | store::Error::Forgotten(_)),
         ) => Err(error),
         Err(store::Error::Lost(_)) => {
-            // The answer is lost, not the write: reading back tells.
+            // The write may have succeeded without its answer: read the
+            // claim back to find out.
             let item = shared.store.get(key).await?;
             let ours = item.filter(|item| {
                 serde_json::from_slice::<Claim>(&item.value)
@@ -136,8 +139,8 @@
     }
 }
 
-/// Hosts the planner until it steps down, the claim is lost to another, or
-/// the entry is to stop.
+/// Hosts the planner until the planner ends, the claim's lease expires, or the
+/// entry stops.
 async fn host_planner(
     shared: &Arc<Shared>,
     key: &str,
@@ -160,12 +163,15 @@
     let (planner, mut ended) = match spawned {
         Ok(spawned) => spawned,
         Err(error) => {
-            slog::error!(shared.config.log, "entry: no planner: {error}");
+            slog::error!(
+                shared.config.log,
+                "entry: the planner did not start: {error}"
+            );
             return;
         }
     };
     shared.planner.send_replace(Some(planner.clone()));
-    // What changed while the planner was being started.
+    // The inputs may have changed while the planner was being started.
     send_current_inputs(shared, &planner);
     let mut stopping = shared.stopping.subscribe();
     tokio::select! {
@@ -176,7 +182,7 @@
     planner.stop(None);
     shared.planner.send_replace(None);
     let _ = shared.store.revoke(lease).await;
-    slog::info!(shared.config.log, "entry: hosts the planner no longer";
+    slog::info!(shared.config.log, "entry: stopped hosting the planner";
         "epoch" => epoch);
 }
 
@@ -187,8 +193,9 @@
     let _ = planner.cast(Message::Configuration(document));
 }
 
-/// Renews the lease; returns once the store says that it has lapsed. While
-/// the store does not answer, nobody else can claim either.
+/// Renews the lease, and returns once the store reports that it has expired.
+/// Errors are ignored: while the store does not answer, no other entry can
+/// claim the cell either.
 async fn renew_until_lapsed(shared: &Shared, lease: LeaseId) {
     loop {
         tokio::time::sleep(RENEW_INTERVAL).await;
--- a/src/entry/configuration.rs
+++ b/src/entry/configuration.rs
@@ -1,5 +1,5 @@
-//! Follows the configuration: from the store, or from a peer while the
-//! store cannot be reached. What is in force never goes back.
+//! Follows the configuration in the store, or that of the other entries while
+//! the store cannot be reached. The revision in force never decreases.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use crate::wire::entry::EntryClient;
 use crate::wire::link;
 
-/// The wait after the store or a watch has failed.
+/// The maximum delay after an error of the store or of a watch.
 const RETRY_DELAY: Duration = Duration::from_millis(800);
 
 /// Follows the configuration for as long as the entry runs.
@@ -29,7 +29,8 @@
     }
 }
 
-/// Reads everything, then watches from there on until the watch breaks.
+/// Reads the whole configuration, then watches for changes until the watch
+/// fails.
 async fn follow_store(shared: &Shared) -> Result<(), store::Error> {
     let listing = shared.store.list(config::PREFIX, 0).await?;
     let document = Document::read(&listing.items);
@@ -49,7 +50,7 @@
     }
 }
 
-/// Takes the highest revision that any peer has.
+/// Applies the highest revision in force at any other entry.
 async fn read_from_peers(shared: &Shared) {
     let peers: Vec<String> = shared
         .vms
@@ -72,7 +73,8 @@
     }
 }
 
-/// Puts a configuration in force, unless a later one is.
+/// Puts a configuration in force, unless its revision is not higher than that
+/// of the present one.
 pub fn apply_if_newer(shared: &Shared, document: Document) {
     let document = Arc::new(document);
     let newer = shared.document.send_if_modified(|current| {
@@ -88,7 +90,7 @@
     }
 }
 
-/// Keeps the plan that requests are checked against up to date.
+/// Keeps the nominal plan up to date with the configuration and the VMs.
 pub async fn follow_nominal_plan(shared: Arc<Shared>) {
     let mut documents = shared.document.subscribe();
     let mut vms = shared.vms.subscribe();
@@ -102,7 +104,7 @@
     }
 }
 
-/// Returns the site of the VMs listed now.
+/// Returns the site that the currently listed VMs form.
 pub fn site(shared: &Shared) -> Site {
     nominal_plan(shared).state().site.clone()
 }
@@ -114,7 +116,7 @@
     let mut plan = Plan::new(site, shared.config.policy.clone());
     let vms = shared.vms.borrow().clone();
     for vm in vms.iter().filter(|vm| vm.role == Role::Endpoint) {
-        // A VM listed at two places is the planner's to complain about.
+        // The planner reports a VM that is listed at two places.
         let _ = plan.add_worker(&vm.hall, &vm.rack, &vm.name);
     }
     let document = shared.document.borrow().clone();
--- a/src/entry/edits.rs
+++ b/src/entry/edits.rs
@@ -1,4 +1,5 @@
-//! Operators' edits: one item at a time, by compare-and-swap.
+//! Operators' edits of the configuration: each changes one item, by
+//! compare-and-swap on the store.
 
 use std::time::SystemTime;
 
@@ -21,54 +22,55 @@
 use crate::store::Revision;
 use crate::store::Swap;
 
-/// How often an edit is tried again when it lost a race that does not
-/// concern its item, or its answer was lost.
+/// The maximum number of attempts at an edit. An attempt is repeated if it
+/// lost a race that does not concern its item, or if its answer was lost.
 const MAX_ATTEMPTS: usize = 5;
 
-/// What an item is to become.
+/// The new value of an item.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// A client account.
     Account(Account),
     /// A template.
     Template(Template),
-    /// Nothing: the item goes.
+    /// No value: the item is deleted.
     Deleted,
 }
 
 /// An edit of one item.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Edit {
-    /// Which item.
+    /// The name of the item.
     pub name: Name,
-    /// What it is to become.
+    /// The new value of the item.
     pub value: Value,
-    /// The revision that it was made on; 0 for a new item.
+    /// The revision of the item that the edit is based on; 0 for a new item.
     pub base_revision: Revision,
-    /// The edit's name: made again, it is the same edit.
+    /// The identifier of the edit. Applying the same edit again has no further
+    /// effect.
     pub id: EditId,
 }
 
-/// An edit that was not made.
+/// The reason why an edit was not applied.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The item is not as it should be.
-    #[error("the item is not as it should be")]
+    /// The new value is invalid.
+    #[error("the new value of the item is invalid")]
     Invalid(Vec<Problem>),
-    /// Somebody else has changed the item.
+    /// Another edit has changed the item since the edit's base revision.
     #[error("the item was changed by another edit")]
     Conflict {
-        /// The item as it is now.
+        /// The current value of the item; `None` if it does not exist.
         current: Option<serde_json::Value>,
-        /// The revision of its last change, 0 if it is not there.
+        /// The revision of the item's last change; 0 if it does not exist.
         revision: Revision,
     },
-    /// The store does not answer: the edit may or may not be made.
+    /// The store does not answer: the edit may or may not have been applied.
     #[error("{0}")]
     Store(#[from] store::Error),
 }
 
-/// Returns what is wrong with an edit.
+/// Returns the problems of an edit; none if it is valid.
 pub fn check(
     shared: &Shared,
     document: &Document,
@@ -95,20 +97,20 @@
     }
 }
 
-/// Makes an edit and returns the revision at which it is made.
+/// Applies an edit and returns the revision at which it was written.
 ///
 /// # Errors
 ///
-/// If the item is not as it should be, was changed by another edit, or the
-/// store does not answer.
+/// If the new value is invalid, another edit changed the item, or the store
+/// does not answer.
 pub async fn apply(shared: &Shared, edit: &Edit) -> Result<Revision, Error> {
     let mut last = None;
     for _ in 0..MAX_ATTEMPTS {
         match try_apply(shared, edit).await {
             Ok(Some(revision)) => return Ok(revision),
-            // Another guarantee was changed meanwhile: check again.
+            // Another edit changed the guarantees meanwhile: check again.
             Ok(None) => last = None,
-            // The next try finds the edit if it was made.
+            // The next attempt finds the edit if it was written.
             Err(Error::Store(error)) => last = Some(error),
             Err(error) => return Err(error),
         }
@@ -164,14 +166,16 @@
     }
 }
 
-/// Returns the revision at which an edit was made before, if it was.
+/// Returns the revision at which an earlier attempt wrote the edit, if any
+/// did.
 fn applied_revision(
     item: Option<&store::Item>,
     last: Option<&store::Item>,
     edit: &Edit,
 ) -> Option<Revision> {
     let Some(item) = item else {
-        // Of an item that is gone only the last edit of all can tell.
+        // A deleted item keeps no list of edits. Its deletion is recognized
+        // only as long as it is the last edit of the whole configuration.
         let last = last.filter(|_| edit.value == Value::Deleted)?;
         let ours = last.value == edit.id.as_bytes();
         return ours.then_some(last.modified);
--- a/src/entry/limits.rs
+++ b/src/entry/limits.rs
@@ -1,4 +1,5 @@
-//! Limits of each client account: its rate and its waiting callers.
+//! Enforces the limits of each client account: the rate of its requests and
+//! the number of its waiting callers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,7 +12,7 @@
 use crate::account;
 use crate::config::Account;
 
-/// Over how many seconds a rate is allowed to gather.
+/// The capacity of a token bucket in seconds of the account's rate.
 const BURST_SECONDS: f64 = 2.0;
 
 struct Bucket {
@@ -19,14 +20,14 @@
     refilled_at: Instant,
 }
 
-/// The use that client accounts make of this entry.
+/// The use of the client accounts' limits at this entry.
 #[derive(Default)]
 pub struct Limits {
     buckets: Mutex<HashMap<account::Id, Bucket>>,
     waiting: Arc<Mutex<HashMap<account::Id, u32>>>,
 }
 
-/// A caller's place among those who wait; given back when dropped.
+/// The permit of one waiting caller, released when dropped.
 pub struct WaitPermit {
     account: account::Id,
     waiting: Arc<Mutex<HashMap<account::Id, u32>>>,
@@ -41,11 +42,11 @@
 }
 
 impl Limits {
-    /// Takes in a request.
+    /// Takes a token of the account's rate for one request.
     ///
     /// # Errors
     ///
-    /// If the account has used its rate up: after how long to come back.
+    /// If the rate is used up; the error is the time until the next token.
     pub fn take_token(
         &self,
         id: &account::Id,
@@ -75,7 +76,8 @@
         }
     }
 
-    /// Returns a place for a caller who waits, if there is one.
+    /// Returns a permit for a caller to wait, unless the account has as many
+    /// waiting callers as it may.
     pub fn acquire_wait(
         &self,
         id: &account::Id,
--- a/src/entry/listing.rs
+++ b/src/entry/listing.rs
@@ -7,17 +7,17 @@
 use crate::planner::actor::Message;
 use crate::vms;
 
-/// The shortest time between two looks at the list.
+/// The minimum period between two reads of the list.
 const MIN_PERIOD: Duration = Duration::from_secs(1);
-/// The longest time between two looks at the list.
+/// The maximum period between two reads of the list.
 const MAX_PERIOD: Duration = Duration::from_secs(60);
-/// How much longer the list is let be for each VM on it: at 130 bytes a VM,
-/// reading it takes some 3 KB a second, a small part of what a node may
-/// spend on control.
+/// The period between two reads for each VM on the list: at 130 bytes a VM,
+/// reading takes some 3 KB a second, a small part of what a node may spend on
+/// control traffic.
 const PERIOD_PER_VM: Duration = Duration::from_millis(60);
 
-/// Looks at the list again and again; while it cannot be had, what was
-/// last seen stands.
+/// Reads the list periodically and passes changes on to the planner. While the
+/// list cannot be read, the last one remains in force.
 pub async fn follow(shared: Arc<Shared>, list: vms::Client) {
     loop {
         if let Ok(vms) = list.list().await {
@@ -36,8 +36,9 @@
     }
 }
 
-/// Returns how long a list of so many VMs is let be. That a worker leaves
-/// is learned from its agent at once; the list is for when it cannot say.
+/// Returns the period between two reads of a list of `length` VMs. The period
+/// may be long: an agent reports at once that its worker leaves, and the list
+/// matters only for workers whose agents cannot.
 fn period(length: u32) -> Duration {
     (PERIOD_PER_VM * length).clamp(MIN_PERIOD, MAX_PERIOD)
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,9 +1,11 @@
-//! The process on an entry VM: HTTP for callers and operators, and the
-//! planner of each cell whose claim it holds.
+//! The entry: the process that serves HTTP to callers and operators, and that
+//! hosts the planner of its cell while it holds the cell's claim.
 //!
-//! [`callers`] and [`operators`] answer HTTP with [`answers`], [`router`] finds the planner,
-//! [`claim`] hosts it, [`configuration`] and [`listing`] follow the store
-//! and the platform's list, and [`serve`] answers other entries.
+//! [`callers`] and [`operators`] handle HTTP requests, build their answers
+//! with [`responses`] and reach the planner through [`router`]. [`claim`]
+//! claims the cell and hosts its planner. [`configuration`] and [`listing`]
+//! follow the configuration and the platform's list of VMs. [`serve`] answers
+//! the calls of other entries.
 
 pub mod callers;
 pub mod claim;
@@ -37,85 +39,86 @@
 use crate::wire::entry::EntryServer;
 use crate::wire::link;
 
-/// What an entry has to know.
+/// The configuration of an entry.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The entry's name.
     pub name: String,
-    /// Where it listens for callers and operators.
+    /// The address for the HTTP requests of callers and operators.
     pub callers: SocketAddr,
-    /// Where it listens for others of our processes.
+    /// The address for the calls of other entries.
     pub peers: SocketAddr,
-    /// Where the store is.
+    /// The base URL of the store.
     pub store: String,
-    /// Where the platform's list is.
+    /// The URL of the platform's list of VMs.
     pub vms: String,
-    /// The cell.
+    /// The name of the cell.
     pub cell: String,
-    /// How many accelerators each worker has.
+    /// The number of accelerators of each worker.
     pub accelerators: u32,
-    /// What the operators weigh.
+    /// The planner's policy, as the operators set it.
     pub policy: Policy,
     /// The digest of the operators' token.
     pub operator: digest::Hex,
-    /// Where logs go.
+    /// The logger.
     pub log: slog::Logger,
 }
 
-/// An entry that cannot start.
+/// The reason why an entry cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// An address cannot be listened on.
+    /// The entry cannot listen on one of its addresses.
     #[error("listen: {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The cause.
+        /// The cause of the failure.
         source: std::io::Error,
     },
-    /// The site cannot be described.
+    /// The number of accelerators is out of range.
     #[error("accelerators: {0}")]
     Site(#[from] crate::site::Error),
 }
 
-/// A planner's claim, as an entry sees it.
+/// The claim of a cell, as stored: which entry hosts the planner.
 #[derive(
     Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize,
 )]
 pub struct Claim {
-    /// Where the entry that hosts the planner listens.
+    /// The address on which the hosting entry takes calls of other entries.
     pub address: String,
-    /// Names this try at claiming, to know it again.
+    /// Identifies this attempt to claim, so that its writer recognizes the
+    /// stored claim as its own.
     pub nonce: String,
 }
 
-/// What the parts of an entry share.
+/// The state shared by the parts of an entry.
 pub struct Shared {
-    /// Its settings.
+    /// The entry's configuration.
     pub config: Config,
-    /// Where it listens for others of ours.
+    /// The address on which the entry takes calls of other entries.
     pub address: String,
-    /// The store.
+    /// The client of the store.
     pub store: store::Client,
-    /// The configuration in force.
+    /// The operators' configuration in force at this entry.
     pub document: watch::Sender<Arc<Document>>,
     /// The VMs, as last listed.
     pub vms: watch::Sender<Vec<Vm>>,
-    /// A plan of the site without jobs, to check requests against.
+    /// A plan of the site without jobs, against which requests are checked.
     pub nominal_plan: watch::Sender<Arc<Plan>>,
-    /// The planner, while it is hosted here.
+    /// The planner, while this entry hosts it.
     pub planner: watch::Sender<Option<ActorRef<planner::actor::Message>>>,
-    /// The claim, as last seen.
+    /// The cell's claim, as last read.
     pub claim: watch::Sender<Option<Claim>>,
     /// Connections to other entries.
     pub pool: link::Pool,
-    /// Limits of client accounts.
+    /// The use of the client accounts' limits.
     pub limits: limits::Limits,
-    /// Whether the entry is to stop.
+    /// Whether the entry is stopping.
     pub stopping: watch::Sender<bool>,
 }
 
-/// An entry that runs.
+/// A running entry.
 pub struct Entry {
     shared: Arc<Shared>,
     callers: http::Server,
@@ -128,7 +131,7 @@
     ///
     /// # Errors
     ///
-    /// If it cannot listen, or its settings are out of range.
+    /// If the entry cannot listen, or its settings are out of range.
     pub async fn start(config: Config) -> Result<Entry, Error> {
         let http = http::Client::new();
         let site = crate::site::Site::new(config.accelerators)?;
@@ -180,28 +183,28 @@
         })
     }
 
-    /// Returns where callers and operators reach the entry.
+    /// Returns the address for callers and operators.
     pub fn callers(&self) -> SocketAddr {
         self.callers.address()
     }
 
-    /// Returns where others of our processes reach the entry.
+    /// Returns the address for other entries.
     pub fn peers(&self) -> &str {
         &self.shared.address
     }
 
-    /// Returns whether the planner is hosted here.
+    /// Returns whether this entry hosts the planner.
     pub fn is_planner(&self) -> bool {
         self.shared.planner.borrow().is_some()
     }
 
-    /// Returns the revision of the configuration in force here.
+    /// Returns the revision of the configuration in force at this entry.
     pub fn revision(&self) -> store::Revision {
         self.shared.document.borrow().revision
     }
 
-    /// Hands the planner over, answers every request under way, or until
-    /// the deadline, and stops.
+    /// Stops hosting the planner, answers the requests in progress until the
+    /// deadline, and stops.
     pub async fn stop(self, deadline: tokio::time::Instant) {
         let _ = self.shared.stopping.send(true);
         let handed_over = async {
@@ -216,7 +219,7 @@
         }
     }
 
-    /// Stops at once, as a process that is killed.
+    /// Stops at once without cleanup, as a killed process would.
     pub fn kill(self) {
         for task in &self.tasks {
             task.abort();
@@ -233,8 +236,8 @@
     Error::Listen { address, source }
 }
 
-/// Waits between half and all of `max`, so that processes that failed
-/// together do not come back together.
+/// Sleeps for a random time between half of `max` and `max`, so that processes
+/// that failed together do not retry together.
 pub(crate) async fn sleep_with_jitter(max: Duration) {
     let max = max.as_millis() as u64;
     let wait = fastrand::u64(max / 2..=max);
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -1,4 +1,5 @@
-//! HTTP for operators: the configuration and the state of the system.
+//! HTTP for operators: reads and edits the configuration, and shows the state
+//! of the system.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,12 +30,12 @@
 use crate::wire::entry::EntryClient;
 use crate::wire::link;
 
-/// The largest body of a request.
+/// The maximum size of a request's body in bytes.
 const MAX_BODY_BYTES: usize = 900 * 1024;
-/// How long the planner may take to describe its cell.
+/// The time limit for the planner's description of its cell.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// An edit as an operator sends it.
+/// The body of an operator's request to edit an item.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct EditRequest {
@@ -48,26 +49,27 @@
 /// An entry and the configuration in force there.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EntryView {
-    /// Where it listens for others of ours.
+    /// The address on which the entry takes calls of other entries.
     pub address: String,
-    /// The configuration in force there; `None` if it does not answer.
+    /// The revision of the configuration in force at the entry; `None` if it
+    /// does not answer.
     pub revision: Option<Revision>,
 }
 
 /// The state of the system, as one entry sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct View {
-    /// The entry that answers.
+    /// The name of the entry that answers.
     pub entry: String,
-    /// The configuration in force there.
+    /// The revision of the configuration in force at that entry.
     pub revision: Revision,
-    /// All entries, and who lags.
+    /// All entries and their revisions.
     pub entries: Vec<EntryView>,
     /// The cell; `None` if its planner does not answer.
     pub cell: Option<CellView>,
 }
 
-/// Answers an operator's request.
+/// Handles an operator's request.
 pub async fn handle(
     shared: &Arc<Shared>,
     request: http::Request,
--- a/src/entry/responses.rs
+++ b/src/entry/responses.rs
@@ -1,5 +1,4 @@
-//! Answers to callers: what a job is, what a refusal is, and when to come
-//! back.
+//! HTTP responses of an entry: the status of a job, errors, and when to retry.
 
 use std::time::Duration;
 
@@ -17,17 +16,18 @@
 use crate::wire::entry::Stage;
 use crate::wire::entry::Status;
 
-/// An answer that is not what the caller wanted.
+/// The body of an error response.
 #[derive(Debug, Serialize)]
 pub struct ErrorBody {
-    /// What happened, in words.
+    /// A description of the error.
     pub error: String,
-    /// The fields that are not as they should be.
+    /// The invalid fields of the request; left out if there are none.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub problems: Vec<Problem>,
 }
 
-/// Returns what there is to say of a job by its record alone.
+/// Returns the status of a job as far as its stored record shows it: a job
+/// without an end is reported as queued.
 pub fn status_from_record(record: &Record) -> Status {
     let end = record.end.clone();
     let stage = match end {
@@ -46,15 +46,15 @@
     }
 }
 
-/// Returns a job's status, named in the headers too.
+/// Returns a response with a job's status, with the job's headers.
 pub fn job_status(code: StatusCode, status: &Status) -> http::Response {
     let mut response = http::json(code, status);
     set_job_headers(&mut response, status);
     response
 }
 
-/// Names the job, the start, the length and the digest in the headers, so
-/// that an answer can be told from another's.
+/// Adds headers with the job, its last start, and the length and digest of
+/// its output, so that a caller can verify which job an answer belongs to.
 pub fn set_job_headers(response: &mut http::Response, status: &Status) {
     let mut put = |name: &'static str, value: String| {
         if let Ok(value) = HeaderValue::from_str(&value) {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Returns a refusal in words.
+/// Returns an error response, and counts it.
 pub fn failure(
     status: StatusCode,
     error: impl Into<String>,
@@ -81,7 +81,7 @@
     http::json(status, &ErrorBody { error, problems })
 }
 
-/// Returns a refusal that says when to come back.
+/// Returns an error response that asks the caller to retry after `wait`.
 pub fn retry_later(
     status: StatusCode,
     error: impl Into<String>,
@@ -95,7 +95,7 @@
     response
 }
 
-/// Returns a refusal that names fields.
+/// Returns an error response that lists the invalid fields of a request.
 pub fn invalid_fields(problems: Vec<Problem>) -> http::Response {
     let error = problems
         .iter()
@@ -106,12 +106,12 @@
     http::json(status, &ErrorBody { error, problems })
 }
 
-/// Returns that the request id belongs to another request.
+/// Returns the response to a request whose id belongs to another request.
 pub fn conflict() -> http::Response {
     failure(StatusCode::CONFLICT, Refusal::Conflict.to_string())
 }
 
-/// Returns what a planner's refusal is to a caller.
+/// Returns the response to a request that the planner refused.
 pub fn from_refusal(refusal: &Refusal) -> http::Response {
     let text = refusal.to_string();
     let retry_after = Duration::from_secs(2);
--- a/src/entry/router.rs
+++ b/src/entry/router.rs
@@ -1,4 +1,4 @@
-//! Finds the cell's planner, here or on another entry, and asks it.
+//! Routes requests to the cell's planner, at this entry or another one.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -21,16 +21,17 @@
 use crate::wire::entry::Status;
 use crate::wire::link;
 
-/// The wait between two tries to reach the planner.
+/// The maximum delay between two attempts to reach the planner.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
-/// How long a planner may take over a call that waits for nothing.
+/// The time limit of a call to another entry, besides the time for which the
+/// request asks the planner to wait.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Asks the planner hosted here.
+/// Sends a request that the planner may refuse to the planner at this entry.
 ///
 /// # Errors
 ///
-/// As the planner refuses; [`Refusal::NotPlanner`] if there is none.
+/// The planner's refusal; [`Refusal::NotPlanner`] if this entry hosts none.
 pub async fn ask_local<T: Send + 'static>(
     shared: &Shared,
     message: impl FnOnce(RpcReplyPort<Result<T, Refusal>>) -> Message,
@@ -42,11 +43,12 @@
     }
 }
 
-/// Asks the planner hosted here for something it does not refuse.
+/// Sends a request that the planner never refuses to the planner at this
+/// entry.
 ///
 /// # Errors
 ///
-/// [`Refusal::NotPlanner`] if there is none.
+/// [`Refusal::NotPlanner`] if this entry hosts none.
 pub async fn query_local<T: Send + 'static>(
     shared: &Shared,
     message: impl FnOnce(RpcReplyPort<T>) -> Message,
@@ -62,7 +64,8 @@
     shared.planner.borrow().clone()
 }
 
-/// Where to ask: here, or at another entry.
+/// The location of the planner: this entry, or another one by its address and
+/// connection.
 enum Location {
     Local,
     Remote(String, Arc<jsonrpsee::ws_client::WsClient>),
@@ -80,8 +83,8 @@
     Some(Location::Remote(address, client))
 }
 
-/// Asks until the planner answers or the deadline passes. All that is
-/// asked this way may be asked twice.
+/// Repeats a request until the planner answers or the deadline passes. All
+/// requests sent this way are idempotent.
 async fn retry_until<T, F>(
     deadline: Instant,
     mut ask: impl FnMut() -> F,
@@ -123,11 +126,11 @@
     }
 }
 
-/// Has the planner take a job in.
+/// Asks the planner to admit a job.
 ///
 /// # Errors
 ///
-/// As the planner refuses, or if it is not reached by the deadline.
+/// If the planner refuses, or cannot be reached by the deadline.
 pub async fn admit(
     shared: &Shared,
     admit: Admit,
@@ -155,11 +158,11 @@
     .await
 }
 
-/// Returns a job's status, once it has ended or the wait is over.
+/// Returns a job's status, once the job has ended or the wait times out.
 ///
 /// # Errors
 ///
-/// As the planner refuses, or if it is not reached by the deadline.
+/// If the planner refuses, or cannot be reached by the deadline.
 pub async fn status(
     shared: &Shared,
     wait: Query,
@@ -181,11 +184,11 @@
     .await
 }
 
-/// Takes a job back.
+/// Cancels a job.
 ///
 /// # Errors
 ///
-/// As the planner refuses, or if it is not reached by the deadline.
+/// If the planner refuses, or cannot be reached by the deadline.
 pub async fn cancel(
     shared: &Shared,
     job: job::Id,
@@ -207,11 +210,12 @@
     .await
 }
 
-/// Returns the status of an account's jobs.
+/// Returns the status of an account's jobs, or of all jobs if no account is
+/// given.
 ///
 /// # Errors
 ///
-/// If the planner is not reached by the deadline.
+/// If the planner cannot be reached by the deadline.
 pub async fn list(
     shared: &Shared,
     account: Option<account::Id>,
@@ -243,7 +247,7 @@
 ///
 /// # Errors
 ///
-/// If the planner is not reached by the deadline.
+/// If the planner cannot be reached by the deadline.
 pub async fn cell(
     shared: &Shared,
     deadline: Instant,
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! Answers to the calls of other entries.
+//! Serves the JSON-RPC calls of other entries.
 
 use std::sync::Arc;
 
@@ -18,9 +18,9 @@
 use crate::wire::entry::Refusal;
 use crate::wire::entry::Status;
 
-/// The methods of an entry.
+/// The JSON-RPC methods of an entry.
 pub struct Methods {
-    /// What the parts of the entry share.
+    /// The state of the entry.
     pub shared: Arc<Shared>,
 }
 
--- a/src/wire/entry.rs
+++ b/src/wire/entry.rs
@@ -95,7 +95,7 @@
     Conflict,
     /// The store does not answer, and the job may not proceed without being
     /// recorded there.
-    #[error("the store does not answer; retry with the same id")]
+    #[error("the store does not answer; ask again under the same id")]
     #[serde(rename = "store_down")]
     StoreUnavailable,
     /// The planner knows no job of this id.
