--- a/src/agent/ledger.rs
+++ b/src/agent/ledger.rs
@@ -232,10 +232,10 @@
             return Err(Refusal::NotHeld);
         };
         let mask = hold.gang.members[position].mask;
-        let taken =
+        let unavailable =
             (self.accelerators_in_use() | !self.all_accelerators) & mask;
-        if taken != 0 {
-            return Err(Refusal::AcceleratorsTaken { mask: taken });
+        if unavailable != 0 {
+            return Err(Refusal::AcceleratorsTaken { mask: unavailable });
         }
         let deadline = now + HOLD_DURATION;
         let lead = (position == 0).then(|| Lead::new(&hold.gang, now));
@@ -449,12 +449,12 @@
     /// Removes a gang that has ended here and, at its lead, as a whole. Any
     /// other gang stays.
     pub fn forget(&mut self, id: &gang::Id) {
-        let gone = self.slots.get(id).is_some_and(|slot| {
+        let removable = self.slots.get(id).is_some_and(|slot| {
             let lead_done =
                 slot.lead.as_ref().is_none_or(|l| l.outcome().is_some());
             matches!(slot.phase, Phase::Ended(_)) && lead_done
         });
-        if gone {
+        if removable {
             self.slots.remove(id);
         }
     }
--- a/src/agent/task.rs
+++ b/src/agent/task.rs
@@ -77,8 +77,8 @@
     worker: &str,
 ) -> End {
     let name = id.to_string();
-    let lapsed = tokio::time::Instant::now() + TASK_LEASE;
-    while tokio::time::Instant::now() < lapsed {
+    let lease_end = tokio::time::Instant::now() + TASK_LEASE;
+    while tokio::time::Instant::now() < lease_end {
         match endpoint.stop(&name).await {
             Ok(task) => {
                 if let Some(end) = end_of(&task, worker) {
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -60,12 +60,12 @@
 }
 
 /// The HTTP handler of an entry.
-pub struct CallerApi {
+pub struct Api {
     /// The state of the entry.
     pub shared: Arc<Shared>,
 }
 
-impl Handler for CallerApi {
+impl Handler for Api {
     async fn handle(&self, request: http::Request) -> http::Response {
         let path = request.uri().path().to_owned();
         let parts: Vec<&str> =
@@ -78,7 +78,7 @@
     }
 }
 
-impl CallerApi {
+impl Api {
     async fn handle_jobs(
         &self,
         request: http::Request,
@@ -151,17 +151,17 @@
                 return responses::failure(status, error.to_string());
             }
         };
-        let submit: Submission = match serde_json::from_slice(&body) {
-            Ok(submit) => submit,
+        let submission: Submission = match serde_json::from_slice(&body) {
+            Ok(submission) => submission,
             Err(error) => {
                 let status = StatusCode::BAD_REQUEST;
                 return responses::failure(status, format!("body: {error}"));
             }
         };
-        match self.record(&submit) {
+        match self.record(&submission) {
             Ok(record) => {
                 span.set("job", &record.spec.id);
-                self.admit(record, &submit, span.trace()).await
+                self.admit(record, &submission, span.trace()).await
             }
             Err(problems) => responses::invalid_fields(problems),
         }
@@ -169,18 +169,20 @@
 
     /// Returns the record of the job that a request describes, or the problems
     /// of the request.
-    fn record(&self, submit: &Submission) -> Result<Record, Vec<Problem>> {
-        let Some(template) = self.document.template(&submit.template) else {
+    fn record(&self, submission: &Submission) -> Result<Record, Vec<Problem>> {
+        let Some(template) = self.document.template(&submission.template)
+        else {
             let names: Vec<&str> =
                 self.document.templates.keys().map(|t| &**t).collect();
             let expected = format!("one of {}", names.join(", "));
-            let problem = Problem::new("template", &submit.template, expected);
+            let problem =
+                Problem::new("template", &submission.template, expected);
             return Err(vec![problem]);
         };
         let empty = Value::Object(Default::default());
-        let parameters = submit.parameters.clone().unwrap_or(empty);
+        let parameters = submission.parameters.clone().unwrap_or(empty);
         let mut problems = template.problems(&parameters);
-        let request_id = submit
+        let request_id = submission
             .request_id
             .clone()
             .unwrap_or_else(|| uuid::Uuid::new_v4().simple().to_string());
@@ -195,19 +197,19 @@
             .account
             .never_repeat
             .iter()
-            .any(|name| **name == *submit.template);
+            .any(|name| **name == *submission.template);
         let now = SystemTime::now();
         let spec = job::Spec {
             id: format!("{}.{request_id}", self.id).into(),
             account: self.id.clone(),
-            template: submit.template.as_str().into(),
+            template: submission.template.as_str().into(),
             shape: template.shape,
             declared: template.declared,
             repeatable: template.repeatable && !is_never_repeated,
             checkpoint: template.checkpoint,
             urgent: template.urgent,
             submitted: now,
-            due: submit.due_ms.map(|ms| now + Duration::from_millis(ms)),
+            due: submission.due_ms.map(|ms| now + Duration::from_millis(ms)),
         };
         let nominal = self.shared.nominal_plan.borrow().clone();
         let has_site = !nominal.state().workers.is_empty();
@@ -215,14 +217,14 @@
         if let Some(reason) = refusal.filter(|_| has_site) {
             problems.push(Problem::new(
                 "template",
-                &submit.template,
+                &submission.template,
                 format!("a shape that the site can hold: {reason}"),
             ));
         }
         if !problems.is_empty() {
             return Err(problems);
         }
-        let request = serde_json::json!([submit.template, parameters]);
+        let request = serde_json::json!([submission.template, parameters]);
         Ok(Record {
             spec,
             request: digest::of(request.to_string().as_bytes()),
@@ -240,25 +242,25 @@
     async fn admit(
         &self,
         record: Record,
-        submit: &Submission,
+        submission: &Submission,
         trace: Option<Trace>,
     ) -> http::Response {
         let job = record.spec.id.clone();
         let repeatable = record.spec.repeatable;
-        if let Some(old) = self.read_record(&job).await {
-            match old.request == record.request {
+        if let Some(existing) = self.read_record(&job).await {
+            match existing.request == record.request {
                 false => return responses::conflict(),
                 // The planner is not needed for a job that has ended.
-                true if old.end.is_some() => {
+                true if existing.end.is_some() => {
                     return responses::job_status(
                         StatusCode::OK,
-                        &responses::status_from_record(&old),
+                        &responses::status_from_record(&existing),
                     );
                 }
                 true => {}
             }
         }
-        let permit = match submit.wait {
+        let permit = match submission.wait {
             true => {
                 match self.shared.limits.acquire_wait(&self.id, self.account) {
                     Some(permit) => Some(permit),
@@ -277,10 +279,10 @@
         };
         let admit = Admit {
             record,
-            waits: submit.wait,
+            waits: submission.wait,
             trace,
         };
-        let wait = submit.wait_ms.map(Duration::from_millis);
+        let wait = submission.wait_ms.map(Duration::from_millis);
         let wait = wait.unwrap_or(MAX_WAIT).min(MAX_WAIT);
         let deadline = tokio::time::Instant::now() + wait;
         let admission_deadline = tokio::time::Instant::now() + CALL_TIMEOUT;
@@ -308,11 +310,11 @@
     ) -> http::Response {
         loop {
             let remaining = deadline - tokio::time::Instant::now();
-            let wait = Query {
+            let query = Query {
                 job: job.clone(),
                 timeout_ms: remaining.as_millis() as u64,
             };
-            let status = router::status(self.shared, wait, deadline).await;
+            let status = router::status(self.shared, query, deadline).await;
             match status {
                 Ok(status) if status.end.is_some() => {
                     return responses::job_status(StatusCode::OK, &status);
@@ -325,11 +327,11 @@
                 }
                 Ok(_) => {}
                 Err(Refusal::UnknownJob) => {
-                    if let Some(old) = self.read_record(job).await {
-                        if old.end.is_some() {
+                    if let Some(existing) = self.read_record(job).await {
+                        if existing.end.is_some() {
                             return responses::job_status(
                                 StatusCode::OK,
-                                &responses::status_from_record(&old),
+                                &responses::status_from_record(&existing),
                             );
                         }
                     }
@@ -368,12 +370,12 @@
         if !self.owns(job) {
             return Err(not_found());
         }
-        let wait = Query {
+        let query = Query {
             job: job.into(),
             timeout_ms: 0,
         };
         let deadline = tokio::time::Instant::now() + CALL_TIMEOUT;
-        match router::status(self.shared, wait, deadline).await {
+        match router::status(self.shared, query, deadline).await {
             Ok(status) => Ok(status),
             Err(Refusal::UnknownJob) => {
                 let record = self.read_record(job).await;
--- a/src/entry/claim.rs
+++ b/src/entry/claim.rs
@@ -130,11 +130,11 @@
             // The write may have succeeded without its answer: read the
             // claim back to find out.
             let item = shared.store.get(key).await?;
-            let ours = item.filter(|item| {
+            let own = item.filter(|item| {
                 serde_json::from_slice::<Claim>(&item.value)
-                    .is_ok_and(|theirs| theirs == *claim)
+                    .is_ok_and(|stored| stored == *claim)
             });
-            Ok(ours.map(|item| item.created))
+            Ok(own.map(|item| item.created))
         }
     }
 }
--- a/src/entry/edits.rs
+++ b/src/entry/edits.rs
@@ -104,18 +104,18 @@
 /// If the new value is invalid, another edit changed the item, or the store
 /// does not answer.
 pub async fn apply(shared: &Shared, edit: &Edit) -> Result<Revision, Error> {
-    let mut last = None;
+    let mut last_error = None;
     for _ in 0..MAX_ATTEMPTS {
         match try_apply(shared, edit).await {
             Ok(Some(revision)) => return Ok(revision),
             // Another edit changed the guarantees meanwhile: check again.
-            Ok(None) => last = None,
+            Ok(None) => last_error = None,
             // The next attempt finds the edit if it was written.
-            Err(Error::Store(error)) => last = Some(error),
+            Err(Error::Store(error)) => last_error = Some(error),
             Err(error) => return Err(error),
         }
     }
-    match last {
+    match last_error {
         Some(error) => Err(Error::Store(error)),
         None => Err(Error::Conflict {
             current: None,
@@ -134,8 +134,8 @@
     let key = edit.name.key();
     let find = |key: &str| listing.items.iter().find(|i| i.key == key);
     let item = find(&key);
-    let last = find(config::LAST);
-    if let Some(revision) = applied_revision(item, last, edit) {
+    let last_edit = find(config::LAST);
+    if let Some(revision) = applied_revision(item, last_edit, edit) {
         return Ok(Some(revision));
     }
     let revision = item.map_or(0, |item| item.modified);
@@ -150,9 +150,9 @@
     }
     let mut conditions =
         vec![Compare::Modified(key.clone(), edit.base_revision)];
-    let last = edit.id.clone().into_bytes();
-    let last = Put::Value(config::LAST.to_owned(), last, 0);
-    let mut puts = vec![item_write(key, item, edit), last];
+    let last_edit = edit.id.clone().into_bytes();
+    let last_edit = Put::Value(config::LAST.to_owned(), last_edit, 0);
+    let mut puts = vec![item_write(key, item, edit), last_edit];
     if matches!(edit.name, Name::Account(_)) {
         let modified = guarantees.map_or(0, |item| item.modified);
         let guarantees = config::GUARANTEES.to_owned();
@@ -170,44 +170,48 @@
 /// did.
 fn applied_revision(
     item: Option<&store::Item>,
-    last: Option<&store::Item>,
+    last_edit: Option<&store::Item>,
     edit: &Edit,
 ) -> Option<Revision> {
     let Some(item) = item else {
         // A deleted item keeps no list of edits. Its deletion is recognized
         // only as long as it is the last edit of the whole configuration.
-        let last = last.filter(|_| edit.value == Value::Deleted)?;
-        let ours = last.value == edit.id.as_bytes();
-        return ours.then_some(last.modified);
+        let last_edit = last_edit.filter(|_| edit.value == Value::Deleted)?;
+        let is_applied = last_edit.value == edit.id.as_bytes();
+        return is_applied.then_some(last_edit.modified);
     };
     let value: Item<serde_json::Value> =
         serde_json::from_slice(&item.value).ok()?;
-    let ours = value.edits.iter().any(|made| made.edit == edit.id);
-    ours.then_some(item.modified)
+    let is_applied = value.edits.iter().any(|past| past.edit == edit.id);
+    is_applied.then_some(item.modified)
 }
 
-fn item_write(key: String, old: Option<&store::Item>, edit: &Edit) -> Put {
-    let at = SystemTime::now();
+fn item_write(
+    key: String,
+    previous: Option<&store::Item>,
+    edit: &Edit,
+) -> Put {
+    let time = SystemTime::now();
     let name = edit.id.clone();
     match &edit.value {
         Value::Account(account) => {
-            Put::Value(key, edited_item(old, account, name, at), 0)
+            Put::Value(key, edited_item(previous, account, name, time), 0)
         }
         Value::Template(template) => {
-            Put::Value(key, edited_item(old, template, name, at), 0)
+            Put::Value(key, edited_item(previous, template, name, time), 0)
         }
         Value::Deleted => Put::Delete(key),
     }
 }
 
 fn edited_item<T: Clone + Serialize + DeserializeOwned>(
-    old: Option<&store::Item>,
+    previous: Option<&store::Item>,
     value: &T,
     edit: EditId,
-    at: SystemTime,
+    time: SystemTime,
 ) -> Vec<u8> {
-    let old: Option<Item<T>> =
-        old.and_then(|old| serde_json::from_slice(&old.value).ok());
-    let item = Item::edited(old.as_ref(), value.clone(), edit, at);
+    let previous: Option<Item<T>> = previous
+        .and_then(|previous| serde_json::from_slice(&previous.value).ok());
+    let item = Item::edited(previous.as_ref(), value.clone(), edit, time);
     serde_json::to_vec(&item).unwrap_or_default()
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -162,7 +162,7 @@
         };
         let peers = listener.start(methods.into_rpc());
         let callers_address = shared.config.callers;
-        let api = Arc::new(callers::CallerApi {
+        let api = Arc::new(callers::Api {
             shared: shared.clone(),
         });
         let callers = http::Server::start(callers_address, api)
--- a/src/entry/router.rs
+++ b/src/entry/router.rs
@@ -165,18 +165,19 @@
 /// If the planner refuses, or cannot be reached by the deadline.
 pub async fn status(
     shared: &Shared,
-    wait: Query,
+    query: Query,
     deadline: Instant,
 ) -> Result<Status, Refusal> {
-    let limit = CALL_TIMEOUT + Duration::from_millis(wait.timeout_ms);
+    let limit = CALL_TIMEOUT + Duration::from_millis(query.timeout_ms);
     retry_until(deadline, || async {
-        let wait = wait.clone();
+        let query = query.clone();
         match locate_planner(shared).await {
             Some(Location::Local) => {
-                ask_local(shared, |reply| Message::Status(wait, reply)).await
+                ask_local(shared, |reply| Message::Status(query, reply)).await
             }
             Some(Location::Remote(address, client)) => {
-                call_remote(shared, &address, limit, client.status(wait)).await
+                call_remote(shared, &address, limit, client.status(query))
+                    .await
             }
             None => Err(Refusal::NotPlanner),
         }
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -31,8 +31,11 @@
         Ok(router::ask_local(&self.shared, ask).await)
     }
 
-    async fn status(&self, wait: Query) -> RpcResult<Result<Status, Refusal>> {
-        let ask = |reply| Message::Status(wait, reply);
+    async fn status(
+        &self,
+        query: Query,
+    ) -> RpcResult<Result<Status, Refusal>> {
+        let ask = |reply| Message::Status(query, reply);
         Ok(router::ask_local(&self.shared, ask).await)
     }
 
--- a/src/wire/entry.rs
+++ b/src/wire/entry.rs
@@ -215,7 +215,8 @@
 
     /// Returns a job's status, once the job has ended or the wait times out.
     #[method(name = "status")]
-    async fn status(&self, wait: Query) -> RpcResult<Result<Status, Refusal>>;
+    async fn status(&self, query: Query)
+        -> RpcResult<Result<Status, Refusal>>;
 
     /// Cancels a job.
     #[method(name = "cancel")]
