--- a/crates/landingvalve-cli/src/status.rs
+++ b/crates/landingvalve-cli/src/status.rs
@@ -43,7 +43,7 @@
     outln!(
         "cell {}: planner {} at epoch {}, configuration {}",
         cell.cell,
-        cell.planner,
+        cell.planner_address,
         cell.epoch,
         cell.revision
     );
--- a/crates/landingvalve-cli/src/trial.rs
+++ b/crates/landingvalve-cli/src/trial.rs
@@ -177,7 +177,7 @@
             let up = cell.workers.iter().filter(|w| w.presence == "up");
             let placed = cell.guarantees.iter().all(|g| g.placed);
             if same && up.count() == 11 && placed && view.revision > 0 {
-                return Ok(cell.planner.clone());
+                return Ok(cell.planner_address.clone());
             }
         }
         eyre::ensure!(Instant::now() < deadline, "the site is not ready");
--- a/crates/landingvalve-standin/src/site.rs
+++ b/crates/landingvalve-standin/src/site.rs
@@ -155,8 +155,8 @@
         let agent = Agent::start(agent::Config {
             worker: worker.as_str().into(),
             accelerators: self.plan.accelerators,
-            listen: loopback(),
-            endpoint: endpoint.url(),
+            listen_address: loopback(),
+            endpoint_url: endpoint.url(),
             log: self.log(worker),
         })
         .await
@@ -181,14 +181,14 @@
     pub async fn add_entry(&mut self, name: &str) -> Result<(), Error> {
         let entry = Entry::start(entry::Config {
             name: name.to_owned(),
-            callers: loopback(),
-            peers: loopback(),
-            store: self.store.url(),
-            vms: self.vms.url(),
+            callers_address: loopback(),
+            peers_address: loopback(),
+            store_url: self.store.url(),
+            vms_url: self.vms.url(),
             cell: "site".to_owned(),
             accelerators: self.plan.accelerators,
             policy: self.plan.policy.clone(),
-            operator: digest::of(OPERATOR.as_bytes()),
+            operator_token_digest: digest::of(OPERATOR.as_bytes()),
             log: self.log(name),
         })
         .await
@@ -199,7 +199,7 @@
             state: Stay::Live,
             hall: "h1".into(),
             rack: "h1r1".into(),
-            address: entry.peers().to_owned(),
+            address: entry.peers_address().to_owned(),
         });
         self.entries.insert(name.to_owned(), entry);
         Ok(())
@@ -212,7 +212,7 @@
 
     /// Returns where callers reach an entry.
     pub fn url(&self, entry: &str) -> String {
-        let address = self.entries.get(entry).map(Entry::callers);
+        let address = self.entries.get(entry).map(Entry::callers_address);
         format!("http://{}", address.unwrap_or_else(loopback))
     }
 
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -33,9 +33,9 @@
     /// The number of accelerators of the worker.
     pub accelerators: u32,
     /// The address to listen on.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// The base URL of the endpoint.
-    pub endpoint: String,
+    pub endpoint_url: String,
     /// The logger.
     pub log: slog::Logger,
 }
@@ -76,7 +76,7 @@
         let ledger =
             ledger::Ledger::new(config.worker.clone(), config.accelerators)?;
         let endpoint =
-            endpoint::Client::new(http::Client::new(), &config.endpoint);
+            endpoint::Client::new(http::Client::new(), &config.endpoint_url);
         let (sequence_sender, sequence_receiver) =
             tokio::sync::watch::channel(0);
         let (actor, _) = ractor::Actor::spawn(
@@ -100,12 +100,12 @@
             log: config.log,
         };
         let listen = |source| Error::Listen {
-            address: config.listen,
+            address: config.listen_address,
             source,
         };
         let server = jsonrpsee::server::Server::builder()
             .set_config(server_config())
-            .build(config.listen)
+            .build(config.listen_address)
             .await
             .map_err(listen)?;
         let address = server.local_addr().map_err(listen)?;
--- a/src/bin/landingvalve-entry.rs
+++ b/src/bin/landingvalve-entry.rs
@@ -27,8 +27,8 @@
         ..config
     };
     let entry = Entry::start(config).await?;
-    slog::info!(log, "entry: has started"; "callers" => %entry.callers(),
-        "peers" => entry.peers());
+    slog::info!(log, "entry: has started"; "callers" => %entry.callers_address(),
+        "peers" => entry.peers_address());
     let deadline = program::stopped().await?;
     slog::info!(log, "entry: stops once every request has its answer");
     entry.stop(deadline).await;
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -279,7 +279,7 @@
         };
         let admit = Admit {
             record,
-            waits: submission.wait,
+            caller_waits: submission.wait,
             trace,
         };
         let wait = submission.wait_ms.map(Duration::from_millis);
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -45,13 +45,13 @@
     /// The entry's name.
     pub name: String,
     /// The address for the HTTP requests of callers and operators.
-    pub callers: SocketAddr,
+    pub callers_address: SocketAddr,
     /// The address for the calls of other entries.
-    pub peers: SocketAddr,
+    pub peers_address: SocketAddr,
     /// The base URL of the store.
-    pub store: String,
-    /// The URL of the platform's list of VMs.
-    pub vms: String,
+    pub store_url: String,
+    /// The base URL of the platform's list of VMs.
+    pub vms_url: String,
     /// The name of the cell.
     pub cell: String,
     /// The number of accelerators of each worker.
@@ -59,7 +59,7 @@
     /// The planner's policy, as the operators set it.
     pub policy: Policy,
     /// The digest of the operators' token.
-    pub operator: digest::Hex,
+    pub operator_token_digest: digest::Hex,
     /// The logger.
     pub log: slog::Logger,
 }
@@ -138,15 +138,15 @@
         let nominal_plan = Arc::new(Plan::new(site, config.policy.clone()));
         let listener = jsonrpsee::server::Server::builder()
             .set_config(crate::agent::server_config())
-            .build(config.peers)
+            .build(config.peers_address)
             .await
-            .map_err(|source| listen_error(config.peers, source))?;
+            .map_err(|source| listen_error(config.peers_address, source))?;
         let address = listener
             .local_addr()
-            .map_err(|source| listen_error(config.peers, source))?;
+            .map_err(|source| listen_error(config.peers_address, source))?;
         let shared = Arc::new(Shared {
             address: address.to_string(),
-            store: store::Client::new(http.clone(), &config.store),
+            store: store::Client::new(http.clone(), &config.store_url),
             document: watch::channel(Arc::default()).0,
             vms: watch::channel(Vec::new()).0,
             nominal_plan: watch::channel(nominal_plan).0,
@@ -161,14 +161,14 @@
             shared: shared.clone(),
         };
         let peers = listener.start(methods.into_rpc());
-        let callers_address = shared.config.callers;
+        let callers_address = shared.config.callers_address;
         let api = Arc::new(callers::Api {
             shared: shared.clone(),
         });
         let callers = http::Server::start(callers_address, api)
             .await
             .map_err(|source| listen_error(callers_address, source))?;
-        let list = vms::Client::new(http, &shared.config.vms);
+        let list = vms::Client::new(http, &shared.config.vms_url);
         let tasks = vec![
             tokio::spawn(listing::follow(shared.clone(), list)),
             tokio::spawn(configuration::follow(shared.clone())),
@@ -184,12 +184,12 @@
     }
 
     /// Returns the address for callers and operators.
-    pub fn callers(&self) -> SocketAddr {
+    pub fn callers_address(&self) -> SocketAddr {
         self.callers.address()
     }
 
     /// Returns the address for other entries.
-    pub fn peers(&self) -> &str {
+    pub fn peers_address(&self) -> &str {
         &self.shared.address
     }
 
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -81,7 +81,7 @@
     }
     let token = callers::bearer_token(&request).unwrap_or_default();
     let token = digest::of(token.as_bytes());
-    if !digest::equal(&token, &shared.config.operator) {
+    if !digest::equal(&token, &shared.config.operator_token_digest) {
         return responses::failure(
             StatusCode::UNAUTHORIZED,
             "authorization: the operators' token is expected",
--- a/src/planner/actor/admission.rs
+++ b/src/planner/actor/admission.rs
@@ -99,7 +99,7 @@
         self.books.insert(Entry::new(record, false, trace));
         // A caller that waits is told nothing before the end, and a job
         // that may repeat does no harm without a record: it starts at once.
-        match admit.waits && spec.repeatable {
+        match admit.caller_waits && spec.repeatable {
             true => {
                 self.step(myself, vec![Event::Submitted { spec }]);
                 self.reply_status(&id, reply);
--- a/src/planner/books.rs
+++ b/src/planner/books.rs
@@ -121,7 +121,7 @@
             self.log.pop_front();
         }
         let text = text.into();
-        self.log.push_back(LogLine { at, text });
+        self.log.push_back(LogLine { time: at, text });
     }
 }
 
--- a/src/planner/view.rs
+++ b/src/planner/view.rs
@@ -30,7 +30,7 @@
     let running = state.jobs.values().filter(|job| job.run().is_some());
     CellView {
         cell: config.cell.clone(),
-        planner: config.address.clone(),
+        planner_address: config.address.clone(),
         epoch,
         revision,
         accelerators: state.site.accelerators(),
--- a/src/settings/agent.rs
+++ b/src/settings/agent.rs
@@ -68,8 +68,8 @@
     let config = Config {
         worker: worker?.into(),
         accelerators: accelerators?,
-        listen: listen?,
-        endpoint: endpoint?,
+        listen_address: listen?,
+        endpoint_url: endpoint?,
         log: crate::log::none(),
     };
     Some((config, common?))
--- a/src/settings/entry.rs
+++ b/src/settings/entry.rs
@@ -113,16 +113,16 @@
     let common = file.common();
     let config = Config {
         name: name?,
-        callers: callers?,
-        peers: peers?,
-        store: store?,
-        vms: vms?,
+        callers_address: callers?,
+        peers_address: peers?,
+        store_url: store?,
+        vms_url: vms?,
         cell: cell?,
         accelerators: accelerators?,
         policy: Policy {
             weight_fragmentation: weight?,
         },
-        operator: operator?,
+        operator_token_digest: operator?,
         log: crate::log::none(),
     };
     Some((config, common?))
--- a/src/wire/entry.rs
+++ b/src/wire/entry.rs
@@ -43,7 +43,8 @@
 pub struct LogLine {
     /// The time of the event.
     #[serde(with = "crate::util::time_ms")]
-    pub at: SystemTime,
+    #[serde(rename = "at")]
+    pub time: SystemTime,
     /// A description for the caller.
     pub text: String,
 }
@@ -110,7 +111,8 @@
     /// The job to admit.
     pub record: Record,
     /// Whether the caller waits for the job's end.
-    pub waits: bool,
+    #[serde(rename = "waits")]
+    pub caller_waits: bool,
     /// The parent span, if the request is traced.
     #[serde(default)]
     pub trace: Option<Trace>,
@@ -186,7 +188,8 @@
     /// The cell's name.
     pub cell: String,
     /// The address of the entry that hosts the planner.
-    pub planner: String,
+    #[serde(rename = "planner")]
+    pub planner_address: String,
     /// The planner's epoch.
     pub epoch: Epoch,
     /// The revision of the configuration in force at the planner.
--- a/tests/it/settings.rs
+++ b/tests/it/settings.rs
@@ -57,7 +57,7 @@
         let copy = File::new(site, &printed);
         let (again, _) = settings::entry::read(&copy.0).expect(site);
         assert_eq!(config.policy, again.policy);
-        assert_eq!(config.callers, again.callers);
+        assert_eq!(config.callers_address, again.callers_address);
         let path = root.join(site).join("agent.ini");
         settings::agent::read(&path).expect(site);
     }
