--- a/src/agent/actor.rs
+++ b/src/agent/actor.rs
@@ -261,13 +261,13 @@
             }
             Message::Halt(id) => return self.ledger.halt(&id, now),
             Message::Forget(forget, reply) => {
-                let admitted = self.ledger.check_fence(forget.fence);
+                let checked = self.ledger.check_fence(forget.fence);
                 let refused =
-                    matches!(admitted, Err(Refusal::StaleEpoch { .. }));
+                    matches!(checked, Err(Refusal::StaleEpoch { .. }));
                 if !refused {
                     self.forget(forget.gangs);
                 }
-                let _ = reply.send(admitted);
+                let _ = reply.send(checked);
             }
             Message::Outcome(id, reply) => {
                 let slot = self.ledger.slot(&id);
@@ -277,8 +277,8 @@
             Message::Changes(fence, since, reply) => {
                 let _ = reply.send(self.view(fence, since, now));
             }
-            Message::TasksPolled(asked, tasks) => {
-                return self.process_poll(asked, tasks, now);
+            Message::TasksPolled(polled, tasks) => {
+                return self.process_poll(polled, tasks, now);
             }
             Message::Leave => self.ledger.leave(),
             Message::IsIdle(reply) => {
@@ -307,8 +307,8 @@
     ) -> Result<LedgerView, Refusal> {
         // A planner with an older configuration may read. Its next hold or
         // launch is refused.
-        let admitted = self.ledger.check_fence(fence);
-        if let Err(refusal @ Refusal::StaleEpoch { .. }) = admitted {
+        let checked = self.ledger.check_fence(fence);
+        if let Err(refusal @ Refusal::StaleEpoch { .. }) = checked {
             return Err(refusal);
         }
         Ok(LedgerView {
@@ -362,14 +362,14 @@
         let endpoint = self.endpoint.clone();
         let myself = myself.clone();
         tokio::spawn(async move {
-            let known = endpoint.renew(&tasks).await.ok();
-            let _ = myself.cast(Message::TasksPolled(tasks, known));
+            let answer = endpoint.renew(&tasks).await.ok();
+            let _ = myself.cast(Message::TasksPolled(tasks, answer));
         });
     }
 
     fn process_poll(
         &mut self,
-        asked: Vec<TaskId>,
+        polled: Vec<TaskId>,
         tasks: Option<Vec<Task>>,
         now: Instant,
     ) -> Vec<Effect> {
@@ -396,7 +396,7 @@
             let end = match tasks.iter().find(|task| task.task == name) {
                 Some(task) => task::end_of(task, &worker),
                 // The endpoint was asked for the task and does not know it.
-                None if asked.contains(&name) => {
+                None if polled.contains(&name) => {
                     Some(End::new(Ending::Lost, Some(worker.clone())))
                 }
                 None => None,
--- a/src/agent/serve.rs
+++ b/src/agent/serve.rs
@@ -68,8 +68,8 @@
         &self,
         message: impl FnOnce(RpcReplyPort<T>) -> Message,
     ) -> RpcResult<T> {
-        let asked = self.actor.call(message, None).await;
-        match asked {
+        let result = self.actor.call(message, None).await;
+        match result {
             Ok(ractor::rpc::CallResult::Success(answer)) => Ok(answer),
             _ => Err(ErrorObjectOwned::owned(
                 ACTOR_STOPPED_CODE,
@@ -233,8 +233,8 @@
         &self,
         watch: Watch,
     ) -> RpcResult<Result<Changes, Refusal>> {
-        let waits = Duration::from_millis(watch.timeout_ms);
-        let deadline = Instant::now() + waits.min(MAX_WATCH);
+        let timeout = Duration::from_millis(watch.timeout_ms);
+        let deadline = Instant::now() + timeout.min(MAX_WATCH);
         let mut sequence = self.sequence_receiver.clone();
         // A first call returns at once, even if there are no entries.
         while watch.since != 0 && *sequence.borrow_and_update() <= watch.since
--- a/src/entry/claim.rs
+++ b/src/entry/claim.rs
@@ -28,9 +28,9 @@
 /// The lease of a claim: the time that a claim lasts without renewal.
 const CLAIM_LEASE: Duration = Duration::from_secs(3);
 /// The interval at which a claim is renewed.
-const RENEW_INTERVAL: Duration = Duration::from_millis(900);
-/// The maximum delay after an error of the store, and between two looks for
-/// the next planner's claim while this entry stops.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(900);
+/// The maximum delay before the claim is read again, after an error of the
+/// store, or while this entry stops and there is no claim.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
 /// The maximum duration of a watch, after which the claim is read again.
 const MAX_WATCH: Duration = Duration::from_secs(10);
@@ -198,7 +198,7 @@
 /// claim the cell either.
 async fn renew_until_lapsed(shared: &Shared, lease: LeaseId) {
     loop {
-        tokio::time::sleep(RENEW_INTERVAL).await;
+        tokio::time::sleep(RENEWAL_INTERVAL).await;
         if let Ok(false) = shared.store.keep_alive(lease).await {
             return;
         }
--- a/src/entry/edits.rs
+++ b/src/entry/edits.rs
@@ -152,7 +152,7 @@
         vec![Compare::Modified(key.clone(), edit.base_revision)];
     let last_edit = edit.id.clone().into_bytes();
     let last_edit = Put::Value(config::LAST.to_owned(), last_edit, 0);
-    let mut puts = vec![item_write(key, item, edit), last_edit];
+    let mut puts = vec![item_mutation(key, item, edit), last_edit];
     if matches!(edit.name, Name::Account(_)) {
         let modified = guarantees.map_or(0, |item| item.modified);
         let guarantees = config::GUARANTEES.to_owned();
@@ -186,7 +186,7 @@
     is_applied.then_some(item.modified)
 }
 
-fn item_write(
+fn item_mutation(
     key: String,
     previous: Option<&store::Item>,
     edit: &Edit,
--- a/src/entry/responses.rs
+++ b/src/entry/responses.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Returns a response with a job's status, with the job's headers.
+/// Returns a response with a job's status as its body, and the job's headers.
 pub fn job_status(code: StatusCode, status: &Status) -> http::Response {
     let mut response = http::json(code, status);
     set_job_headers(&mut response, status);
--- a/src/wire/agent.rs
+++ b/src/wire/agent.rs
@@ -18,8 +18,9 @@
 /// The number of a change of an agent's ledger; each change increments it.
 pub type Sequence = u64;
 
-/// The fencing token of a planner's request: an agent rejects requests with
-/// an older token than the newest that it has seen.
+/// The fencing token of a planner's request. An agent refuses all requests of
+/// an epoch older than the highest that it has seen, and holds and launches
+/// under a configuration older than the highest that it has seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fence {
     /// The planner's epoch.
--- a/src/wire/entry.rs
+++ b/src/wire/entry.rs
@@ -42,8 +42,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogLine {
     /// The time of the event.
-    #[serde(with = "crate::util::time_ms")]
-    #[serde(rename = "at")]
+    #[serde(rename = "at", with = "crate::util::time_ms")]
     pub time: SystemTime,
     /// A description for the caller.
     pub text: String,
--- a/src/wire/gang.rs
+++ b/src/wire/gang.rs
@@ -17,7 +17,7 @@
 pub struct Id {
     /// The job.
     pub job: job::Id,
-    /// The epoch of the planner that started it.
+    /// The epoch of the planner that started the gang.
     pub epoch: Epoch,
     /// The number of this start within the epoch.
     pub attempt: job::Attempt,
