--- a/src/agent/keeper.rs
+++ b/src/agent/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the ledger and carries out its effects.
+//! The actor that owns the ledger and executes its effects.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 use crate::agent::ledger::Effect;
 use crate::agent::ledger::Ledger;
-use crate::agent::slot::Place;
+use crate::agent::slot::Phase;
 use crate::agent::task;
 use crate::endpoint;
 use crate::endpoint::Task;
@@ -21,37 +21,39 @@
 use crate::telemetry::metrics;
 use crate::telemetry::Span;
 use crate::wire::agent::AgentClient;
-use crate::wire::agent::Answer;
 use crate::wire::agent::Entry;
 use crate::wire::agent::Fence;
 use crate::wire::agent::Forget;
 use crate::wire::agent::Hold;
 use crate::wire::agent::Launch;
 use crate::wire::agent::Refusal;
+use crate::wire::agent::Reply;
 use crate::wire::agent::Report;
 use crate::wire::agent::Sequence;
 use crate::wire::agent::Stop;
 use crate::wire::gang;
+use crate::wire::gang::Decision;
 use crate::wire::gang::End;
 use crate::wire::gang::Ending;
 use crate::wire::gang::Gang;
-use crate::wire::gang::Verdict;
 use crate::wire::link;
 
-/// How often the ledger looks at its deadlines.
-const TICK: Duration = Duration::from_millis(250);
-/// How often the endpoint is asked for its tasks.
-const POLL: Duration = Duration::from_millis(150);
-/// How often it is asked while a task is young: short ones end soon.
-const POLL_YOUNG: Duration = Duration::from_millis(20);
-/// Until what age a task is young.
-const YOUNG: Duration = Duration::from_secs(1);
-/// The entries that changed, and whether the worker is all there.
+/// The interval at which the ledger checks its deadlines.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// The interval at which the endpoint is polled for the state of tasks.
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
+/// The interval of polls while a task is young, so that the end of a short
+/// task is noticed soon.
+const YOUNG_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The age below which a task is young.
+const YOUNG_AGE: Duration = Duration::from_secs(1);
+
+/// The changes of the ledger and the state of the worker.
 #[derive(Clone, Debug)]
-pub struct View {
+pub struct LedgerView {
     /// The number of the last change.
     pub sequence: Sequence,
-    /// Whether the worker is leaving.
+    /// Whether the worker is leaving and accepts no new work.
     pub leaving: bool,
     /// Whether the endpoint has stopped answering.
     pub endpoint_lost: bool,
@@ -59,98 +61,99 @@
     pub entries: Vec<Entry>,
 }
 
-/// What the keeper is told and asked.
+/// A message to the ledger's actor.
 pub enum Message {
-    /// A planner asks to keep accelerators.
-    Hold(Box<Hold>, RpcReplyPort<Answer>),
-    /// A planner asks the lead to decide.
+    /// A planner asks to hold accelerators.
+    Hold(Box<Hold>, RpcReplyPort<Reply>),
+    /// A planner asks this lead to decide that a gang runs.
     Launch(Launch, RpcReplyPort<Result<Gang, Refusal>>),
-    /// A lead says to begin: the gang, if the endpoint must be asked.
+    /// The lead asks to begin. The reply holds the gang if its task still has
+    /// to be started at the endpoint.
     Begin(gang::Id, RpcReplyPort<Result<Option<Box<Gang>>, Refusal>>),
-    /// The span of a task that is being started.
-    Span(gang::Id, Span),
+    /// A task that is being started has this span.
+    TaskSpan(gang::Id, Span),
     /// The endpoint has started a task.
-    Begun(gang::Id),
+    TaskBegun(gang::Id),
     /// A task has ended.
-    Ended(gang::Id, End),
+    TaskEnded(gang::Id, End),
     /// A member reports to this lead.
-    Report(Report, RpcReplyPort<Verdict>),
-    /// The lead of a gang has answered.
-    Told(gang::Id, Verdict),
+    Report(Report, RpcReplyPort<Decision>),
+    /// The lead of a gang has answered a report with its decision.
+    LeadDecided(gang::Id, Decision),
     /// A planner stops a gang.
-    Stop(Stop, RpcReplyPort<Answer>),
-    /// A gang is to be halted.
+    Stop(Stop, RpcReplyPort<Reply>),
+    /// A gang has to halt: its lead asked, or a start failed.
     Halt(gang::Id),
-    /// Gangs may be forgotten.
-    Forget(Forget, RpcReplyPort<Answer>),
-    /// How a whole gang ended, if it has.
+    /// A planner allows gangs to be forgotten.
+    Forget(Forget, RpcReplyPort<Reply>),
+    /// Asks for the end of a whole gang that this worker leads.
     Outcome(gang::Id, RpcReplyPort<Option<End>>),
     /// A planner asks for changes.
-    Changes(Fence, Sequence, RpcReplyPort<Result<View, Refusal>>),
-    /// The endpoint answered with the tasks that it knows.
-    Polled(Vec<TaskId>, Option<Vec<Task>>),
-    /// No new work from now on.
+    Changes(Fence, Sequence, RpcReplyPort<Result<LedgerView, Refusal>>),
+    /// A poll of these tasks is over; `None` if the endpoint did not answer.
+    TasksPolled(Vec<TaskId>, Option<Vec<Task>>),
+    /// The worker leaves: the ledger accepts no new work.
     Leave,
-    /// Whether nothing is held or runs.
+    /// Asks whether nothing is held or runs.
     IsIdle(RpcReplyPort<bool>),
-    /// Deadlines may have passed.
+    /// The ledger checks its deadlines.
     Tick,
-    /// The endpoint is to be asked for its tasks.
+    /// The endpoint is polled.
     Poll,
 }
 
-/// What the keeper starts with.
-pub struct Start {
+/// The arguments of the actor's start.
+pub struct Arguments {
     /// An empty ledger.
     pub ledger: Ledger,
     /// The endpoint.
     pub endpoint: endpoint::Client,
-    /// Where the number of the last change is shown.
-    pub seen: watch::Sender<Sequence>,
-    /// Where logs go.
+    /// The channel on which the number of the last change is published.
+    pub sequence_sender: watch::Sender<Sequence>,
+    /// The logger.
     pub log: slog::Logger,
 }
 
 /// The actor that owns the ledger.
-pub struct Keeper;
+pub struct LedgerActor;
 
-/// The ledger and what its effects need.
+/// The ledger and the connections that its effects use.
 pub struct State {
     ledger: Ledger,
     endpoint: endpoint::Client,
     pool: link::Pool,
-    seen: watch::Sender<Sequence>,
-    endpoint_heard: Instant,
+    sequence_sender: watch::Sender<Sequence>,
+    last_endpoint_answer: Instant,
     endpoint_lost: bool,
     polling: bool,
     spans: BTreeMap<gang::Id, Span>,
     log: slog::Logger,
 }
 
-impl Actor for Keeper {
+impl Actor for LedgerActor {
     type Msg = Message;
     type State = State;
-    type Arguments = Start;
+    type Arguments = Arguments;
 
     async fn pre_start(
         &self,
         myself: ActorRef<Message>,
-        start: Start,
+        arguments: Arguments,
     ) -> Result<State, ActorProcessingErr> {
         let mut state = State {
-            ledger: start.ledger,
-            endpoint: start.endpoint,
+            ledger: arguments.ledger,
+            endpoint: arguments.endpoint,
             pool: link::Pool::new(),
-            seen: start.seen,
-            endpoint_heard: Instant::now(),
+            sequence_sender: arguments.sequence_sender,
+            last_endpoint_answer: Instant::now(),
             endpoint_lost: false,
             polling: false,
             spans: BTreeMap::new(),
-            log: start.log,
+            log: arguments.log,
         };
-        state.adopt().await;
-        myself.send_interval(TICK, || Message::Tick);
-        myself.send_after(POLL, || Message::Poll);
+        state.adopt_tasks().await;
+        myself.send_interval(TICK_INTERVAL, || Message::Tick);
+        myself.send_after(POLL_INTERVAL, || Message::Poll);
         Ok(state)
     }
 
@@ -161,15 +164,15 @@
         state: &mut State,
     ) -> Result<(), ActorProcessingErr> {
         let now = Instant::now();
-        let effects = state.take(&myself, message, now);
+        let effects = state.handle(&myself, message, now);
         for effect in effects {
-            state.carry_out(&myself, effect);
+            state.execute(&myself, effect);
         }
         state.end_spans();
         let sequence = state.ledger.sequence();
-        state.seen.send_if_modified(|seen| {
-            let changed = *seen != sequence;
-            *seen = sequence;
+        state.sequence_sender.send_if_modified(|sent| {
+            let changed = *sent != sequence;
+            *sent = sequence;
             changed
         });
         Ok(())
@@ -183,12 +186,12 @@
         self.spans.retain(|id, _| {
             ledger
                 .slot(id)
-                .is_some_and(|slot| !matches!(slot.place, Place::Ended(_)))
+                .is_some_and(|slot| !matches!(slot.phase, Phase::Ended(_)))
         });
     }
 
-    /// Takes over the tasks found at the endpoint.
-    async fn adopt(&mut self) {
+    /// Adopts the tasks found at the endpoint: their notes hold their gangs.
+    async fn adopt_tasks(&mut self) {
         let tasks = self.endpoint.list().await.unwrap_or_default();
         let now = Instant::now();
         for task in tasks {
@@ -196,15 +199,15 @@
                 continue;
             };
             let id = gang.id.clone();
-            slog::info!(self.log, "agent: adopts task {}", task.task);
+            slog::info!(self.log, "agent: adopting task {}", task.task);
             self.ledger.adopt(gang, now);
             if let Some(end) = task::end_of(&task, self.ledger.worker()) {
-                self.ledger.ended(&id, end, now);
+                self.ledger.record_task_end(&id, end, now);
             }
         }
     }
 
-    fn take(
+    fn handle(
         &mut self,
         myself: &ActorRef<Message>,
         message: Message,
@@ -227,22 +230,23 @@
                         .map(|slot| Box::new(slot.gang.clone()))
                 }));
             }
-            Message::Span(id, span) => {
+            Message::TaskSpan(id, span) => {
                 self.spans.insert(id, span);
             }
-            Message::Begun(id) => self.ledger.begun(&id, now),
-            Message::Ended(id, end) => {
+            Message::TaskBegun(id) => self.ledger.record_task_start(&id, now),
+            Message::TaskEnded(id, end) => {
                 slog::info!(self.log, "agent: task {id} ended";
                     "how" => ?end.ending);
-                return self.ledger.ended(&id, end, now);
+                return self.ledger.record_task_end(&id, end, now);
             }
             Message::Report(report, reply) => {
-                let (verdict, effects) = self.ledger.report(report, now);
-                let _ = reply.send(verdict);
+                let (decision, effects) =
+                    self.ledger.handle_report(report, now);
+                let _ = reply.send(decision);
                 return effects;
             }
-            Message::Told(id, verdict) => {
-                return self.ledger.told(&id, verdict, now);
+            Message::LeadDecided(id, decision) => {
+                return self.ledger.apply_decision(&id, decision, now);
             }
             Message::Stop(stop, reply) => {
                 match self.ledger.stop(stop.fence, &stop.gang, now) {
@@ -257,12 +261,13 @@
             }
             Message::Halt(id) => return self.ledger.halt(&id, now),
             Message::Forget(forget, reply) => {
-                let admitted = self.ledger.admit(forget.fence);
-                let refused = matches!(admitted, Err(Refusal::Epoch { .. }));
+                let checked = self.ledger.check_fence(forget.fence);
+                let refused =
+                    matches!(checked, Err(Refusal::StaleEpoch { .. }));
                 if !refused {
                     self.forget(forget.gangs);
                 }
-                let _ = reply.send(admitted);
+                let _ = reply.send(checked);
             }
             Message::Outcome(id, reply) => {
                 let slot = self.ledger.slot(&id);
@@ -272,15 +277,15 @@
             Message::Changes(fence, since, reply) => {
                 let _ = reply.send(self.view(fence, since, now));
             }
-            Message::Polled(asked, tasks) => {
-                return self.polled(asked, tasks, now);
+            Message::TasksPolled(polled, tasks) => {
+                return self.process_poll(polled, tasks, now);
             }
             Message::Leave => self.ledger.leave(),
             Message::IsIdle(reply) => {
                 let _ = reply.send(self.ledger.is_idle());
             }
             Message::Tick => {
-                let held = self.ledger.taken().count_ones();
+                let held = self.ledger.accelerators_in_use().count_ones();
                 let worker = self.ledger.worker().to_string();
                 let label = KeyValue::new("worker", worker);
                 metrics::get().held.record(u64::from(held), &[label]);
@@ -288,7 +293,7 @@
             }
             Message::Poll => {
                 self.poll(myself, now);
-                myself.send_after(self.next_poll(now), || Message::Poll);
+                myself.send_after(self.poll_delay(now), || Message::Poll);
             }
         }
         Vec::new()
@@ -299,14 +304,14 @@
         fence: Fence,
         since: Sequence,
         now: Instant,
-    ) -> Result<View, Refusal> {
-        // A planner with an older configuration may look, and learns so
-        // from what it tries next.
-        let admitted = self.ledger.admit(fence);
-        if let Err(refusal @ Refusal::Epoch { .. }) = admitted {
+    ) -> Result<LedgerView, Refusal> {
+        // A planner with an older configuration may read. Its next hold or
+        // launch is refused.
+        let checked = self.ledger.check_fence(fence);
+        if let Err(refusal @ Refusal::StaleEpoch { .. }) = checked {
             return Err(refusal);
         }
-        Ok(View {
+        Ok(LedgerView {
             sequence: self.ledger.sequence(),
             leaving: self.ledger.is_leaving(),
             endpoint_lost: self.endpoint_lost,
@@ -326,29 +331,29 @@
         }
     }
 
-    fn next_poll(&self, now: Instant) -> Duration {
-        let is_young = |place: &Place| match place {
-            Place::Beginning { .. } => true,
-            Place::Begun { since } => now.duration_since(*since) < YOUNG,
+    fn poll_delay(&self, now: Instant) -> Duration {
+        let is_young = |phase: &Phase| match phase {
+            Phase::Beginning { .. } => true,
+            Phase::Begun { since } => now.duration_since(*since) < YOUNG_AGE,
             _ => false,
         };
         let mut running = self.ledger.running();
-        match running.any(|slot| is_young(&slot.place)) {
-            true => POLL_YOUNG,
-            false => POLL,
+        match running.any(|slot| is_young(&slot.phase)) {
+            true => YOUNG_POLL_INTERVAL,
+            false => POLL_INTERVAL,
         }
     }
 
-    /// Renews the leases of tasks and learns which have ended.
+    /// Renews the leases of running tasks and reads their states.
     fn poll(&mut self, myself: &ActorRef<Message>, now: Instant) {
         let tasks: Vec<TaskId> = self
             .ledger
             .running()
-            .filter(|slot| matches!(slot.place, Place::Begun { .. }))
+            .filter(|slot| matches!(slot.phase, Phase::Begun { .. }))
             .map(|slot| slot.gang.id.to_string())
             .collect();
         if tasks.is_empty() {
-            self.endpoint_heard = now;
+            self.last_endpoint_answer = now;
         }
         if tasks.is_empty() || self.polling {
             return;
@@ -357,32 +362,32 @@
         let endpoint = self.endpoint.clone();
         let myself = myself.clone();
         tokio::spawn(async move {
-            let known = endpoint.renew(&tasks).await.ok();
-            let _ = myself.cast(Message::Polled(tasks, known));
+            let answer = endpoint.renew(&tasks).await.ok();
+            let _ = myself.cast(Message::TasksPolled(tasks, answer));
         });
     }
 
-    fn polled(
+    fn process_poll(
         &mut self,
-        asked: Vec<TaskId>,
+        polled: Vec<TaskId>,
         tasks: Option<Vec<Task>>,
         now: Instant,
     ) -> Vec<Effect> {
         self.polling = false;
         let Some(tasks) = tasks else {
-            let silent = now.duration_since(self.endpoint_heard);
-            return match silent >= task::LEASE {
-                true => self.lose_endpoint(now),
+            let silent = now.duration_since(self.last_endpoint_answer);
+            return match silent >= task::TASK_LEASE {
+                true => self.mark_endpoint_lost(now),
                 false => Vec::new(),
             };
         };
-        self.endpoint_heard = now;
+        self.last_endpoint_answer = now;
         self.endpoint_lost = false;
         let worker = self.ledger.worker().clone();
         let ids: Vec<gang::Id> = self
             .ledger
             .running()
-            .filter(|slot| matches!(slot.place, Place::Begun { .. }))
+            .filter(|slot| matches!(slot.phase, Phase::Begun { .. }))
             .map(|slot| slot.gang.id.clone())
             .collect();
         let mut effects = Vec::new();
@@ -390,21 +395,22 @@
             let name = id.to_string();
             let end = match tasks.iter().find(|task| task.task == name) {
                 Some(task) => task::end_of(task, &worker),
-                // It was asked for, and the endpoint does not know it.
-                None if asked.contains(&name) => {
-                    Some(End::of(Ending::Lost, Some(worker.clone())))
+                // The endpoint was asked for the task and does not know it.
+                None if polled.contains(&name) => {
+                    Some(End::new(Ending::Lost, Some(worker.clone())))
                 }
                 None => None,
             };
             if let Some(end) = end {
-                effects.extend(self.ledger.ended(&id, end, now));
+                effects.extend(self.ledger.record_task_end(&id, end, now));
             }
         }
         effects
     }
 
-    /// Takes it that all tasks have stopped: their leases have lapsed.
-    fn lose_endpoint(&mut self, now: Instant) -> Vec<Effect> {
+    /// Records that all tasks have ended: without the endpoint's answers
+    /// their leases have expired.
+    fn mark_endpoint_lost(&mut self, now: Instant) -> Vec<Effect> {
         slog::warn!(self.log, "agent: the endpoint does not answer");
         self.endpoint_lost = true;
         let worker = self.ledger.worker().clone();
@@ -412,27 +418,33 @@
             self.ledger.running().map(|s| s.gang.id.clone()).collect();
         ids.into_iter()
             .flat_map(|id| {
-                let end = End::of(Ending::Lost, Some(worker.clone()));
-                self.ledger.ended(&id, end, now)
+                let end = End::new(Ending::Lost, Some(worker.clone()));
+                self.ledger.record_task_end(&id, end, now)
             })
             .collect()
     }
 
-    fn carry_out(&self, myself: &ActorRef<Message>, effect: Effect) {
+    fn execute(&self, myself: &ActorRef<Message>, effect: Effect) {
         match effect {
             Effect::StartTask(id) => self.start_task(myself, id),
             Effect::StopTask(id) => self.stop_task(myself, id),
-            Effect::TellLead { address, report } => {
-                self.tell_lead(myself, address, report)
+            Effect::ReportToLead { address, report } => {
+                self.report_to_lead(myself, address, report)
             }
             Effect::HaltMember { address, gang } => {
                 let pool = self.pool.clone();
                 tokio::spawn(async move {
-                    // A member that is not reached learns it when it next
-                    // reports, or stops when it cannot.
+                    // A member that cannot be reached gets the decision as
+                    // the answer to its next report, or stops if it cannot
+                    // report.
                     if let Ok(client) = pool.get(&address).await {
                         let call = client.halt(gang);
-                        let _ = link::within(&address, link::CALL, call).await;
+                        let _ = link::with_timeout(
+                            &address,
+                            link::CALL_TIMEOUT,
+                            call,
+                        )
+                        .await;
                     }
                 });
             }
@@ -458,11 +470,11 @@
         let myself = myself.clone();
         tokio::spawn(async move {
             let end = task::stop(&endpoint, &id, &worker).await;
-            let _ = myself.cast(Message::Ended(id, end));
+            let _ = myself.cast(Message::TaskEnded(id, end));
         });
     }
 
-    fn tell_lead(
+    fn report_to_lead(
         &self,
         myself: &ActorRef<Message>,
         address: String,
@@ -476,11 +488,12 @@
             };
             let gang = report.gang.clone();
             let call = client.report(report);
-            match link::within(&address, link::CALL, call).await {
-                Ok(verdict) => {
-                    let _ = myself.cast(Message::Told(gang, verdict));
+            match link::with_timeout(&address, link::CALL_TIMEOUT, call).await
+            {
+                Ok(decision) => {
+                    let _ = myself.cast(Message::LeadDecided(gang, decision));
                 }
-                Err(_) => pool.drop(&address),
+                Err(_) => pool.remove(&address),
             }
         });
     }
--- a/src/agent/lead.rs
+++ b/src/agent/lead.rs
@@ -1,128 +1,131 @@
-//! What the lead of a gang keeps: the one decision, and who was heard.
+//! The state of a gang at its lead: the decision whether the gang runs, and
+//! the last report and the end of each member.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::agent::ledger::gang_lease;
+use crate::wire::gang::Decision;
 use crate::wire::gang::End;
 use crate::wire::gang::Ending;
 use crate::wire::gang::Gang;
-use crate::wire::gang::Verdict;
 
-/// How long after its own hold the lead may still decide to run a gang.
+/// The time after its own hold in which the lead may decide to run a gang.
 ///
-/// It is well before a member's hold ends, so that a member is asked to
-/// begin before it has to ask.
-pub const DECIDE: Duration = Duration::from_secs(4);
+/// The window closes well before a member's hold expires, so that members
+/// are asked to begin before they have to ask for the decision.
+pub const DECISION_WINDOW: Duration = Duration::from_secs(4);
 
-/// The lead's part of a gang.
+/// The state of a gang at its lead.
 #[derive(Clone, Debug)]
 pub struct Lead {
-    decided: Option<Verdict>,
-    ran: bool,
+    decision: Option<Decision>,
+    ever_ran: bool,
     decide_by: Instant,
     members: Vec<Member>,
-    /// The first end that was not a good one.
-    broken: Option<End>,
+    /// The first end of a member that was not [`Ending::Done`].
+    first_failure: Option<End>,
 }
 
 #[derive(Clone, Debug)]
 struct Member {
-    heard: Instant,
+    last_contact: Instant,
     end: Option<End>,
 }
 
 impl Lead {
-    /// Returns the part of a gang that is not decided.
+    /// Creates the state of a gang that is not decided.
     pub fn new(gang: &Gang, now: Instant) -> Lead {
         let member = Member {
-            heard: now,
+            last_contact: now,
             end: None,
         };
         Lead {
-            decided: None,
-            ran: false,
-            decide_by: now + DECIDE,
+            decision: None,
+            ever_ran: false,
+            decide_by: now + DECISION_WINDOW,
             members: vec![member; gang.members.len()],
-            broken: None,
+            first_failure: None,
         }
     }
 
-    /// Returns the part of a gang whose task was found running.
+    /// Creates the state of a gang whose task was found running.
     pub fn adopted(gang: &Gang, now: Instant) -> Lead {
         Lead {
-            decided: Some(Verdict::Run),
-            ran: true,
+            decision: Some(Decision::Run),
+            ever_ran: true,
             ..Lead::new(gang, now)
         }
     }
 
-    /// Decides that the gang runs, unless it was decided or is too late.
-    pub fn decide(&mut self, now: Instant) -> Verdict {
-        let verdict = match self.decided {
-            Some(verdict) => verdict,
-            None if now <= self.decide_by => Verdict::Run,
-            None => Verdict::Halt,
+    /// Decides that the gang runs, unless it was decided before or the
+    /// decision window has closed; returns the decision.
+    pub fn decide(&mut self, now: Instant) -> Decision {
+        let decision = match self.decision {
+            Some(decision) => decision,
+            None if now <= self.decide_by => Decision::Run,
+            None => Decision::Halt,
         };
         for member in &mut self.members {
-            member.heard = now;
+            member.last_contact = now;
         }
-        self.decided = Some(verdict);
-        self.ran |= verdict == Verdict::Run;
-        verdict
+        self.decision = Some(decision);
+        self.ever_ran |= decision == Decision::Run;
+        decision
     }
 
     /// Returns whether the gang was ever decided to run.
     pub fn has_run(&self) -> bool {
-        self.ran
+        self.ever_ran
     }
 
-    /// Returns the verdict. Who asks before there is one decides: it halts.
-    pub fn verdict(&mut self) -> Verdict {
-        *self.decided.get_or_insert(Verdict::Halt)
+    /// Returns the decision. If there is none yet, the gang is decided to
+    /// halt.
+    pub fn decision_or_halt(&mut self) -> Decision {
+        *self.decision.get_or_insert(Decision::Halt)
     }
 
-    /// Decides that the gang halts; returns whether that is new.
+    /// Decides that the gang halts; returns whether the decision changed.
     pub fn halt(&mut self) -> bool {
-        self.decided.replace(Verdict::Halt) != Some(Verdict::Halt)
+        self.decision.replace(Decision::Halt) != Some(Decision::Halt)
     }
 
-    /// Returns whether nobody has decided by the time it was due.
-    pub fn is_late(&self, now: Instant) -> bool {
-        self.decided.is_none() && now > self.decide_by
+    /// Returns whether the decision window closed without a decision.
+    pub fn has_missed_decision(&self, now: Instant) -> bool {
+        self.decision.is_none() && now > self.decide_by
     }
 
-    /// Takes in that a member was heard.
-    pub fn hear(&mut self, member: usize, now: Instant) {
+    /// Records that a member has reported.
+    pub fn record_contact(&mut self, member: usize, now: Instant) {
         if let Some(member) = self.members.get_mut(member) {
-            member.heard = now;
+            member.last_contact = now;
         }
     }
 
-    /// Takes in that a member has ended.
-    pub fn ended(&mut self, member: usize, end: End) {
+    /// Records the end of a member's task; only its first end counts.
+    pub fn record_end(&mut self, member: usize, end: End) {
         let good = end.ending == Ending::Done;
-        if !good && self.broken.is_none() {
-            self.broken = Some(end.clone());
+        if !good && self.first_failure.is_none() {
+            self.first_failure = Some(end.clone());
         }
         if let Some(member) = self.members.get_mut(member) {
             member.end.get_or_insert(end);
         }
     }
 
-    /// Returns a member, other than the lead, that has not been heard for
-    /// the gang's lease.
-    pub fn overdue(&self, now: Instant) -> Option<usize> {
-        self.decided?;
+    /// Returns a member, other than the lead, that has neither ended nor
+    /// reported for the gang's lease. There is none before the decision.
+    pub fn overdue_member(&self, now: Instant) -> Option<usize> {
+        self.decision?;
         let lease = gang_lease(self.members.len());
         (1..self.members.len()).find(|&at| {
             let member = &self.members[at];
-            let silent = now.saturating_duration_since(member.heard);
+            let silent = now.saturating_duration_since(member.last_contact);
             member.end.is_none() && silent >= lease
         })
     }
 
-    /// Returns how the whole gang ended, once every member has.
+    /// Returns the end of the whole gang, once every member has ended.
     pub fn outcome(&self) -> Option<End> {
         let ends: Option<Vec<&End>> =
             self.members.iter().map(|m| m.end.as_ref()).collect();
@@ -131,16 +134,16 @@
         let own = ends[0].clone();
         let kept_ms =
             ends.iter().map(|end| end.kept_ms).min().unwrap_or_default();
-        match &self.broken {
+        match &self.first_failure {
             None => Some(own),
-            Some(_) if !begun => Some(End::of(Ending::NotBegun, None)),
-            Some(broken) => Some(End {
-                ending: match broken.ending {
-                    // Some began and some did not: it ran in part.
+            Some(_) if !begun => Some(End::new(Ending::NotBegun, None)),
+            Some(first_failure) => Some(End {
+                ending: match first_failure.ending {
+                    // Other members began: the gang ran in part.
                     Ending::NotBegun => Ending::Stopped,
                     ending => ending,
                 },
-                worker: broken.worker.clone(),
+                worker: first_failure.worker.clone(),
                 output: None,
                 checkpoint: own.checkpoint.clone(),
                 kept_ms,
--- a/src/agent/ledger.rs
+++ b/src/agent/ledger.rs
@@ -1,23 +1,27 @@
-//! The ledger of one worker: who holds its accelerators, and who runs.
+//! The ledger of one worker: which gangs hold or use its accelerators.
 //!
-//! It has no clock and does no I/O. What it wants done it returns as
-//! [`Effect`]s. It keeps the rules that make gangs whole:
+//! The ledger has no clock and does no I/O: callers pass the time, and the
+//! ledger returns [`Effect`]s to execute. Its rules keep a gang from running
+//! with only some of its members:
 //!
-//! * A member that holds does not let go by itself: when its deadline has
-//!   passed it asks the lead, which decides once. Only if the lead cannot
-//!   be reached for the [`gang_lease`] past that does it let go: a lead that
-//!   decided to run without hearing from it has halted the gang by then.
-//! * A member that runs and cannot reach its lead for as long stops; a lead
-//!   that does not hear from a member for as long halts the gang.
+//! * A member that holds does not release its accelerators by itself. When
+//!   its deadline has passed, the member asks the lead, which decides once.
+//!   Only if the lead cannot be reached for a further [`gang_lease`] does the
+//!   member release: by then a lead that had decided to run has halted the
+//!   gang, because this member did not report.
+//! * A member that runs and cannot reach its lead for a [`gang_lease`] stops.
+//!   A lead that gets no report of a member for a [`gang_lease`] halts the
+//!   gang.
 //!
-//! So nothing that was started in part outlives that lease and two reports.
+//! So a gang that was started only in part runs for no longer than one
+//! [`gang_lease`] and two report intervals.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::agent::lead::Lead;
-use crate::agent::slot::Place;
+use crate::agent::slot::Phase;
 use crate::agent::slot::Slot;
 use crate::site::Mask;
 use crate::site::WorkerId;
@@ -30,56 +34,59 @@
 use crate::wire::agent::Sequence;
 use crate::wire::agent::Stage;
 use crate::wire::gang;
+use crate::wire::gang::Decision;
 use crate::wire::gang::End;
 use crate::wire::gang::Ending;
 use crate::wire::gang::Gang;
-use crate::wire::gang::Verdict;
 use crate::wire::Epoch;
 
-/// How long a hold stands before the lead is asked.
-pub const HOLD: Duration = Duration::from_secs(6);
-/// How long a small gang stands when its members cannot reach each other.
-pub const GANG_LEASE: Duration = Duration::from_secs(5);
-/// How long an endpoint may take to start a task.
-pub const BEGIN: Duration = Duration::from_secs(5);
-/// How often a member of a small gang reports to its lead.
-pub const REPORT_EVERY: Duration = Duration::from_millis(1500);
-/// How much longer a member waits for each member of its gang: at 520 bytes
-/// a report, all of them cost the lead no more than 21 KB a second.
-const REPORT_EACH: Duration = Duration::from_millis(25);
-/// How many reports may be missed before a member counts as lost.
-const MISSED: u32 = 3;
-
-/// Returns how often a member of a gang of so many reports to its lead.
-pub fn report_every(members: usize) -> Duration {
-    REPORT_EVERY.max(REPORT_EACH * members as u32)
+/// The time that a member holds before it asks its lead for the decision.
+pub const HOLD_DURATION: Duration = Duration::from_secs(6);
+/// The lease of a small gang: how long it continues while its members cannot
+/// reach each other.
+pub const MIN_GANG_LEASE: Duration = Duration::from_secs(5);
+/// The time limit for the endpoint to start a task.
+pub const TASK_START_TIMEOUT: Duration = Duration::from_secs(5);
+/// The interval at which a member of a small gang reports to its lead.
+pub const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(1500);
+/// The report interval of a large gang for each of its members: at 520 bytes
+/// a report, all reports together cost the lead at most 21 KB a second.
+const REPORT_INTERVAL_PER_MEMBER: Duration = Duration::from_millis(25);
+/// The number of report intervals without a report after which a member of a
+/// large gang counts as lost.
+const MAX_MISSED_REPORTS: u32 = 3;
+
+/// Returns the interval at which each member of a gang of `members` reports
+/// to the lead.
+pub fn report_interval(members: usize) -> Duration {
+    MIN_REPORT_INTERVAL.max(REPORT_INTERVAL_PER_MEMBER * members as u32)
 }
 
-/// Returns how long a gang of so many stands when its members cannot reach
-/// each other.
+/// Returns the lease of a gang of `members`: how long it continues while its
+/// members cannot reach each other.
 pub fn gang_lease(members: usize) -> Duration {
-    GANG_LEASE.max(report_every(members) * MISSED)
+    MIN_GANG_LEASE.max(report_interval(members) * MAX_MISSED_REPORTS)
 }
 
-/// Something to do.
+/// An action that the ledger asks its owner to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Start the task at the endpoint.
     StartTask(gang::Id),
     /// Stop the task at the endpoint.
     StopTask(gang::Id),
-    /// Tell the lead.
-    TellLead {
-        /// Where it listens.
+    /// Send a report to the lead of a gang.
+    ReportToLead {
+        /// The address of the lead's agent.
         address: String,
-        /// What to tell.
+        /// The report to send.
         report: Report,
     },
-    /// Tell a member to stop.
+    /// Ask a member to stop its task.
     HaltMember {
-        /// Where it listens.
+        /// The address of the member's agent.
         address: String,
-        /// The gang.
+        /// The gang to stop.
         gang: gang::Id,
     },
 }
@@ -88,7 +95,7 @@
 #[derive(Clone, Debug)]
 pub struct Ledger {
     worker: WorkerId,
-    whole: Mask,
+    all_accelerators: Mask,
     epoch: Epoch,
     revision: Revision,
     leaving: bool,
@@ -97,7 +104,7 @@
 }
 
 impl Ledger {
-    /// Returns an empty ledger of a worker with `accelerators`.
+    /// Creates the empty ledger of a worker with `accelerators`.
     ///
     /// # Errors
     ///
@@ -106,15 +113,16 @@
         worker: WorkerId,
         accelerators: u32,
     ) -> Result<Ledger, crate::site::Error> {
-        let whole = crate::site::Site::new(accelerators)?.whole();
+        let all_accelerators = crate::site::Site::new(accelerators)?.whole();
         Ok(Ledger {
             worker,
-            whole,
+            all_accelerators,
             epoch: 0,
             revision: 0,
             leaving: false,
             slots: BTreeMap::new(),
-            // Who has seen nothing yet asks from 0, and is told at once.
+            // A planner that asks for all changes since 0 is answered at
+            // once.
             sequence: 1,
         })
     }
@@ -129,7 +137,7 @@
         self.sequence
     }
 
-    /// Returns the highest epoch and configuration seen.
+    /// Returns the highest epoch and configuration revision seen.
     pub fn fence(&self) -> Fence {
         Fence {
             epoch: self.epoch,
@@ -142,17 +150,17 @@
         self.leaving
     }
 
-    /// Lets no new work in from now on.
+    /// Marks the worker as leaving: new holds are refused.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.sequence += 1;
     }
 
-    /// Returns whether nothing is held or runs here.
+    /// Returns whether no gang holds or runs here.
     pub fn is_idle(&self) -> bool {
         self.slots
             .values()
-            .all(|slot| matches!(slot.place, Place::Ended(_)))
+            .all(|slot| matches!(slot.phase, Phase::Ended(_)))
     }
 
     /// Returns a gang in the ledger.
@@ -160,41 +168,42 @@
         self.slots.get(id)
     }
 
-    /// Returns the gangs whose task runs, or is being started or stopped.
+    /// Returns the gangs whose tasks run, or are being started or stopped.
     pub fn running(&self) -> impl Iterator<Item = &Slot> {
         self.slots.values().filter(|slot| {
             matches!(
-                slot.place,
-                Place::Beginning { .. }
-                    | Place::Begun { .. }
-                    | Place::Halting { .. }
+                slot.phase,
+                Phase::Beginning { .. }
+                    | Phase::Begun { .. }
+                    | Phase::Halting { .. }
             )
         })
     }
 
     /// Returns the accelerators that are held or in use.
-    pub fn taken(&self) -> Mask {
+    pub fn accelerators_in_use(&self) -> Mask {
         self.slots
             .values()
-            .filter(|slot| !matches!(slot.place, Place::Ended(_)))
-            .fold(0, |mask, slot| mask | slot.gang.members[slot.me].mask)
+            .filter(|slot| !matches!(slot.phase, Phase::Ended(_)))
+            .fold(0, |mask, slot| mask | slot.gang.members[slot.position].mask)
     }
 
-    /// Takes in a planner's authority.
+    /// Checks a request's fencing token and raises the highest one seen.
     ///
     /// # Errors
     ///
-    /// If a later planner has spoken, or a later configuration is in force.
-    pub fn admit(&mut self, fence: Fence) -> Result<(), Refusal> {
+    /// If a request of a later planner, or under a later configuration, has
+    /// been seen.
+    pub fn check_fence(&mut self, fence: Fence) -> Result<(), Refusal> {
         if fence.epoch < self.epoch {
-            return Err(Refusal::Epoch {
+            return Err(Refusal::StaleEpoch {
                 asked: fence.epoch,
                 highest: self.epoch,
             });
         }
         self.epoch = fence.epoch;
         if fence.revision < self.revision {
-            return Err(Refusal::Revision {
+            return Err(Refusal::StaleRevision {
                 asked: fence.revision,
                 highest: self.revision,
             });
@@ -203,72 +212,75 @@
         Ok(())
     }
 
-    /// Keeps accelerators for a gang.
+    /// Holds accelerators for a gang. Repeating the request has no further
+    /// effect.
     ///
     /// # Errors
     ///
-    /// If the planner is not obeyed, the worker is leaving, or accelerators
-    /// are taken. Asking twice is as asking once.
+    /// If the fencing token is stale, the worker is leaving, the accelerators
+    /// are not free, the gang has no member here, or it has ended.
     pub fn hold(&mut self, hold: Hold, now: Instant) -> Result<(), Refusal> {
-        self.admit(hold.fence)?;
+        self.check_fence(hold.fence)?;
         let id = hold.gang.id.clone();
-        match self.slots.get(&id).map(|slot| &slot.place) {
-            Some(Place::Ended(_)) => return Err(Refusal::NotHeld),
+        match self.slots.get(&id).map(|slot| &slot.phase) {
+            Some(Phase::Ended(_)) => return Err(Refusal::NotHeld),
             Some(_) => return Ok(()),
             None if self.leaving => return Err(Refusal::Leaving),
             None => {}
         }
-        let Some(me) = hold.gang.position(&self.worker) else {
+        let Some(position) = hold.gang.position(&self.worker) else {
             return Err(Refusal::NotHeld);
         };
-        let mask = hold.gang.members[me].mask;
-        let taken = (self.taken() | !self.whole) & mask;
-        if taken != 0 {
-            return Err(Refusal::Taken { mask: taken });
+        let mask = hold.gang.members[position].mask;
+        let unavailable =
+            (self.accelerators_in_use() | !self.all_accelerators) & mask;
+        if unavailable != 0 {
+            return Err(Refusal::AcceleratorsTaken { mask: unavailable });
         }
-        let deadline = now + HOLD;
-        let lead = (me == 0).then(|| Lead::new(&hold.gang, now));
+        let deadline = now + HOLD_DURATION;
+        let lead = (position == 0).then(|| Lead::new(&hold.gang, now));
         let slot = Slot {
             gang: hold.gang,
-            me,
-            place: Place::Held { deadline },
+            position,
+            phase: Phase::Held { deadline },
             lead,
-            heard: now,
-            report_at: deadline,
+            last_contact: now,
+            next_report_at: deadline,
             sequence: 0,
         };
         self.slots.insert(id.clone(), slot);
-        self.touch(&id);
+        self.mark_changed(&id);
         Ok(())
     }
 
-    /// Decides, as the lead, that a gang runs; returns its members.
+    /// Decides, as the lead, that a gang runs, and returns the gang.
     ///
     /// # Errors
     ///
-    /// If the planner is not obeyed, or the gang is not held any more or
-    /// has been decided otherwise.
+    /// If the fencing token is stale, this worker does not lead the gang, or
+    /// the gang is decided to halt.
     pub fn launch(
         &mut self,
         fence: Fence,
         id: &gang::Id,
         now: Instant,
     ) -> Result<Gang, Refusal> {
-        self.admit(fence)?;
+        self.check_fence(fence)?;
         let slot = self.slots.get_mut(id).ok_or(Refusal::NotHeld)?;
         let lead = slot.lead.as_mut().ok_or(Refusal::NotHeld)?;
-        let verdict = lead.decide(now);
+        let decision = lead.decide(now);
         let gang = slot.gang.clone();
-        self.touch(id);
-        match verdict {
-            Verdict::Run => Ok(gang),
-            Verdict::Halt => Err(Refusal::NotHeld),
+        self.mark_changed(id);
+        match decision {
+            Decision::Run => Ok(gang),
+            Decision::Halt => Err(Refusal::NotHeld),
         }
     }
 
-    /// Begins the task of a gang, on its lead's word.
+    /// Begins this member's task of a gang, at its lead's request.
     ///
-    /// Returns whether the endpoint has to be asked; not if it was before.
+    /// Returns whether the caller has to start the task at the endpoint, which
+    /// is false if the task was begun before.
     ///
     /// # Errors
     ///
@@ -279,31 +291,31 @@
         now: Instant,
     ) -> Result<bool, Refusal> {
         let slot = self.slots.get_mut(id).ok_or(Refusal::NotHeld)?;
-        match slot.place {
-            Place::Held { .. } => {
-                slot.place = beginning(now);
-                slot.heard = now;
-                slot.report_at = now + slot.report_every();
-                self.touch(id);
+        match slot.phase {
+            Phase::Held { .. } => {
+                slot.phase = beginning_phase(now);
+                slot.last_contact = now;
+                slot.next_report_at = now + slot.report_interval();
+                self.mark_changed(id);
                 Ok(true)
             }
-            Place::Beginning { .. } | Place::Begun { .. } => Ok(false),
-            Place::Halting { .. } | Place::Ended(_) => Err(Refusal::NotHeld),
+            Phase::Beginning { .. } | Phase::Begun { .. } => Ok(false),
+            Phase::Halting { .. } | Phase::Ended(_) => Err(Refusal::NotHeld),
         }
     }
 
-    /// Takes in that the endpoint has started a task.
-    pub fn begun(&mut self, id: &gang::Id, now: Instant) {
+    /// Records that the endpoint has started a task.
+    pub fn record_task_start(&mut self, id: &gang::Id, now: Instant) {
         if let Some(slot) = self.slots.get_mut(id) {
-            if matches!(slot.place, Place::Beginning { .. }) {
-                slot.place = Place::Begun { since: now };
-                self.touch(id);
+            if matches!(slot.phase, Phase::Beginning { .. }) {
+                slot.phase = Phase::Begun { since: now };
+                self.mark_changed(id);
             }
         }
     }
 
-    /// Takes in that a task has ended here.
-    pub fn ended(
+    /// Records the end of this member's task.
+    pub fn record_task_end(
         &mut self,
         id: &gang::Id,
         end: End,
@@ -312,93 +324,94 @@
         let Some(slot) = self.slots.get_mut(id) else {
             return Vec::new();
         };
-        if matches!(slot.place, Place::Ended(_)) {
+        if matches!(slot.phase, Phase::Ended(_)) {
             return Vec::new();
         }
-        slot.place = Place::Ended(end.clone());
-        slot.report_at = now;
-        let me = slot.me;
-        self.touch(id);
-        match me {
-            0 => self.member_ended(id, 0, end, now),
-            _ => self.tell_lead(id, now).into_iter().collect(),
+        slot.phase = Phase::Ended(end.clone());
+        slot.next_report_at = now;
+        let position = slot.position;
+        self.mark_changed(id);
+        match position {
+            0 => self.record_member_end(id, 0, end, now),
+            _ => self.report_to_lead(id, now).into_iter().collect(),
         }
     }
 
-    /// Takes a member's word, as the lead, and returns the verdict.
-    pub fn report(
+    /// Records a member's report, as the lead, and returns the decision.
+    pub fn handle_report(
         &mut self,
         report: Report,
         now: Instant,
-    ) -> (Verdict, Vec<Effect>) {
+    ) -> (Decision, Vec<Effect>) {
         let Some(slot) = self.slots.get_mut(&report.gang) else {
-            return (Verdict::Halt, Vec::new());
+            return (Decision::Halt, Vec::new());
         };
         let Some(lead) = slot.lead.as_mut() else {
-            return (Verdict::Halt, Vec::new());
+            return (Decision::Halt, Vec::new());
         };
-        lead.hear(report.member, now);
-        let verdict = lead.verdict();
+        lead.record_contact(report.member, now);
+        let decision = lead.decision_or_halt();
         let mut effects = Vec::new();
-        if verdict == Verdict::Halt {
+        if decision == Decision::Halt {
             effects = self.halt(&report.gang, now);
         }
         if let Some(end) = report.end {
             let more =
-                self.member_ended(&report.gang, report.member, end, now);
+                self.record_member_end(&report.gang, report.member, end, now);
             effects.extend(more);
         }
-        (verdict, effects)
+        (decision, effects)
     }
 
-    /// Takes in the lead's verdict.
-    pub fn told(
+    /// Applies the lead's decision, as one of the other members.
+    pub fn apply_decision(
         &mut self,
         id: &gang::Id,
-        verdict: Verdict,
+        decision: Decision,
         now: Instant,
     ) -> Vec<Effect> {
         let Some(slot) = self.slots.get_mut(id) else {
             return Vec::new();
         };
-        slot.heard = now;
-        match (&slot.place, verdict) {
-            (Place::Held { .. }, Verdict::Run) => {
-                slot.place = beginning(now);
-                slot.report_at = now + slot.report_every();
-                self.touch(id);
+        slot.last_contact = now;
+        match (&slot.phase, decision) {
+            (Phase::Held { .. }, Decision::Run) => {
+                slot.phase = beginning_phase(now);
+                slot.next_report_at = now + slot.report_interval();
+                self.mark_changed(id);
                 vec![Effect::StartTask(id.clone())]
             }
-            (Place::Ended(_), _) => {
-                // The lead knows now: there is nothing more to tell.
-                slot.report_at = now + Duration::from_secs(86_400);
+            (Phase::Ended(_), _) => {
+                // The lead has the end: no report is due for a day.
+                slot.next_report_at = now + Duration::from_secs(86_400);
                 Vec::new()
             }
-            (_, Verdict::Run) => Vec::new(),
-            (_, Verdict::Halt) => self.halt(id, now),
+            (_, Decision::Run) => Vec::new(),
+            (_, Decision::Halt) => self.halt(id, now),
         }
     }
 
-    /// Stops a gang, or lets go of a hold, for a planner.
+    /// Stops a gang or releases its hold, at a planner's request.
     ///
     /// # Errors
     ///
-    /// If the planner is not obeyed.
+    /// If a request of a later planner has been seen.
     pub fn stop(
         &mut self,
         fence: Fence,
         id: &gang::Id,
         now: Instant,
     ) -> Result<Vec<Effect>, Refusal> {
-        match self.admit(fence) {
-            // An older configuration may still stop what it started.
-            Ok(()) | Err(Refusal::Revision { .. }) => {}
+        match self.check_fence(fence) {
+            // A planner with an older configuration may still stop gangs.
+            Ok(()) | Err(Refusal::StaleRevision { .. }) => {}
             Err(refusal) => return Err(refusal),
         }
         Ok(self.halt(id, now))
     }
 
-    /// Stops this member's task, and as the lead the whole gang.
+    /// Stops this member's task or releases its hold; as the lead, halts the
+    /// whole gang.
     pub fn halt(&mut self, id: &gang::Id, now: Instant) -> Vec<Effect> {
         let Some(slot) = self.slots.get_mut(id) else {
             return Vec::new();
@@ -413,83 +426,84 @@
                 }));
             }
         }
-        match slot.place {
-            Place::Held { .. } => {
-                let end = End::of(Ending::NotBegun, None);
-                effects.extend(self.ended(id, end, now));
+        match slot.phase {
+            Phase::Held { .. } => {
+                let end = End::new(Ending::NotBegun, None);
+                effects.extend(self.record_task_end(id, end, now));
             }
-            Place::Begun { since } => {
-                slot.place = Place::Halting { since };
-                self.touch(id);
+            Phase::Begun { since } => {
+                slot.phase = Phase::Halting { since };
+                self.mark_changed(id);
                 effects.push(Effect::StopTask(id.clone()));
             }
-            Place::Beginning { .. } => {
-                slot.place = Place::Halting { since: now };
-                self.touch(id);
+            Phase::Beginning { .. } => {
+                slot.phase = Phase::Halting { since: now };
+                self.mark_changed(id);
                 effects.push(Effect::StopTask(id.clone()));
             }
-            Place::Halting { .. } | Place::Ended(_) => {}
+            Phase::Halting { .. } | Phase::Ended(_) => {}
         }
         effects
     }
 
-    /// Forgets a gang that has ended. One that has not stays.
+    /// Removes a gang that has ended here and, at its lead, as a whole. Any
+    /// other gang stays.
     pub fn forget(&mut self, id: &gang::Id) {
-        let gone = self.slots.get(id).is_some_and(|slot| {
+        let removable = self.slots.get(id).is_some_and(|slot| {
             let lead_done =
                 slot.lead.as_ref().is_none_or(|l| l.outcome().is_some());
-            matches!(slot.place, Place::Ended(_)) && lead_done
+            matches!(slot.phase, Phase::Ended(_)) && lead_done
         });
-        if gone {
+        if removable {
             self.slots.remove(id);
         }
     }
 
-    /// Does what is due by `now`.
+    /// Handles the deadlines that have passed by `now`.
     pub fn tick(&mut self, now: Instant) -> Vec<Effect> {
         let ids: Vec<gang::Id> = self.slots.keys().cloned().collect();
-        ids.iter().flat_map(|id| self.tick_one(id, now)).collect()
+        ids.iter().flat_map(|id| self.tick_gang(id, now)).collect()
     }
 
-    fn tick_one(&mut self, id: &gang::Id, now: Instant) -> Vec<Effect> {
+    fn tick_gang(&mut self, id: &gang::Id, now: Instant) -> Vec<Effect> {
         let Some(slot) = self.slots.get_mut(id) else {
             return Vec::new();
         };
-        let late = match &slot.place {
-            Place::Beginning { deadline } => *deadline <= now,
-            // The lead begins last: past its hold it never will.
-            Place::Held { deadline } => slot.me == 0 && *deadline <= now,
+        let late = match &slot.phase {
+            Phase::Beginning { deadline } => *deadline <= now,
+            // The lead begins last, and does not begin past its own hold.
+            Phase::Held { deadline } => slot.position == 0 && *deadline <= now,
             _ => false,
         };
         if late {
             return self.halt(id, now);
         }
         if let Some(lead) = slot.lead.as_mut() {
-            return match lead.overdue(now) {
-                Some(member) => self.lose_member(id, member, now),
-                None if lead.is_late(now) => self.halt(id, now),
+            return match lead.overdue_member(now) {
+                Some(member) => self.mark_member_lost(id, member, now),
+                None if lead.has_missed_decision(now) => self.halt(id, now),
                 None => Vec::new(),
             };
         }
-        let silent = now.saturating_duration_since(slot.heard);
-        match &slot.place {
-            Place::Held { deadline } if now >= *deadline + slot.lease() => {
-                let end = End::of(Ending::NotBegun, None);
-                self.ended(id, end, now)
+        let silent = now.saturating_duration_since(slot.last_contact);
+        match &slot.phase {
+            Phase::Held { deadline } if now >= *deadline + slot.lease() => {
+                let end = End::new(Ending::NotBegun, None);
+                self.record_task_end(id, end, now)
             }
-            Place::Begun { .. } | Place::Beginning { .. }
+            Phase::Begun { .. } | Phase::Beginning { .. }
                 if silent >= slot.lease() =>
             {
                 self.halt(id, now)
             }
-            _ if now >= slot.report_at => {
-                self.tell_lead(id, now).into_iter().collect()
+            _ if now >= slot.next_report_at => {
+                self.report_to_lead(id, now).into_iter().collect()
             }
             _ => Vec::new(),
         }
     }
 
-    fn lose_member(
+    fn mark_member_lost(
         &mut self,
         id: &gang::Id,
         member: usize,
@@ -500,12 +514,13 @@
             .get(id)
             .and_then(|slot| slot.gang.members.get(member))
             .map(|member| member.worker.clone());
-        let end = End::of(Ending::Lost, worker);
-        self.member_ended(id, member, end, now)
+        let end = End::new(Ending::Lost, worker);
+        self.record_member_end(id, member, end, now)
     }
 
-    /// Takes in, as the lead, that a member has ended.
-    pub fn member_ended(
+    /// Records, as the lead, the end of a member's task; any end other than
+    /// [`Ending::Done`] halts the gang.
+    pub fn record_member_end(
         &mut self,
         id: &gang::Id,
         member: usize,
@@ -519,55 +534,59 @@
             return Vec::new();
         };
         let good = end.ending == Ending::Done;
-        lead.ended(member, end);
+        lead.record_end(member, end);
         let effects = match good {
             true => Vec::new(),
             false => self.halt(id, now),
         };
-        self.touch(id);
+        self.mark_changed(id);
         effects
     }
 
-    fn tell_lead(&mut self, id: &gang::Id, now: Instant) -> Option<Effect> {
+    fn report_to_lead(
+        &mut self,
+        id: &gang::Id,
+        now: Instant,
+    ) -> Option<Effect> {
         let slot = self.slots.get_mut(id)?;
-        slot.report_at = now + slot.report_every();
-        let end = match &slot.place {
-            Place::Ended(end) => Some(end.clone()),
+        slot.next_report_at = now + slot.report_interval();
+        let end = match &slot.phase {
+            Phase::Ended(end) => Some(end.clone()),
             _ => None,
         };
-        Some(Effect::TellLead {
+        Some(Effect::ReportToLead {
             address: slot.gang.lead().address.clone(),
             report: Report {
                 gang: id.clone(),
-                member: slot.me,
+                member: slot.position,
                 end,
             },
         })
     }
 
-    /// Takes over a task found running at the endpoint, by an agent process
-    /// that has just started. It was begun, so its gang was decided.
+    /// Adopts a task that a newly started agent process found at the endpoint.
+    /// The task was begun, so its gang was decided to run.
     pub fn adopt(&mut self, gang: Gang, now: Instant) {
-        let Some(me) = gang.position(&self.worker) else {
+        let Some(position) = gang.position(&self.worker) else {
             return;
         };
         let id = gang.id.clone();
         self.epoch = self.epoch.max(id.epoch);
-        let lead = (me == 0).then(|| Lead::adopted(&gang, now));
+        let lead = (position == 0).then(|| Lead::adopted(&gang, now));
         let slot = Slot {
             gang,
-            me,
-            place: Place::Begun { since: now },
+            position,
+            phase: Phase::Begun { since: now },
             lead,
-            heard: now,
-            report_at: now,
+            last_contact: now,
+            next_report_at: now,
             sequence: 0,
         };
         self.slots.insert(id.clone(), slot);
-        self.touch(&id);
+        self.mark_changed(&id);
     }
 
-    /// Returns the entries that changed after `since`.
+    /// Returns the entries that changed after the change `since`.
     pub fn changes(&self, since: Sequence, now: Instant) -> Vec<Entry> {
         self.slots
             .values()
@@ -580,7 +599,7 @@
             .collect()
     }
 
-    fn touch(&mut self, id: &gang::Id) {
+    fn mark_changed(&mut self, id: &gang::Id) {
         self.sequence += 1;
         if let Some(slot) = self.slots.get_mut(id) {
             slot.sequence = self.sequence;
@@ -588,25 +607,25 @@
     }
 }
 
-fn beginning(now: Instant) -> Place {
-    Place::Beginning {
-        deadline: now + BEGIN,
+fn beginning_phase(now: Instant) -> Phase {
+    Phase::Beginning {
+        deadline: now + TASK_START_TIMEOUT,
     }
 }
 
 fn stage(slot: &Slot, now: Instant) -> Stage {
     let runs = slot.lead.as_ref().is_some_and(Lead::has_run);
-    match &slot.place {
-        // The lead begins last: other members may have begun.
-        Place::Held { .. } if runs => Stage::Begun { ago_ms: 0 },
-        Place::Held { .. } => Stage::Held,
-        Place::Beginning { .. } => Stage::Begun { ago_ms: 0 },
-        Place::Begun { since } | Place::Halting { since } => {
+    match &slot.phase {
+        // The lead begins last, so other members may have begun.
+        Phase::Held { .. } if runs => Stage::Begun { ago_ms: 0 },
+        Phase::Held { .. } => Stage::Held,
+        Phase::Beginning { .. } => Stage::Begun { ago_ms: 0 },
+        Phase::Begun { since } | Phase::Halting { since } => {
             let ago = now.saturating_duration_since(*since);
             Stage::Begun {
                 ago_ms: ago.as_millis() as u64,
             }
         }
-        Place::Ended(end) => Stage::Ended(end.clone()),
+        Phase::Ended(end) => Stage::Ended(end.clone()),
     }
 }
--- a/src/agent/slot.rs
+++ b/src/agent/slot.rs
@@ -1,68 +1,70 @@
-//! A gang in a ledger, and where it is in its life there.
+//! The record of one gang in a worker's ledger.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::agent::lead::Lead;
 use crate::agent::ledger::gang_lease;
-use crate::agent::ledger::report_every;
+use crate::agent::ledger::report_interval;
 use crate::wire::agent::Sequence;
 use crate::wire::gang::End;
 use crate::wire::gang::Gang;
 
-/// Where a gang is in its life, at this member.
+/// The phase of a gang at this member.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Place {
-    /// Accelerators are kept until the lead is to be asked.
+pub enum Phase {
+    /// Accelerators are held, and the gang has not begun here.
     Held {
-        /// When that is.
+        /// The time past which a member asks the lead for the decision, and
+        /// the lead itself halts the gang.
         deadline: Instant,
     },
     /// The endpoint has been asked to start the task.
     Beginning {
-        /// By when it must have.
+        /// The time by which the task must have started.
         deadline: Instant,
     },
     /// The task runs.
     Begun {
-        /// Since when.
+        /// The time at which the start was confirmed or the task adopted.
         since: Instant,
     },
     /// The endpoint has been asked to stop the task.
     Halting {
-        /// Since when the task ran.
+        /// The same time as in [`Phase::Begun`]; the time of the stop if the
+        /// start was not confirmed.
         since: Instant,
     },
     /// The task has ended, or was never begun.
     Ended(End),
 }
 
-/// A gang in the ledger.
+/// A gang in a ledger.
 #[derive(Clone, Debug)]
 pub struct Slot {
     /// The gang.
     pub gang: Gang,
-    /// This worker's position among its members.
-    pub me: usize,
-    /// Where it is in its life here.
-    pub place: Place,
-    /// What its lead keeps of it, if this member leads.
+    /// This worker's position among the gang's members.
+    pub position: usize,
+    /// The gang's phase at this worker.
+    pub phase: Phase,
+    /// The lead's state; `None` if another member leads.
     pub lead: Option<Lead>,
-    /// When the lead was last heard.
-    pub heard: Instant,
-    /// When the lead is to be told next.
-    pub report_at: Instant,
-    /// The change that last touched it.
+    /// The time of the last call or answer of the lead.
+    pub last_contact: Instant,
+    /// The time of the next report to the lead.
+    pub next_report_at: Instant,
+    /// The number of the last change of this gang.
     pub sequence: Sequence,
 }
 
 impl Slot {
-    /// Returns how often the lead is told.
-    pub fn report_every(&self) -> Duration {
-        report_every(self.gang.members.len())
+    /// Returns the interval between reports to the lead.
+    pub fn report_interval(&self) -> Duration {
+        report_interval(self.gang.members.len())
     }
 
-    /// Returns how long the gang stands without word.
+    /// Returns the time after which a member without contact stops.
     pub fn lease(&self) -> Duration {
         gang_lease(self.gang.members.len())
     }
--- a/src/agent/task.rs
+++ b/src/agent/task.rs
@@ -1,82 +1,84 @@
-//! Tasks at the endpoint: starting, stopping, and how they end.
+//! Starts and stops tasks at the endpoint and reads their ends.
 
 use std::time::Duration;
 
 use ractor::ActorRef;
 
-use crate::agent::keeper::Message;
+use crate::agent::actor::Message;
 use crate::endpoint;
 use crate::endpoint::Task;
-use crate::wire::agent::Answer;
 use crate::wire::agent::Refusal;
+use crate::wire::agent::Reply;
 use crate::wire::gang;
 use crate::wire::gang::End;
 use crate::wire::gang::Ending;
 use crate::wire::gang::Gang;
 
-/// How long a task runs on at its endpoint when its agent is silent.
-pub const LEASE: Duration = Duration::from_secs(10);
-/// The wait between two tries to stop a task.
-const STOP_RETRY: Duration = Duration::from_millis(500);
+/// The lease of a task: the time that it continues to run at its endpoint
+/// without a renewal by its agent.
+pub const TASK_LEASE: Duration = Duration::from_secs(10);
+/// The delay between two attempts to stop a task.
+const STOP_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Starts the task of a gang's member and tells the keeper what came of it.
+/// Starts this worker's task of a gang and reports the outcome to the actor.
 ///
 /// # Errors
 ///
-/// If the endpoint does not start it.
+/// If the endpoint does not start the task.
 pub async fn start(
     endpoint: &endpoint::Client,
-    keeper: &ActorRef<Message>,
+    actor: &ActorRef<Message>,
     gang: &Gang,
     worker: &str,
-) -> Answer {
+) -> Reply {
     let id = gang.id.clone();
-    let Some(me) = gang.position(worker) else {
+    let Some(position) = gang.position(worker) else {
         return Err(Refusal::NotHeld);
     };
     let start = endpoint::Start {
         task: id.to_string(),
         run: gang.work.run.clone(),
         parameters: gang.work.parameters.clone(),
-        accelerators: gang.members[me].mask,
-        lease_seconds: LEASE.as_secs(),
+        accelerators: gang.members[position].mask,
+        lease_seconds: TASK_LEASE.as_secs(),
         checkpoint: gang.work.checkpoint.clone(),
         note: serde_json::to_string(gang).unwrap_or_default(),
     };
     let mut answer = endpoint.start(&start).await;
     if matches!(answer, Err(crate::http::Error::Lost { .. })) {
-        // Starting twice starts once, so a lost answer is asked for again.
+        // Starts are idempotent, so a start without an answer is repeated.
         answer = endpoint.start(&start).await;
     }
     match answer {
         Ok(_) => {
-            let _ = keeper.cast(Message::Begun(id));
+            let _ = actor.cast(Message::TaskBegun(id));
             Ok(())
         }
         Err(error @ crate::http::Error::Unreached { .. }) => {
             let worker = Some(worker.into());
-            let end = End::of(Ending::NotBegun, worker);
-            let _ = keeper.cast(Message::Ended(id, end));
+            let end = End::new(Ending::NotBegun, worker);
+            let _ = actor.cast(Message::TaskEnded(id, end));
             let reason = error.to_string();
-            Err(Refusal::Endpoint { reason })
+            Err(Refusal::TaskNotStarted { reason })
         }
         Err(error) => {
-            let _ = keeper.cast(Message::Halt(id));
+            let _ = actor.cast(Message::Halt(id));
             let reason = error.to_string();
-            Err(Refusal::Endpoint { reason })
+            Err(Refusal::TaskNotStarted { reason })
         }
     }
 }
 
-/// Stops a task; returns once it has stopped, if only by its lease.
+/// Stops a task. Returns once the task has ended, or once its lease has
+/// expired if the endpoint does not confirm.
 pub async fn stop(
     endpoint: &endpoint::Client,
     id: &gang::Id,
     worker: &str,
 ) -> End {
     let name = id.to_string();
-    let lapsed = tokio::time::Instant::now() + LEASE;
-    while tokio::time::Instant::now() < lapsed {
+    let lease_end = tokio::time::Instant::now() + TASK_LEASE;
+    while tokio::time::Instant::now() < lease_end {
         match endpoint.stop(&name).await {
             Ok(task) => {
                 if let Some(end) = end_of(&task, worker) {
@@ -86,16 +88,16 @@
             Err(crate::http::Error::Unexpected { status, .. })
                 if status == hyper::StatusCode::NOT_FOUND =>
             {
-                return End::of(Ending::Stopped, Some(worker.into()));
+                return End::new(Ending::Stopped, Some(worker.into()));
             }
             Err(_) => {}
         }
-        tokio::time::sleep(STOP_RETRY).await;
+        tokio::time::sleep(STOP_RETRY_DELAY).await;
     }
-    End::of(Ending::Stopped, Some(worker.into()))
+    End::new(Ending::Stopped, Some(worker.into()))
 }
 
-/// Returns how a task ended, if it has.
+/// Returns the end of a task; `None` while it runs.
 pub fn end_of(task: &Task, worker: &str) -> Option<End> {
     let ending = match task.state {
         endpoint::State::Running => return None,
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -1,4 +1,5 @@
-//! HTTP for callers: submit, status, answer, cancel, list.
+//! HTTP for callers: submits, shows, cancels and lists jobs, and returns their
+//! answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,8 +17,8 @@
 use crate::config::Account;
 use crate::config::Document;
 use crate::config::Problem;
-use crate::entry::answers;
 use crate::entry::operators;
+use crate::entry::responses;
 use crate::entry::router;
 use crate::entry::Shared;
 use crate::http;
@@ -28,23 +29,23 @@
 use crate::telemetry::Span;
 use crate::util::digest;
 use crate::wire::entry::Admit;
-use crate::wire::entry::Await;
+use crate::wire::entry::Query;
 use crate::wire::entry::Refusal;
 use crate::wire::entry::Status;
 use crate::wire::gang::Work;
 use crate::wire::Trace;
 
-/// The largest body of a request.
-const MAX_BODY: usize = 256 * 1024;
-/// How long a request that waits for nothing may take.
-const CALL: Duration = Duration::from_secs(5);
-/// How long a caller may wait, and does unless it says.
-const LONGEST_WAIT: Duration = Duration::from_secs(300);
+/// The maximum size of a request's body in bytes.
+const MAX_BODY_BYTES: usize = 256 * 1024;
+/// The time limit of a call to the planner that does not wait for a job's end.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// The maximum time that a caller may wait for a job's end, and the default.
+const MAX_WAIT: Duration = Duration::from_secs(300);
 
-/// A job that a caller asks for.
+/// The body of a request that submits a job.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Submit {
+struct Submission {
     template: String,
     #[serde(default)]
     parameters: Option<Value>,
@@ -58,50 +59,54 @@
     due_ms: Option<u64>,
 }
 
-/// The HTTP side of an entry.
-pub struct Front {
-    /// What the parts of the entry share.
+/// The HTTP handler of an entry.
+pub struct Api {
+    /// The state of the entry.
     pub shared: Arc<Shared>,
 }
 
-impl Handler for Front {
+impl Handler for Api {
     async fn handle(&self, request: http::Request) -> http::Response {
         let path = request.uri().path().to_owned();
         let parts: Vec<&str> =
             path.split('/').filter(|part| !part.is_empty()).collect();
         match &parts[..] {
-            ["v1", "jobs", rest @ ..] => self.jobs(request, rest).await,
+            ["v1", "jobs", rest @ ..] => self.handle_jobs(request, rest).await,
             ["healthz"] => http::text(StatusCode::OK, "ok\n"),
             _ => operators::handle(&self.shared, request, &parts).await,
         }
     }
 }
 
-impl Front {
-    async fn jobs(
+impl Api {
+    async fn handle_jobs(
         &self,
         request: http::Request,
         rest: &[&str],
     ) -> http::Response {
         let document = self.shared.document.borrow().clone();
-        let owner = bearer(&request).and_then(|t| document.owner(t));
+        let owner = bearer_token(&request).and_then(|t| document.owner(t));
         let Some(id) = owner else {
-            return answers::refuse(
+            return responses::failure(
                 StatusCode::UNAUTHORIZED,
                 "authorization: the token of a client account is expected",
             );
         };
         let Some(account) = document.account(&id) else {
-            return answers::refuse(
+            return responses::failure(
                 StatusCode::UNAUTHORIZED,
                 "no such account",
             );
         };
         let now = Instant::now();
-        if let Err(wait) = self.shared.limits.request(&id, account, now) {
+        if let Err(wait) = self.shared.limits.take_token(&id, account, now) {
             let text =
                 format!("rate: more than {} requests a second", account.rate);
-            return answers::later(StatusCode::TOO_MANY_REQUESTS, text, wait);
+            return responses::retry_later(
+                StatusCode::TOO_MANY_REQUESTS,
+                text,
+                wait,
+            );
         }
         let caller = Caller {
             shared: &self.shared,
@@ -115,16 +120,16 @@
             (Method::GET, [job]) => caller.status(job).await,
             (Method::GET, [job, "answer"]) => caller.answer(job).await,
             (Method::DELETE, [job]) => caller.cancel(job).await,
-            (_, [] | [_] | [_, "answer"]) => answers::refuse(
+            (_, [] | [_] | [_, "answer"]) => responses::failure(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "method not allowed",
             ),
-            _ => answers::refuse(StatusCode::NOT_FOUND, "no such path"),
+            _ => responses::failure(StatusCode::NOT_FOUND, "no such path"),
         }
     }
 }
 
-/// A caller that has shown its token.
+/// An authenticated caller.
 struct Caller<'a> {
     shared: &'a Shared,
     document: &'a Document,
@@ -139,42 +144,45 @@
         let parent = parent.map(str::to_owned);
         let span = Span::begin("call", parent.as_ref());
         span.set("account", &self.id);
-        let body = match http::read(request, MAX_BODY).await {
+        let body = match http::read(request, MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(error) => {
                 let status = StatusCode::PAYLOAD_TOO_LARGE;
-                return answers::refuse(status, error.to_string());
+                return responses::failure(status, error.to_string());
             }
         };
-        let submit: Submit = match serde_json::from_slice(&body) {
-            Ok(submit) => submit,
+        let submission: Submission = match serde_json::from_slice(&body) {
+            Ok(submission) => submission,
             Err(error) => {
                 let status = StatusCode::BAD_REQUEST;
-                return answers::refuse(status, format!("body: {error}"));
+                return responses::failure(status, format!("body: {error}"));
             }
         };
-        match self.record(&submit) {
+        match self.record(&submission) {
             Ok(record) => {
                 span.set("job", &record.spec.id);
-                self.admit(record, &submit, span.trace()).await
+                self.admit(record, &submission, span.trace()).await
             }
-            Err(problems) => answers::invalid(problems),
+            Err(problems) => responses::invalid_fields(problems),
         }
     }
 
-    /// Returns the record that a request asks for.
-    fn record(&self, submit: &Submit) -> Result<Record, Vec<Problem>> {
-        let Some(template) = self.document.template(&submit.template) else {
+    /// Returns the record of the job that a request describes, or the problems
+    /// of the request.
+    fn record(&self, submission: &Submission) -> Result<Record, Vec<Problem>> {
+        let Some(template) = self.document.template(&submission.template)
+        else {
             let names: Vec<&str> =
                 self.document.templates.keys().map(|t| &**t).collect();
             let expected = format!("one of {}", names.join(", "));
-            let problem = Problem::new("template", &submit.template, expected);
+            let problem =
+                Problem::new("template", &submission.template, expected);
             return Err(vec![problem]);
         };
         let empty = Value::Object(Default::default());
-        let parameters = submit.parameters.clone().unwrap_or(empty);
+        let parameters = submission.parameters.clone().unwrap_or(empty);
         let mut problems = template.problems(&parameters);
-        let request_id = submit
+        let request_id = submission
             .request_id
             .clone()
             .unwrap_or_else(|| uuid::Uuid::new_v4().simple().to_string());
@@ -185,41 +193,41 @@
                 "1 to 64 characters of a-z, A-Z, 0-9, - and _",
             ));
         }
-        let never = self
+        let is_never_repeated = self
             .account
             .never_repeat
             .iter()
-            .any(|name| **name == *submit.template);
+            .any(|name| **name == *submission.template);
         let now = SystemTime::now();
         let spec = job::Spec {
             id: format!("{}.{request_id}", self.id).into(),
             account: self.id.clone(),
-            template: submit.template.as_str().into(),
+            template: submission.template.as_str().into(),
             shape: template.shape,
             declared: template.declared,
-            repeatable: template.repeatable && !never,
+            repeatable: template.repeatable && !is_never_repeated,
             checkpoint: template.checkpoint,
             urgent: template.urgent,
             submitted: now,
-            due: submit.due_ms.map(|ms| now + Duration::from_millis(ms)),
+            due: submission.due_ms.map(|ms| now + Duration::from_millis(ms)),
         };
-        let nominal = self.shared.nominal.borrow().clone();
+        let nominal = self.shared.nominal_plan.borrow().clone();
         let has_site = !nominal.state().workers.is_empty();
         let refusal = admit::impossible(nominal.state(), &spec);
         if let Some(reason) = refusal.filter(|_| has_site) {
             problems.push(Problem::new(
                 "template",
-                &submit.template,
+                &submission.template,
                 format!("a shape that the site can hold: {reason}"),
             ));
         }
         if !problems.is_empty() {
             return Err(problems);
         }
-        let told = serde_json::json!([submit.template, parameters]);
+        let request = serde_json::json!([submission.template, parameters]);
         Ok(Record {
             spec,
-            request: digest::of(told.to_string().as_bytes()),
+            request: digest::of(request.to_string().as_bytes()),
             work: Work {
                 run: template.run.clone(),
                 parameters,
@@ -234,62 +242,66 @@
     async fn admit(
         &self,
         record: Record,
-        submit: &Submit,
+        submission: &Submission,
         trace: Option<Trace>,
     ) -> http::Response {
         let job = record.spec.id.clone();
         let repeatable = record.spec.repeatable;
-        if let Some(old) = self.recorded(&job).await {
-            match old.request == record.request {
-                false => return answers::conflict(),
-                // An ended job is answered from its record.
-                true if old.end.is_some() => {
-                    return answers::shown(
+        if let Some(existing) = self.read_record(&job).await {
+            match existing.request == record.request {
+                false => return responses::conflict(),
+                // The planner is not needed for a job that has ended.
+                true if existing.end.is_some() => {
+                    return responses::job_status(
                         StatusCode::OK,
-                        &answers::status_of(&old),
+                        &responses::status_from_record(&existing),
                     );
                 }
                 true => {}
             }
         }
-        let place = match submit.wait {
-            true => match self.shared.limits.wait(&self.id, self.account) {
-                Some(place) => Some(place),
-                None => {
-                    let text = format!(
-                        "waiting: {} callers wait already",
-                        self.account.waiting
-                    );
-                    let wait = Duration::from_secs(1);
-                    let status = StatusCode::TOO_MANY_REQUESTS;
-                    return answers::later(status, text, wait);
+        let permit = match submission.wait {
+            true => {
+                match self.shared.limits.acquire_wait(&self.id, self.account) {
+                    Some(permit) => Some(permit),
+                    None => {
+                        let text = format!(
+                            "waiting: {} callers wait already",
+                            self.account.waiting
+                        );
+                        let wait = Duration::from_secs(1);
+                        let status = StatusCode::TOO_MANY_REQUESTS;
+                        return responses::retry_later(status, text, wait);
+                    }
                 }
-            },
+            }
             false => None,
         };
         let admit = Admit {
             record,
-            waits: submit.wait,
+            caller_waits: submission.wait,
             trace,
         };
-        let wait = submit.wait_ms.map(Duration::from_millis);
-        let wait = wait.unwrap_or(LONGEST_WAIT).min(LONGEST_WAIT);
+        let wait = submission.wait_ms.map(Duration::from_millis);
+        let wait = wait.unwrap_or(MAX_WAIT).min(MAX_WAIT);
         let deadline = tokio::time::Instant::now() + wait;
-        let soon = tokio::time::Instant::now() + CALL;
-        let admitted = router::admit(self.shared, admit.clone(), soon).await;
+        let admission_deadline = tokio::time::Instant::now() + CALL_TIMEOUT;
+        let admitted =
+            router::admit(self.shared, admit.clone(), admission_deadline)
+                .await;
         let status = match admitted {
             Ok(status) => status,
-            Err(refusal) => return answers::refused(&refusal),
+            Err(refusal) => return responses::from_refusal(&refusal),
         };
-        if place.is_none() {
-            return answers::shown(StatusCode::ACCEPTED, &status);
+        if permit.is_none() {
+            return responses::job_status(StatusCode::ACCEPTED, &status);
         }
-        self.wait(&job, admit, repeatable, deadline).await
+        self.wait_for_end(&job, admit, repeatable, deadline).await
     }
 
-    /// Waits for a job's end. Should its planner die and forget it, it is
-    /// admitted anew: under the same id it is the same job.
-    async fn wait(
+    /// Waits for a job's end. If a new planner does not know the job, a
+    /// repeatable job is admitted again: under the same id it is the same job.
+    async fn wait_for_end(
         &self,
         job: &job::Id,
         admit: Admit,
@@ -297,45 +309,50 @@
         deadline: tokio::time::Instant,
     ) -> http::Response {
         loop {
-            let left = deadline - tokio::time::Instant::now();
-            let wait = Await {
+            let remaining = deadline - tokio::time::Instant::now();
+            let query = Query {
                 job: job.clone(),
-                within_ms: left.as_millis() as u64,
+                timeout_ms: remaining.as_millis() as u64,
             };
-            let status = router::status(self.shared, wait, deadline).await;
+            let status = router::status(self.shared, query, deadline).await;
             match status {
                 Ok(status) if status.end.is_some() => {
-                    return answers::shown(StatusCode::OK, &status);
+                    return responses::job_status(StatusCode::OK, &status);
                 }
                 Ok(status) if deadline <= tokio::time::Instant::now() => {
-                    return answers::shown(StatusCode::ACCEPTED, &status);
+                    return responses::job_status(
+                        StatusCode::ACCEPTED,
+                        &status,
+                    );
                 }
                 Ok(_) => {}
-                Err(Refusal::NotKnown) => {
-                    if let Some(old) = self.recorded(job).await {
-                        if old.end.is_some() {
-                            return answers::shown(
+                Err(Refusal::UnknownJob) => {
+                    if let Some(existing) = self.read_record(job).await {
+                        if existing.end.is_some() {
+                            return responses::job_status(
                                 StatusCode::OK,
-                                &answers::status_of(&old),
+                                &responses::status_from_record(&existing),
                             );
                         }
                     }
                     if !repeatable {
-                        return answers::refused(&Refusal::StoreDown);
+                        return responses::from_refusal(
+                            &Refusal::StoreUnavailable,
+                        );
                     }
-                    let again = admit.clone();
+                    let retry = admit.clone();
                     let admitted =
-                        router::admit(self.shared, again, deadline).await;
+                        router::admit(self.shared, retry, deadline).await;
                     if let Err(refusal) = admitted {
-                        return answers::refused(&refusal);
+                        return responses::from_refusal(&refusal);
                     }
                 }
-                Err(refusal) => return answers::refused(&refusal),
+                Err(refusal) => return responses::from_refusal(&refusal),
             }
         }
     }
 
-    async fn recorded(&self, job: &str) -> Option<Record> {
+    async fn read_record(&self, job: &str) -> Option<Record> {
         let item = self.shared.store.get(&Record::key(job)).await.ok()??;
         Record::parse(&item.value)
     }
@@ -345,40 +362,43 @@
             .is_some_and(|(account, _)| account == &*self.id)
     }
 
-    /// Returns a job's status from its planner, or its record.
-    async fn find(&self, job: &str) -> Result<Status, http::Response> {
-        let missing =
-            || answers::refuse(StatusCode::NOT_FOUND, "job: it is not known");
+    /// Returns a job's status from its planner, or else from its record.
+    async fn find_status(&self, job: &str) -> Result<Status, http::Response> {
+        let not_found = || {
+            responses::failure(StatusCode::NOT_FOUND, "job: it is not known")
+        };
         if !self.owns(job) {
-            return Err(missing());
+            return Err(not_found());
         }
-        let wait = Await {
+        let query = Query {
             job: job.into(),
-            within_ms: 0,
+            timeout_ms: 0,
         };
-        let deadline = tokio::time::Instant::now() + CALL;
-        match router::status(self.shared, wait, deadline).await {
+        let deadline = tokio::time::Instant::now() + CALL_TIMEOUT;
+        match router::status(self.shared, query, deadline).await {
             Ok(status) => Ok(status),
-            Err(Refusal::NotKnown) => {
-                let record = self.recorded(job).await;
-                record.map(|r| answers::status_of(&r)).ok_or_else(missing)
+            Err(Refusal::UnknownJob) => {
+                let record = self.read_record(job).await;
+                record
+                    .map(|r| responses::status_from_record(&r))
+                    .ok_or_else(not_found)
             }
-            Err(refusal) => match self.recorded(job).await {
-                Some(record) => Ok(answers::status_of(&record)),
-                None => Err(answers::refused(&refusal)),
+            Err(refusal) => match self.read_record(job).await {
+                Some(record) => Ok(responses::status_from_record(&record)),
+                None => Err(responses::from_refusal(&refusal)),
             },
         }
     }
 
     async fn status(&self, job: &str) -> http::Response {
-        match self.find(job).await {
-            Ok(status) => answers::shown(StatusCode::OK, &status),
+        match self.find_status(job).await {
+            Ok(status) => responses::job_status(StatusCode::OK, &status),
             Err(response) => response,
         }
     }
 
     async fn answer(&self, job: &str) -> http::Response {
-        let status = match self.find(job).await {
+        let status = match self.find_status(job).await {
             Ok(status) => status,
             Err(response) => return response,
         };
@@ -387,14 +407,14 @@
         match (end, output) {
             (Some(_), Some(output)) => {
                 let mut response = http::text(StatusCode::OK, output);
-                answers::name(&mut response, &status);
+                responses::set_job_headers(&mut response, &status);
                 response
             }
-            (Some(end), None) => answers::refuse(
+            (Some(end), None) => responses::failure(
                 StatusCode::GONE,
                 format!("job: it ended as {} without answer", end.outcome),
             ),
-            (None, _) => answers::later(
+            (None, _) => responses::retry_later(
                 StatusCode::CONFLICT,
                 "job: it has not ended",
                 Duration::from_secs(1),
@@ -404,31 +424,31 @@
 
     async fn cancel(&self, job: &str) -> http::Response {
         if !self.owns(job) {
-            return answers::refuse(
+            return responses::failure(
                 StatusCode::NOT_FOUND,
                 "job: it is not known",
             );
         }
-        let deadline = tokio::time::Instant::now() + CALL;
+        let deadline = tokio::time::Instant::now() + CALL_TIMEOUT;
         match router::cancel(self.shared, job.into(), deadline).await {
-            Ok(status) => answers::shown(StatusCode::OK, &status),
-            Err(Refusal::NotKnown) => self.status(job).await,
-            Err(refusal) => answers::refused(&refusal),
+            Ok(status) => responses::job_status(StatusCode::OK, &status),
+            Err(Refusal::UnknownJob) => self.status(job).await,
+            Err(refusal) => responses::from_refusal(&refusal),
         }
     }
 
     async fn list(&self) -> http::Response {
-        let deadline = tokio::time::Instant::now() + CALL;
+        let deadline = tokio::time::Instant::now() + CALL_TIMEOUT;
         let account = Some(self.id.clone());
         match router::list(self.shared, account, deadline).await {
             Ok(jobs) => http::json(StatusCode::OK, &jobs),
-            Err(refusal) => answers::refused(&refusal),
+            Err(refusal) => responses::from_refusal(&refusal),
         }
     }
 }
 
-/// Returns the token that a request shows.
-pub fn bearer(request: &http::Request) -> Option<&str> {
+/// Returns the bearer token of a request.
+pub fn bearer_token(request: &http::Request) -> Option<&str> {
     let value = request.headers().get(AUTHORIZATION)?.to_str().ok()?;
     value.strip_prefix("Bearer ")
 }
--- a/src/entry/configuration.rs
+++ b/src/entry/configuration.rs
@@ -1,5 +1,5 @@
-//! Follows the configuration: from the store, or from a peer while the
-//! store cannot be reached. What is in force never goes back.
+//! Follows the configuration in the store, or that of the other entries while
+//! the store cannot be reached. The revision in force never decreases.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,24 +16,25 @@
 use crate::wire::entry::EntryClient;
 use crate::wire::link;
 
-/// The wait after the store or a watch has failed.
-const RETRY: Duration = Duration::from_millis(800);
+/// The maximum delay after an error of the store or of a watch.
+const RETRY_DELAY: Duration = Duration::from_millis(800);
 
 /// Follows the configuration for as long as the entry runs.
 pub async fn follow(shared: Arc<Shared>) {
     loop {
         if follow_store(&shared).await.is_err() {
-            ask_peers(&shared).await;
+            read_from_peers(&shared).await;
         }
-        crate::entry::jitter(RETRY).await;
+        crate::entry::sleep_with_jitter(RETRY_DELAY).await;
     }
 }
 
-/// Reads everything, then watches from there on until the watch breaks.
+/// Reads the whole configuration, then watches for changes until the watch
+/// fails.
 async fn follow_store(shared: &Shared) -> Result<(), store::Error> {
     let listing = shared.store.list(config::PREFIX, 0).await?;
     let document = Document::read(&listing.items);
-    accept(shared, document);
+    apply_if_newer(shared, document);
     let from = listing.revision + 1;
     let mut watch = shared.store.watch(config::PREFIX, from).await?;
     loop {
@@ -45,12 +46,12 @@
         for change in &changes {
             document.apply(change);
         }
-        accept(shared, document);
+        apply_if_newer(shared, document);
     }
 }
 
-/// Takes the highest revision that any peer has.
-async fn ask_peers(shared: &Shared) {
+/// Applies the highest revision in force at any other entry.
+async fn read_from_peers(shared: &Shared) {
     let peers: Vec<String> = shared
         .vms
         .borrow()
@@ -64,15 +65,17 @@
             continue;
         };
         let call = client.configuration();
-        let answer = link::within(&address, link::CALL, call).await;
+        let answer =
+            link::with_timeout(&address, link::CALL_TIMEOUT, call).await;
         if let Ok(document) = answer {
-            accept(shared, document);
+            apply_if_newer(shared, document);
         }
     }
 }
 
-/// Puts a configuration in force, unless a later one is.
-pub fn accept(shared: &Shared, document: Document) {
+/// Puts a configuration in force, unless its revision is not higher than that
+/// of the present one.
+pub fn apply_if_newer(shared: &Shared, document: Document) {
     let document = Arc::new(document);
     let newer = shared.document.send_if_modified(|current| {
         let newer = document.revision > current.revision;
@@ -87,13 +90,13 @@
     }
 }
 
-/// Keeps the plan that requests are checked against up to date.
-pub async fn check(shared: Arc<Shared>) {
+/// Keeps the nominal plan up to date with the configuration and the VMs.
+pub async fn follow_nominal_plan(shared: Arc<Shared>) {
     let mut documents = shared.document.subscribe();
     let mut vms = shared.vms.subscribe();
     loop {
-        let plan = nominal(&shared);
-        shared.nominal.send_replace(Arc::new(plan));
+        let plan = nominal_plan(&shared);
+        shared.nominal_plan.send_replace(Arc::new(plan));
         tokio::select! {
             changed = documents.changed() => if changed.is_err() { return },
             changed = vms.changed() => if changed.is_err() { return },
@@ -101,19 +104,19 @@
     }
 }
 
-/// Returns the site of the VMs listed now.
+/// Returns the site that the currently listed VMs form.
 pub fn site(shared: &Shared) -> Site {
-    nominal(shared).state().site.clone()
+    nominal_plan(shared).state().site.clone()
 }
 
-fn nominal(shared: &Shared) -> Plan {
+fn nominal_plan(shared: &Shared) -> Plan {
     let accelerators = shared.config.accelerators;
     let site = Site::new(accelerators)
         .unwrap_or_else(|_| Site::new(1).expect("1 is in range"));
     let mut plan = Plan::new(site, shared.config.policy.clone());
     let vms = shared.vms.borrow().clone();
     for vm in vms.iter().filter(|vm| vm.role == Role::Endpoint) {
-        // A VM listed at two places is the planner's to complain about.
+        // The planner reports a VM that is listed at two places.
         let _ = plan.add_worker(&vm.hall, &vm.rack, &vm.name);
     }
     let document = shared.document.borrow().clone();
--- a/src/entry/edits.rs
+++ b/src/entry/edits.rs
@@ -1,4 +1,5 @@
-//! Operators' edits: one item at a time, by compare-and-swap.
+//! Operators' edits of the configuration: each changes one item, by
+//! compare-and-swap on the store.
 
 use std::time::SystemTime;
 
@@ -21,54 +22,55 @@
 use crate::store::Revision;
 use crate::store::Swap;
 
-/// How often an edit is tried again when it lost a race that does not
-/// concern its item, or its answer was lost.
-const TRIES: usize = 5;
+/// The maximum number of attempts at an edit. An attempt is repeated if it
+/// lost a race that does not concern its item, or if its answer was lost.
+const MAX_ATTEMPTS: usize = 5;
 
-/// What an item is to become.
+/// The new value of an item.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// A client account.
     Account(Account),
     /// A template.
     Template(Template),
-    /// Nothing: the item goes.
-    Gone,
+    /// No value: the item is deleted.
+    Deleted,
 }
 
 /// An edit of one item.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Edit {
-    /// Which item.
+    /// The name of the item.
     pub name: Name,
-    /// What it is to become.
+    /// The new value of the item.
     pub value: Value,
-    /// The revision that it was made on; 0 for a new item.
-    pub on: Revision,
-    /// The edit's name: made again, it is the same edit.
-    pub edit: EditId,
+    /// The revision of the item that the edit is based on; 0 for a new item.
+    pub base_revision: Revision,
+    /// The identifier of the edit. Applying the same edit again has no further
+    /// effect.
+    pub id: EditId,
 }
 
-/// An edit that was not made.
+/// The reason why an edit was not applied.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The item is not as it should be.
-    #[error("the item is not as it should be")]
+    /// The new value is invalid.
+    #[error("the new value of the item is invalid")]
     Invalid(Vec<Problem>),
-    /// Somebody else has changed the item.
+    /// Another edit has changed the item since the edit's base revision.
     #[error("the item was changed by another edit")]
     Conflict {
-        /// The item as it is now.
+        /// The current value of the item; `None` if it does not exist.
         current: Option<serde_json::Value>,
-        /// The revision of its last change, 0 if it is not there.
+        /// The revision of the item's last change; 0 if it does not exist.
         revision: Revision,
     },
-    /// The store does not answer: the edit may or may not be made.
+    /// The store does not answer: the edit may or may not have been applied.
     #[error("{0}")]
     Store(#[from] store::Error),
 }
 
-/// Returns what is wrong with an edit.
+/// Returns the problems of an edit; none if it is valid.
 pub fn check(
     shared: &Shared,
     document: &Document,
@@ -90,30 +92,30 @@
         (Name::Template(id), Value::Template(template)) => {
             config::check_template(id, template, &site)
         }
-        (_, Value::Gone) => Vec::new(),
+        (_, Value::Deleted) => Vec::new(),
         (_, _) => vec![Problem::new("value", &"another kind", "its kind")],
     }
 }
 
-/// Makes an edit and returns the revision at which it is made.
+/// Applies an edit and returns the revision at which it was written.
 ///
 /// # Errors
 ///
-/// If the item is not as it should be, was changed by another edit, or the
-/// store does not answer.
-pub async fn make(shared: &Shared, edit: &Edit) -> Result<Revision, Error> {
-    let mut last = None;
-    for _ in 0..TRIES {
-        match attempt(shared, edit).await {
+/// If the new value is invalid, another edit changed the item, or the store
+/// does not answer.
+pub async fn apply(shared: &Shared, edit: &Edit) -> Result<Revision, Error> {
+    let mut last_error = None;
+    for _ in 0..MAX_ATTEMPTS {
+        match try_apply(shared, edit).await {
             Ok(Some(revision)) => return Ok(revision),
-            // Another guarantee was changed meanwhile: check again.
-            Ok(None) => last = None,
-            // The next try finds the edit if it was made.
-            Err(Error::Store(error)) => last = Some(error),
+            // Another edit changed the guarantees meanwhile: check again.
+            Ok(None) => last_error = None,
+            // The next attempt finds the edit if it was written.
+            Err(Error::Store(error)) => last_error = Some(error),
             Err(error) => return Err(error),
         }
     }
-    match last {
+    match last_error {
         Some(error) => Err(Error::Store(error)),
         None => Err(Error::Conflict {
             current: None,
@@ -122,7 +124,7 @@
     }
 }
 
-async fn attempt(
+async fn try_apply(
     shared: &Shared,
     edit: &Edit,
 ) -> Result<Option<Revision>, Error> {
@@ -132,12 +134,12 @@
     let key = edit.name.key();
     let find = |key: &str| listing.items.iter().find(|i| i.key == key);
     let item = find(&key);
-    let last = find(config::LAST);
-    if let Some(revision) = made(item, last, edit) {
+    let last_edit = find(config::LAST);
+    if let Some(revision) = applied_revision(item, last_edit, edit) {
         return Ok(Some(revision));
     }
     let revision = item.map_or(0, |item| item.modified);
-    if revision != edit.on {
+    if revision != edit.base_revision {
         let current =
             item.and_then(|item| serde_json::from_slice(&item.value).ok());
         return Err(Error::Conflict { current, revision });
@@ -146,15 +148,16 @@
     if !problems.is_empty() {
         return Err(Error::Invalid(problems));
     }
-    let mut conditions = vec![Compare::Modified(key.clone(), edit.on)];
-    let last = edit.edit.clone().into_bytes();
-    let last = Put::Value(config::LAST.to_owned(), last, 0);
-    let mut puts = vec![put(key, item, edit), last];
+    let mut conditions =
+        vec![Compare::Modified(key.clone(), edit.base_revision)];
+    let last_edit = edit.id.clone().into_bytes();
+    let last_edit = Put::Value(config::LAST.to_owned(), last_edit, 0);
+    let mut puts = vec![item_mutation(key, item, edit), last_edit];
     if matches!(edit.name, Name::Account(_)) {
         let modified = guarantees.map_or(0, |item| item.modified);
         let guarantees = config::GUARANTEES.to_owned();
         conditions.push(Compare::Modified(guarantees.clone(), modified));
-        let value = edit.edit.clone().into_bytes();
+        let value = edit.id.clone().into_bytes();
         puts.push(Put::Value(guarantees, value, 0));
     }
     match shared.store.swap(&conditions, puts).await? {
@@ -163,46 +166,52 @@
     }
 }
 
-/// Returns the revision at which an edit was made before, if it was.
-fn made(
+/// Returns the revision at which an earlier attempt wrote the edit, if any
+/// did.
+fn applied_revision(
     item: Option<&store::Item>,
-    last: Option<&store::Item>,
+    last_edit: Option<&store::Item>,
     edit: &Edit,
 ) -> Option<Revision> {
     let Some(item) = item else {
-        // Of an item that is gone only the last edit of all can tell.
-        let last = last.filter(|_| edit.value == Value::Gone)?;
-        let ours = last.value == edit.edit.as_bytes();
-        return ours.then_some(last.modified);
+        // A deleted item keeps no list of edits. Its deletion is recognized
+        // only as long as it is the last edit of the whole configuration.
+        let last_edit = last_edit.filter(|_| edit.value == Value::Deleted)?;
+        let is_applied = last_edit.value == edit.id.as_bytes();
+        return is_applied.then_some(last_edit.modified);
     };
     let value: Item<serde_json::Value> =
         serde_json::from_slice(&item.value).ok()?;
-    let ours = value.edits.iter().any(|made| made.edit == edit.edit);
-    ours.then_some(item.modified)
+    let is_applied = value.edits.iter().any(|past| past.edit == edit.id);
+    is_applied.then_some(item.modified)
 }
 
-fn put(key: String, old: Option<&store::Item>, edit: &Edit) -> Put {
-    let at = SystemTime::now();
-    let name = edit.edit.clone();
+fn item_mutation(
+    key: String,
+    previous: Option<&store::Item>,
+    edit: &Edit,
+) -> Put {
+    let time = SystemTime::now();
+    let name = edit.id.clone();
     match &edit.value {
         Value::Account(account) => {
-            Put::Value(key, edited(old, account, name, at), 0)
+            Put::Value(key, edited_item(previous, account, name, time), 0)
         }
         Value::Template(template) => {
-            Put::Value(key, edited(old, template, name, at), 0)
+            Put::Value(key, edited_item(previous, template, name, time), 0)
         }
-        Value::Gone => Put::Delete(key),
+        Value::Deleted => Put::Delete(key),
     }
 }
 
-fn edited<T: Clone + Serialize + DeserializeOwned>(
-    old: Option<&store::Item>,
+fn edited_item<T: Clone + Serialize + DeserializeOwned>(
+    previous: Option<&store::Item>,
     value: &T,
     edit: EditId,
-    at: SystemTime,
+    time: SystemTime,
 ) -> Vec<u8> {
-    let old: Option<Item<T>> =
-        old.and_then(|old| serde_json::from_slice(&old.value).ok());
-    let item = Item::edited(old.as_ref(), value.clone(), edit, at);
+    let previous: Option<Item<T>> = previous
+        .and_then(|previous| serde_json::from_slice(&previous.value).ok());
+    let item = Item::edited(previous.as_ref(), value.clone(), edit, time);
     serde_json::to_vec(&item).unwrap_or_default()
 }
--- a/src/entry/answers.rs
+++ b/src/entry/responses.rs
@@ -1,5 +1,4 @@
-//! Answers to callers: what a job is, what a refusal is, and when to come
-//! back.
+//! HTTP responses of an entry: the status of a job, errors, and when to retry.
 
 use std::time::Duration;
 
@@ -17,18 +16,19 @@
 use crate::wire::entry::Stage;
 use crate::wire::entry::Status;
 
-/// An answer that is not what the caller wanted.
+/// The body of an error response.
 #[derive(Debug, Serialize)]
-pub struct Problems {
-    /// What happened, in words.
+pub struct ErrorBody {
+    /// A description of the error.
     pub error: String,
-    /// The fields that are not as they should be.
+    /// The invalid fields of the request; left out if there are none.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub problems: Vec<Problem>,
 }
 
-/// Returns what there is to say of a job by its record alone.
-pub fn status_of(record: &Record) -> Status {
+/// Returns the status of a job as far as its stored record shows it: a job
+/// without an end is reported as queued.
+pub fn status_from_record(record: &Record) -> Status {
     let end = record.end.clone();
     let stage = match end {
         Some(_) => Stage::Ended,
@@ -46,16 +46,16 @@
     }
 }
 
-/// Returns a job's status, named in the headers too.
-pub fn shown(code: StatusCode, status: &Status) -> http::Response {
+/// Returns a response with a job's status as its body, and the job's headers.
+pub fn job_status(code: StatusCode, status: &Status) -> http::Response {
     let mut response = http::json(code, status);
-    name(&mut response, status);
+    set_job_headers(&mut response, status);
     response
 }
 
-/// Names the job, the start, the length and the digest in the headers, so
-/// that an answer can be told from another's.
-pub fn name(response: &mut http::Response, status: &Status) {
+/// Adds headers with the job, its last start, and the length and digest of
+/// its output, so that a caller can verify which job an answer belongs to.
+pub fn set_job_headers(response: &mut http::Response, status: &Status) {
     let mut put = |name: &'static str, value: String| {
         if let Ok(value) = HeaderValue::from_str(&value) {
             response.headers_mut().insert(name, value);
@@ -69,22 +69,25 @@
     }
 }
 
-/// Returns a refusal in words.
-pub fn refuse(status: StatusCode, error: impl Into<String>) -> http::Response {
+/// Returns an error response, and counts it.
+pub fn failure(
+    status: StatusCode,
+    error: impl Into<String>,
+) -> http::Response {
     let error = error.into();
     let label = KeyValue::new("status", i64::from(status.as_u16()));
     metrics::get().refused.add(1, &[label]);
     let problems = Vec::new();
-    http::json(status, &Problems { error, problems })
+    http::json(status, &ErrorBody { error, problems })
 }
 
-/// Returns a refusal that says when to come back.
-pub fn later(
+/// Returns an error response that asks the caller to retry after `wait`.
+pub fn retry_later(
     status: StatusCode,
     error: impl Into<String>,
     wait: Duration,
 ) -> http::Response {
-    let mut response = refuse(status, error);
+    let mut response = failure(status, error);
     let seconds = wait.as_secs_f64().ceil().max(1.0) as u64;
     response
         .headers_mut()
@@ -92,34 +95,36 @@
     response
 }
 
-/// Returns a refusal that names fields.
-pub fn invalid(problems: Vec<Problem>) -> http::Response {
+/// Returns an error response that lists the invalid fields of a request.
+pub fn invalid_fields(problems: Vec<Problem>) -> http::Response {
     let error = problems
         .iter()
         .map(Problem::to_string)
         .collect::<Vec<_>>()
         .join("; ");
     let status = StatusCode::UNPROCESSABLE_ENTITY;
-    http::json(status, &Problems { error, problems })
+    http::json(status, &ErrorBody { error, problems })
 }
 
-/// Returns that the request id belongs to another request.
+/// Returns the response to a request whose id belongs to another request.
 pub fn conflict() -> http::Response {
-    refuse(StatusCode::CONFLICT, Refusal::Conflict.to_string())
+    failure(StatusCode::CONFLICT, Refusal::Conflict.to_string())
 }
 
-/// Returns what a planner's refusal is to a caller.
-pub fn refused(refusal: &Refusal) -> http::Response {
+/// Returns the response to a request that the planner refused.
+pub fn from_refusal(refusal: &Refusal) -> http::Response {
     let text = refusal.to_string();
-    let soon = Duration::from_secs(2);
+    let retry_after = Duration::from_secs(2);
     match refusal {
         Refusal::Conflict => conflict(),
-        Refusal::NotKnown => refuse(StatusCode::NOT_FOUND, text),
+        Refusal::UnknownJob => failure(StatusCode::NOT_FOUND, text),
         Refusal::QueueFull { .. } => {
-            later(StatusCode::TOO_MANY_REQUESTS, text, soon)
+            retry_later(StatusCode::TOO_MANY_REQUESTS, text, retry_after)
         }
-        Refusal::NotPlanner | Refusal::TakingOver | Refusal::StoreDown => {
-            later(StatusCode::SERVICE_UNAVAILABLE, text, soon)
+        Refusal::NotPlanner
+        | Refusal::TakingOver
+        | Refusal::StoreUnavailable => {
+            retry_later(StatusCode::SERVICE_UNAVAILABLE, text, retry_after)
         }
     }
 }
--- a/src/entry/router.rs
+++ b/src/entry/router.rs
@@ -1,4 +1,4 @@
-//! Finds the cell's planner, here or on another entry, and asks it.
+//! Routes requests to the cell's planner, at this entry or another one.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -9,80 +9,83 @@
 use tokio::time::Instant;
 
 use crate::account;
-use crate::entry::jitter;
+use crate::entry::sleep_with_jitter;
 use crate::entry::Shared;
 use crate::job;
 use crate::planner::actor::Message;
 use crate::wire::entry::Admit;
-use crate::wire::entry::Await;
 use crate::wire::entry::CellView;
 use crate::wire::entry::EntryClient;
+use crate::wire::entry::Query;
 use crate::wire::entry::Refusal;
 use crate::wire::entry::Status;
 use crate::wire::link;
 
-/// The wait between two tries to reach the planner.
-const RETRY: Duration = Duration::from_millis(150);
-/// How long a planner may take over a call that waits for nothing.
-const CALL: Duration = Duration::from_secs(3);
+/// The maximum delay between two attempts to reach the planner.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// The time limit of a call to another entry, besides the time for which the
+/// request asks the planner to wait.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Asks the planner hosted here.
+/// Sends a request that the planner may refuse to the planner at this entry.
 ///
 /// # Errors
 ///
-/// As the planner refuses; [`Refusal::NotPlanner`] if there is none.
-pub async fn ask_here<T: Send + 'static>(
+/// The planner's refusal; [`Refusal::NotPlanner`] if this entry hosts none.
+pub async fn ask_local<T: Send + 'static>(
     shared: &Shared,
     message: impl FnOnce(RpcReplyPort<Result<T, Refusal>>) -> Message,
 ) -> Result<T, Refusal> {
-    let planner = here(shared).ok_or(Refusal::NotPlanner)?;
+    let planner = local_planner(shared).ok_or(Refusal::NotPlanner)?;
     match planner.call(message, None).await {
         Ok(ractor::rpc::CallResult::Success(answer)) => answer,
         _ => Err(Refusal::NotPlanner),
     }
 }
 
-/// Asks the planner hosted here for something it does not refuse.
+/// Sends a request that the planner never refuses to the planner at this
+/// entry.
 ///
 /// # Errors
 ///
-/// [`Refusal::NotPlanner`] if there is none.
-pub async fn query_here<T: Send + 'static>(
+/// [`Refusal::NotPlanner`] if this entry hosts none.
+pub async fn query_local<T: Send + 'static>(
     shared: &Shared,
     message: impl FnOnce(RpcReplyPort<T>) -> Message,
 ) -> Result<T, Refusal> {
-    let planner = here(shared).ok_or(Refusal::NotPlanner)?;
+    let planner = local_planner(shared).ok_or(Refusal::NotPlanner)?;
     match planner.call(message, None).await {
         Ok(ractor::rpc::CallResult::Success(answer)) => Ok(answer),
         _ => Err(Refusal::NotPlanner),
     }
 }
 
-fn here(shared: &Shared) -> Option<ActorRef<Message>> {
+fn local_planner(shared: &Shared) -> Option<ActorRef<Message>> {
     shared.planner.borrow().clone()
 }
 
-/// Where to ask: here, or at another entry.
-enum Host {
-    Here,
-    There(String, Arc<jsonrpsee::ws_client::WsClient>),
+/// The location of the planner: this entry, or another one by its address and
+/// connection.
+enum Location {
+    Local,
+    Remote(String, Arc<jsonrpsee::ws_client::WsClient>),
 }
 
-async fn host(shared: &Shared) -> Option<Host> {
-    if here(shared).is_some() {
-        return Some(Host::Here);
+async fn locate_planner(shared: &Shared) -> Option<Location> {
+    if local_planner(shared).is_some() {
+        return Some(Location::Local);
     }
     let address = shared.claim.borrow().as_ref()?.address.clone();
     if address == shared.address {
         return None;
     }
     let client = shared.pool.get(&address).await.ok()?;
-    Some(Host::There(address, client))
+    Some(Location::Remote(address, client))
 }
 
-/// Asks until the planner answers or the deadline passes. All that is
-/// asked this way may be asked twice.
-async fn persist<T, F>(
+/// Repeats a request until the planner answers or the deadline passes. All
+/// requests sent this way are idempotent.
+async fn retry_until<T, F>(
     deadline: Instant,
     mut ask: impl FnMut() -> F,
 ) -> Result<T, Refusal>
@@ -96,17 +99,17 @@
         };
         match answer {
             Err(refusal @ (Refusal::NotPlanner | Refusal::TakingOver)) => {
-                if Instant::now() + RETRY >= deadline {
+                if Instant::now() + RETRY_DELAY >= deadline {
                     return Err(refusal);
                 }
-                jitter(RETRY).await;
+                sleep_with_jitter(RETRY_DELAY).await;
             }
             answer => return answer,
         }
     }
 }
 
-async fn there<T>(
+async fn call_remote<T>(
     shared: &Shared,
     address: &str,
     limit: Duration,
@@ -114,34 +117,40 @@
         Output = Result<Result<T, Refusal>, jsonrpsee::core::ClientError>,
     >,
 ) -> Result<T, Refusal> {
-    match link::within(address, limit, call).await {
+    match link::with_timeout(address, limit, call).await {
         Ok(answer) => answer,
         Err(_) => {
-            shared.pool.drop(address);
+            shared.pool.remove(address);
             Err(Refusal::NotPlanner)
         }
     }
 }
 
-/// Has the planner take a job in.
+/// Asks the planner to admit a job.
 ///
 /// # Errors
 ///
-/// As the planner refuses, or if it is not reached by the deadline.
+/// If the planner refuses, or cannot be reached by the deadline.
 pub async fn admit(
     shared: &Shared,
     admit: Admit,
     deadline: Instant,
 ) -> Result<Status, Refusal> {
-    persist(deadline, || async {
+    retry_until(deadline, || async {
         let admit = admit.clone();
-        match host(shared).await {
-            Some(Host::Here) => {
+        match locate_planner(shared).await {
+            Some(Location::Local) => {
                 let ask = |reply| Message::Admit(Box::new(admit), reply);
-                ask_here(shared, ask).await
+                ask_local(shared, ask).await
             }
-            Some(Host::There(address, client)) => {
-                there(shared, &address, CALL, client.admit(admit)).await
+            Some(Location::Remote(address, client)) => {
+                call_remote(
+                    shared,
+                    &address,
+                    CALL_TIMEOUT,
+                    client.admit(admit),
+                )
+                .await
             }
             None => Err(Refusal::NotPlanner),
         }
@@ -149,25 +158,26 @@
     .await
 }
 
-/// Returns a job's status, once it has ended or the wait is over.
+/// Returns a job's status, once the job has ended or the wait times out.
 ///
 /// # Errors
 ///
-/// As the planner refuses, or if it is not reached by the deadline.
+/// If the planner refuses, or cannot be reached by the deadline.
 pub async fn status(
     shared: &Shared,
-    wait: Await,
+    query: Query,
     deadline: Instant,
 ) -> Result<Status, Refusal> {
-    let limit = CALL + Duration::from_millis(wait.within_ms);
-    persist(deadline, || async {
-        let wait = wait.clone();
-        match host(shared).await {
-            Some(Host::Here) => {
-                ask_here(shared, |reply| Message::Status(wait, reply)).await
+    let limit = CALL_TIMEOUT + Duration::from_millis(query.timeout_ms);
+    retry_until(deadline, || async {
+        let query = query.clone();
+        match locate_planner(shared).await {
+            Some(Location::Local) => {
+                ask_local(shared, |reply| Message::Status(query, reply)).await
             }
-            Some(Host::There(address, client)) => {
-                there(shared, &address, limit, client.status(wait)).await
+            Some(Location::Remote(address, client)) => {
+                call_remote(shared, &address, limit, client.status(query))
+                    .await
             }
             None => Err(Refusal::NotPlanner),
         }
@@ -175,24 +185,25 @@
     .await
 }
 
-/// Takes a job back.
+/// Cancels a job.
 ///
 /// # Errors
 ///
-/// As the planner refuses, or if it is not reached by the deadline.
+/// If the planner refuses, or cannot be reached by the deadline.
 pub async fn cancel(
     shared: &Shared,
     job: job::Id,
     deadline: Instant,
 ) -> Result<Status, Refusal> {
-    persist(deadline, || async {
+    retry_until(deadline, || async {
         let job = job.clone();
-        match host(shared).await {
-            Some(Host::Here) => {
-                ask_here(shared, |reply| Message::Cancel(job, reply)).await
+        match locate_planner(shared).await {
+            Some(Location::Local) => {
+                ask_local(shared, |reply| Message::Cancel(job, reply)).await
             }
-            Some(Host::There(address, client)) => {
-                there(shared, &address, CALL, client.cancel(job)).await
+            Some(Location::Remote(address, client)) => {
+                call_remote(shared, &address, CALL_TIMEOUT, client.cancel(job))
+                    .await
             }
             None => Err(Refusal::NotPlanner),
         }
@@ -200,25 +211,32 @@
     .await
 }
 
-/// Returns the status of an account's jobs.
+/// Returns the status of an account's jobs, or of all jobs if no account is
+/// given.
 ///
 /// # Errors
 ///
-/// If the planner is not reached by the deadline.
+/// If the planner cannot be reached by the deadline.
 pub async fn list(
     shared: &Shared,
     account: Option<account::Id>,
     deadline: Instant,
 ) -> Result<Vec<Status>, Refusal> {
-    persist(deadline, || async {
+    retry_until(deadline, || async {
         let account = account.clone();
-        match host(shared).await {
-            Some(Host::Here) => {
+        match locate_planner(shared).await {
+            Some(Location::Local) => {
                 let ask = |reply| Message::List(account, reply);
-                query_here(shared, ask).await
+                query_local(shared, ask).await
             }
-            Some(Host::There(address, client)) => {
-                there(shared, &address, CALL, client.list(account)).await
+            Some(Location::Remote(address, client)) => {
+                call_remote(
+                    shared,
+                    &address,
+                    CALL_TIMEOUT,
+                    client.list(account),
+                )
+                .await
             }
             None => Err(Refusal::NotPlanner),
         }
@@ -230,16 +248,17 @@
 ///
 /// # Errors
 ///
-/// If the planner is not reached by the deadline.
+/// If the planner cannot be reached by the deadline.
 pub async fn cell(
     shared: &Shared,
     deadline: Instant,
 ) -> Result<CellView, Refusal> {
-    persist(deadline, || async {
-        match host(shared).await {
-            Some(Host::Here) => query_here(shared, Message::Cell).await,
-            Some(Host::There(address, client)) => {
-                there(shared, &address, CALL, client.cell()).await
+    retry_until(deadline, || async {
+        match locate_planner(shared).await {
+            Some(Location::Local) => query_local(shared, Message::Cell).await,
+            Some(Location::Remote(address, client)) => {
+                call_remote(shared, &address, CALL_TIMEOUT, client.cell())
+                    .await
             }
             None => Err(Refusal::NotPlanner),
         }
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! Answers to the calls of other entries.
+//! Serves the JSON-RPC calls of other entries.
 
 use std::sync::Arc;
 
@@ -12,15 +12,15 @@
 use crate::job;
 use crate::planner::actor::Message;
 use crate::wire::entry::Admit;
-use crate::wire::entry::Await;
 use crate::wire::entry::CellView;
 use crate::wire::entry::EntryServer;
+use crate::wire::entry::Query;
 use crate::wire::entry::Refusal;
 use crate::wire::entry::Status;
 
-/// The methods of an entry.
+/// The JSON-RPC methods of an entry.
 pub struct Methods {
-    /// What the parts of the entry share.
+    /// The state of the entry.
     pub shared: Arc<Shared>,
 }
 
@@ -28,12 +28,15 @@
 impl EntryServer for Methods {
     async fn admit(&self, admit: Admit) -> RpcResult<Result<Status, Refusal>> {
         let ask = |reply| Message::Admit(Box::new(admit), reply);
-        Ok(router::ask_here(&self.shared, ask).await)
+        Ok(router::ask_local(&self.shared, ask).await)
     }
 
-    async fn status(&self, wait: Await) -> RpcResult<Result<Status, Refusal>> {
-        let ask = |reply| Message::Status(wait, reply);
-        Ok(router::ask_here(&self.shared, ask).await)
+    async fn status(
+        &self,
+        query: Query,
+    ) -> RpcResult<Result<Status, Refusal>> {
+        let ask = |reply| Message::Status(query, reply);
+        Ok(router::ask_local(&self.shared, ask).await)
     }
 
     async fn cancel(
@@ -41,7 +44,7 @@
         job: job::Id,
     ) -> RpcResult<Result<Status, Refusal>> {
         let ask = |reply| Message::Cancel(job, reply);
-        Ok(router::ask_here(&self.shared, ask).await)
+        Ok(router::ask_local(&self.shared, ask).await)
     }
 
     async fn list(
@@ -49,11 +52,11 @@
         account: Option<account::Id>,
     ) -> RpcResult<Result<Vec<Status>, Refusal>> {
         let ask = |reply| Message::List(account, reply);
-        Ok(router::query_here(&self.shared, ask).await)
+        Ok(router::query_local(&self.shared, ask).await)
     }
 
     async fn cell(&self) -> RpcResult<Result<CellView, Refusal>> {
-        Ok(router::query_here(&self.shared, Message::Cell).await)
+        Ok(router::query_local(&self.shared, Message::Cell).await)
     }
 
     async fn configuration(&self) -> RpcResult<Document> {
