--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -69,7 +69,7 @@
         let terms = (0..accounts).map(|number| {
             let (id, terms) = account(number, accounts);
             let account = id.as_str().into();
-            Event::Account { account, terms }
+            Event::AccountChanged { account, terms }
         });
         let mut cell = Cell {
             plan: Plan::new(site, Policy::default()),
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -205,7 +205,7 @@
         };
         let nominal = self.shared.nominal.borrow().clone();
         let has_site = !nominal.state().workers.is_empty();
-        let refusal = admit::impossible(nominal.state(), &spec);
+        let refusal = admit::unplaceable_reason(nominal.state(), &spec);
         if let Some(reason) = refusal.filter(|_| has_site) {
             problems.push(Problem::new(
                 "template",
--- a/src/entry/configuration.rs
+++ b/src/entry/configuration.rs
@@ -118,7 +118,7 @@
     }
     let document = shared.document.borrow().clone();
     let accounts = document.accounts.iter();
-    let events = accounts.map(|(account, versioned)| Event::Account {
+    let events = accounts.map(|(account, versioned)| Event::AccountChanged {
         account: account.clone(),
         terms: versioned.item.value.terms(),
     });
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -50,7 +50,7 @@
 //!     [
 //!         Event::WorkerUp { worker: "w1".into() },
 //!         Event::WorkerUp { worker: "w2".into() },
-//!         Event::Account { account: "bots".into(), terms },
+//!         Event::AccountChanged { account: "bots".into(), terms },
 //!     ],
 //!     now,
 //! );
--- a/src/plan/admit.rs
+++ b/src/plan/admit.rs
@@ -8,7 +8,7 @@
 use crate::site::WorkerIndex;
 
 /// Returns why no healthy site could ever hold the job, if none could.
-pub fn impossible(state: &State, spec: &job::Spec) -> Option<String> {
+pub fn unplaceable_reason(state: &State, spec: &job::Spec) -> Option<String> {
     let Some(tenant) = state.tenants.get(&spec.account) else {
         return Some(format!("account: {:?} is not known", spec.account));
     };
--- a/src/plan/block.rs
+++ b/src/plan/block.rs
@@ -13,7 +13,7 @@
 use crate::plan::home::HomeIndex;
 use crate::plan::place;
 use crate::plan::place::Spread;
-use crate::plan::state::count;
+use crate::plan::state::accelerator_count;
 use crate::plan::state::Job;
 use crate::plan::state::State;
 use crate::site::Mask;
@@ -54,7 +54,7 @@
         let open = |worker: WorkerIndex| {
             let books = &self.workers[worker];
             match books.is_open() {
-                true => self.site.whole() & !books.home & !books.stuck,
+                true => self.site.whole() & !books.home & !books.unstoppable,
                 false => 0,
             }
         };
@@ -78,7 +78,10 @@
             return None;
         }
         let missing = Shape {
-            accelerators: home.shape.accelerators.checked_sub(count(&used))?,
+            accelerators: home
+                .shape
+                .accelerators
+                .checked_sub(accelerator_count(&used))?,
             within,
         };
         let rest = |w: WorkerIndex| open(w) & !mask_on(&used, w);
@@ -117,14 +120,14 @@
     pub fn make_way(&mut self, pieces: &[Piece]) -> bool {
         let before = self.snapshot();
         let moved = self.lift_overlapping(pieces);
-        let stuck: Vec<Mask> =
-            self.workers.iter().map(|books| books.stuck).collect();
+        let unstoppable: Vec<Mask> =
+            self.workers.iter().map(|books| books.unstoppable).collect();
         for piece in pieces {
-            self.workers[piece.worker].stuck |= piece.mask;
+            self.workers[piece.worker].unstoppable |= piece.mask;
         }
         let placed = self.place_all(&moved);
-        for (books, stuck) in self.workers.iter_mut().zip(stuck) {
-            books.stuck = stuck;
+        for (books, unstoppable) in self.workers.iter_mut().zip(unstoppable) {
+            books.unstoppable = unstoppable;
         }
         if !placed {
             self.restore(before);
--- a/src/plan/compact.rs
+++ b/src/plan/compact.rs
@@ -280,7 +280,7 @@
         })
         .filter(|(room, _, _)| *room >= needed)
         .min_by_key(|(room, w, _)| (*room, *w))?;
-    let mask = mask::take(open, needed)?;
+    let mask = mask::choose(open, needed)?;
     Some(Piece { worker, mask })
 }
 
--- a/src/plan/event.rs
+++ b/src/plan/event.rs
@@ -13,14 +13,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A client account is new or has changed.
-    Account {
+    AccountChanged {
         /// Its name.
         account: account::Id,
         /// What it now is.
         terms: Account,
     },
     /// A client account is no more; its jobs end as they would.
-    AccountGone {
+    AccountRemoved {
         /// Its name.
         account: account::Id,
     },
--- a/src/plan/health.rs
+++ b/src/plan/health.rs
@@ -44,18 +44,18 @@
 
 impl Health {
     /// Returns whether any work may be placed here without a thought.
-    pub fn is_good(&self) -> bool {
+    pub fn is_in_service(&self) -> bool {
         !matches!(self, Health::Quarantined { .. })
     }
 
     /// Returns whether a probe may be placed here now.
-    pub fn is_due(&self, now: SystemTime) -> bool {
+    pub fn is_probe_due(&self, now: SystemTime) -> bool {
         matches!(self, Health::Quarantined { until, probe: None, .. }
             if *until <= now)
     }
 
     /// Returns when a probe may be placed here, if one is waited for.
-    pub fn due(&self) -> Option<SystemTime> {
+    pub fn probe_due_at(&self) -> Option<SystemTime> {
         match self {
             Health::Quarantined {
                 until, probe: None, ..
@@ -66,13 +66,13 @@
 
     /// Takes in that `job` failed here; `proven` if its template runs well
     /// elsewhere. Returns whether the worker has just gone out of service.
-    pub fn failed(
+    pub fn record_failure(
         &mut self,
         job: &job::Id,
         proven: bool,
         now: SystemTime,
     ) -> bool {
-        let was_good = self.is_good();
+        let was_good = self.is_in_service();
         let next = match self {
             Health::Quarantined { round, .. } => quarantine(*round + 1, now),
             Health::Suspect { by } if by != job => quarantine(0, now),
@@ -80,13 +80,13 @@
             _ => Health::Suspect { by: job.clone() },
         };
         *self = next;
-        was_good && !self.is_good()
+        was_good && !self.is_in_service()
     }
 
     /// Takes in that a run here lasted. Returns whether the worker has just
     /// come back into service.
-    pub fn ran_well(&mut self) -> bool {
-        let was_good = self.is_good();
+    pub fn record_success(&mut self) -> bool {
+        let was_good = self.is_in_service();
         *self = Health::Good;
         !was_good
     }
--- a/src/plan/intake.rs
+++ b/src/plan/intake.rs
@@ -33,12 +33,12 @@
     out: &mut Vec<Command>,
 ) {
     match event {
-        Event::Account { account, terms } => {
+        Event::AccountChanged { account, terms } => {
             state.tenants.entry(account.clone()).or_default().terms = terms;
             state.sync_homes(&account);
             refuse_impossible(state, now, out);
         }
-        Event::AccountGone { account } => {
+        Event::AccountRemoved { account } => {
             if let Some(tenant) = state.tenants.get_mut(&account) {
                 tenant.terms = Default::default();
             }
@@ -196,7 +196,7 @@
     if state.jobs.contains_key(&id) {
         return;
     }
-    let refusal = admit::impossible(state, &spec);
+    let refusal = admit::unplaceable_reason(state, &spec);
     state.jobs.insert(id.clone(), Job::new(spec));
     state.waiting.insert(id.clone());
     if let Some(reason) = refusal {
@@ -215,7 +215,7 @@
         .filter_map(|id| state.jobs.get(id))
         .filter(|job| job.attempts == 0)
         .filter_map(|job| {
-            let reason = admit::impossible(state, &job.spec)?;
+            let reason = admit::unplaceable_reason(state, &job.spec)?;
             Some((job.spec.id.clone(), reason))
         })
         .collect();
@@ -321,7 +321,7 @@
     let total = job.kept + ran(job, now);
     let spec = job.spec.clone();
     let pieces = job.run().map(|run| run.pieces.clone());
-    state.history.completed(&spec, total);
+    state.history.record_completion(&spec, total);
     for piece in pieces.into_iter().flatten() {
         restore(state, piece.worker, out);
     }
@@ -329,7 +329,7 @@
 }
 
 fn restore(state: &mut State, index: WorkerIndex, out: &mut Vec<Command>) {
-    if state.workers[index].health.ran_well() {
+    if state.workers[index].health.record_success() {
         state.homes_dirty = true;
         let worker = state.site.workers()[index].id.clone();
         out.push(Command::Restore { worker });
@@ -350,11 +350,11 @@
         return stopped(state, id, Duration::ZERO, true, now, out);
     }
     let spec = job.spec.clone();
-    let proven = state.history.proven(&spec);
+    let proven = state.history.has_completed(&spec);
     let index = state.site.index(worker);
     if let Some(index) = index {
         let health = &mut state.workers[index].health;
-        if health.failed(id, proven, now) {
+        if health.record_failure(id, proven, now) {
             state.homes_dirty = true;
             drop_bookings(state, index);
             let worker = worker.into();
@@ -395,7 +395,7 @@
     job.failures.extend(index);
     job.failures.sort_unstable();
     job.failures.dedup();
-    let good = |&&w: &&WorkerIndex| state.workers[w].health.is_good();
+    let good = |&&w: &&WorkerIndex| state.workers[w].health.is_in_service();
     job.failures.iter().filter(good).count()
 }
 
@@ -438,11 +438,11 @@
 
 /// Takes a job's accelerators back; a blocked home block may fit now.
 fn release(state: &mut State, id: &job::Id, now: SystemTime) {
-    let stuck = state
+    let unstoppable = state
         .jobs
         .get(id)
         .is_some_and(|job| !job.spec.reclaimable());
-    if stuck && state.missing().next().is_some() {
+    if unstoppable && state.missing().next().is_some() {
         state.homes_dirty = true;
     }
     state.release(id, now);
--- a/src/plan/mask.rs
+++ b/src/plan/mask.rs
@@ -9,7 +9,7 @@
 /// least free, so that larger windows stay whole.
 ///
 /// Returns `None` if fewer than `count` are free or `count` is 0.
-pub fn take(free: Mask, count: u32) -> Option<Mask> {
+pub fn choose(free: Mask, count: u32) -> Option<Mask> {
     if count == 0 || free.count_ones() < count {
         return None;
     }
--- a/src/plan/place.rs
+++ b/src/plan/place.rs
@@ -58,7 +58,7 @@
         .map(|(worker, free)| (free.count_ones(), worker, free))
         .filter(|(room, _, _)| *room >= shape.accelerators)
         .min_by_key(|(room, _, _)| *room)?;
-    let mask = mask::take(free, shape.accelerators)?;
+    let mask = mask::choose(free, shape.accelerators)?;
     Some(Piece { worker, mask })
 }
 
@@ -120,7 +120,7 @@
             _ => 0,
         };
         let (room, worker) = frees.remove(at);
-        let mask = mask::take(open(worker), room.min(needed))?;
+        let mask = mask::choose(open(worker), room.min(needed))?;
         needed -= mask.count_ones();
         pieces.push(Piece { worker, mask });
     }
--- a/src/plan/predict.rs
+++ b/src/plan/predict.rs
@@ -61,7 +61,7 @@
 
 impl History {
     /// Takes in that a job ran to its end in `ran`.
-    pub fn completed(&mut self, spec: &job::Spec, ran: Duration) {
+    pub fn record_completion(&mut self, spec: &job::Spec, ran: Duration) {
         let template = self
             .accounts
             .entry(spec.account.clone())
@@ -95,7 +95,7 @@
     }
 
     /// Returns whether any job of the template has run to its end.
-    pub fn proven(&self, spec: &job::Spec) -> bool {
+    pub fn has_completed(&self, spec: &job::Spec) -> bool {
         self.template(spec)
             .is_some_and(|template| template.completed > 0)
     }
--- a/src/plan/schedule.rs
+++ b/src/plan/schedule.rs
@@ -310,7 +310,7 @@
         let due = |w: WorkerIndex| {
             let books = &state.workers[w];
             books.presence == crate::plan::state::Presence::Up
-                && books.health.is_due(self.now)
+                && books.health.is_probe_due(self.now)
         };
         let open = |w: WorkerIndex| match due(w) {
             true => state.vacant(w),
--- a/src/plan/state.rs
+++ b/src/plan/state.rs
@@ -51,7 +51,7 @@
     /// Accelerators in any home block.
     pub home: Mask,
     /// Accelerators that jobs have or will have that cannot be stopped.
-    pub stuck: Mask,
+    pub unstoppable: Mask,
     /// The jobs that occupy accelerators here.
     pub jobs: Vec<job::Id>,
 }
@@ -64,14 +64,14 @@
             used: 0,
             booked: 0,
             home: 0,
-            stuck: 0,
+            unstoppable: 0,
             jobs: Vec::new(),
         }
     }
 
     /// Returns whether the worker takes new work.
     pub fn is_open(&self) -> bool {
-        self.presence == Presence::Up && self.health.is_good()
+        self.presence == Presence::Up && self.health.is_in_service()
     }
 }
 
@@ -266,11 +266,11 @@
 
     /// Lets a job occupy accelerators.
     pub fn occupy(&mut self, id: &job::Id, run: Run) {
-        let stuck = self.is_stuck(id);
+        let unstoppable = self.is_unstoppable(id);
         for piece in &run.pieces {
             let worker = &mut self.workers[piece.worker];
             worker.used |= piece.mask;
-            worker.stuck |= if stuck { piece.mask } else { 0 };
+            worker.unstoppable |= if unstoppable { piece.mask } else { 0 };
             worker.jobs.push(id.clone());
         }
         self.charge(id, run.home, &run.pieces);
@@ -297,7 +297,7 @@
             worker.used &= !piece.mask;
             worker.jobs.retain(|other| other != id);
         }
-        self.settle_stuck(&run.pieces);
+        self.refresh_unstoppable(&run.pieces);
         self.discharge(id, run.home, &run.pieces);
         if !booked {
             self.waiting.insert(id.clone());
@@ -306,11 +306,11 @@
 
     /// Keeps accelerators for a job until `pending` jobs have stopped.
     pub fn book(&mut self, id: &job::Id, booking: Booking) {
-        let stuck = self.is_stuck(id);
+        let unstoppable = self.is_unstoppable(id);
         for piece in &booking.pieces {
             let worker = &mut self.workers[piece.worker];
             worker.booked |= piece.mask;
-            worker.stuck |= if stuck { piece.mask } else { 0 };
+            worker.unstoppable |= if unstoppable { piece.mask } else { 0 };
         }
         self.charge(id, booking.home, &booking.pieces);
         self.waiting.remove(id);
@@ -328,7 +328,7 @@
         for piece in &booking.pieces {
             self.workers[piece.worker].booked &= !piece.mask;
         }
-        self.settle_stuck(&booking.pieces);
+        self.refresh_unstoppable(&booking.pieces);
         self.discharge(id, booking.home, &booking.pieces);
         self.booked.remove(id);
         if waits {
@@ -359,29 +359,30 @@
 
     /// Works out anew what cannot be stopped on the workers of `pieces`:
     /// a job that ends and one that is booked there may both have been.
-    fn settle_stuck(&mut self, pieces: &[Piece]) {
+    fn refresh_unstoppable(&mut self, pieces: &[Piece]) {
         for piece in pieces {
             let worker = piece.worker;
             let runs = self.workers[worker]
                 .jobs
                 .iter()
-                .filter(|id| self.is_stuck(id))
+                .filter(|id| self.is_unstoppable(id))
                 .filter_map(|id| self.jobs.get(id)?.run())
                 .map(|run| &run.pieces);
             let bookings = self
                 .booked
                 .iter()
-                .filter(|id| self.is_stuck(id))
+                .filter(|id| self.is_unstoppable(id))
                 .filter_map(|id| self.jobs.get(id)?.booking.as_ref())
                 .map(|booking| &booking.pieces);
-            let stuck = runs
-                .chain(bookings)
-                .fold(0, |stuck, pieces| stuck | mask_on(pieces, worker));
-            self.workers[worker].stuck = stuck;
+            let unstoppable =
+                runs.chain(bookings).fold(0, |unstoppable, pieces| {
+                    unstoppable | mask_on(pieces, worker)
+                });
+            self.workers[worker].unstoppable = unstoppable;
         }
     }
 
-    fn is_stuck(&self, id: &job::Id) -> bool {
+    fn is_unstoppable(&self, id: &job::Id) -> bool {
         let job = self.jobs.get(id);
         job.is_some_and(|job| !job.spec.reclaimable())
     }
@@ -399,7 +400,7 @@
                 let counted = self.guaranteed.entry(account).or_default();
                 counted.insert(id.clone());
             }
-            None => self.tenant_of(id).borrowed += count(pieces),
+            None => self.tenant_of(id).borrowed += accelerator_count(pieces),
         }
     }
 
@@ -420,7 +421,7 @@
             None => {
                 let tenant = self.tenant_of(id);
                 tenant.borrowed =
-                    tenant.borrowed.saturating_sub(count(pieces));
+                    tenant.borrowed.saturating_sub(accelerator_count(pieces));
             }
         }
     }
@@ -438,7 +439,7 @@
 }
 
 /// Returns how many accelerators `pieces` have together.
-pub fn count(pieces: &[Piece]) -> u32 {
+pub fn accelerator_count(pieces: &[Piece]) -> u32 {
     pieces.iter().map(Piece::len).sum()
 }
 
--- a/src/planner/actor/platform.rs
+++ b/src/planner/actor/platform.rs
@@ -89,15 +89,16 @@
         let changed = document.accounts.iter().filter(|(id, account)| {
             old.accounts.get(*id).map(|a| a.revision) != Some(account.revision)
         });
-        let changed = changed.map(|(account, versioned)| Event::Account {
-            account: account.clone(),
-            terms: versioned.item.value.terms(),
-        });
+        let changed =
+            changed.map(|(account, versioned)| Event::AccountChanged {
+                account: account.clone(),
+                terms: versioned.item.value.terms(),
+            });
         let gone = old
             .accounts
             .keys()
             .filter(|id| !document.accounts.contains_key(*id))
-            .map(|account| Event::AccountGone {
+            .map(|account| Event::AccountRemoved {
                 account: account.clone(),
             });
         let events: Vec<Event> = changed.chain(gone).collect();
--- a/src/planner/view.rs
+++ b/src/planner/view.rs
@@ -3,7 +3,7 @@
 use opentelemetry::KeyValue;
 
 use crate::plan::home::mask_on;
-use crate::plan::state::count;
+use crate::plan::state::accelerator_count;
 use crate::plan::state::Presence;
 use crate::plan::Plan;
 use crate::planner::Config;
@@ -99,7 +99,7 @@
         Presence::Leaving => "leaving",
         Presence::Lost => "lost",
     };
-    let health = match books.health.is_good() {
+    let health = match books.health.is_in_service() {
         true => "good",
         false => "quarantined",
     };
@@ -130,7 +130,7 @@
         Some(GuaranteeView {
             shape: home.shape,
             placed: home.is_placed(),
-            used: count(&home.used),
+            used: accelerator_count(&home.used),
             borrowers: borrowers.map(|(id, _)| id.clone()).collect(),
             account,
         })
--- a/src/replay/baseline.rs
+++ b/src/replay/baseline.rs
@@ -375,7 +375,7 @@
         let mut needed = shape.accelerators;
         let mut pieces = Vec::new();
         for (room, worker) in workers {
-            let mask = mask::take(open(worker), room.min(needed))?;
+            let mask = mask::choose(open(worker), room.min(needed))?;
             pieces.push(Piece { worker, mask });
             needed -= mask.count_ones();
             if needed == 0 {
--- a/src/replay/engine.rs
+++ b/src/replay/engine.rs
@@ -155,11 +155,10 @@
 
     /// Runs the trace to its end.
     pub fn run(mut self, timing: bool) -> Outcomes {
-        let first = self
-            .trace
-            .header
-            .terms()
-            .map(|(account, terms)| Event::Account { account, terms });
+        let first =
+            self.trace.header.terms().map(|(account, terms)| {
+                Event::AccountChanged { account, terms }
+            });
         let workers = self.site.workers().iter();
         let up = workers.map(|worker| Event::WorkerUp {
             worker: worker.id.clone(),
--- a/tests/it/plan_mask.rs
+++ b/tests/it/plan_mask.rs
@@ -1,6 +1,6 @@
 //! Choosing accelerators inside a worker.
 
-use landingvalve::plan::mask::take;
+use landingvalve::plan::mask::choose;
 
 #[test]
 fn takes_the_tightest_aligned_window() {
@@ -15,6 +15,6 @@
         (0b0000_0001, 0, None),
     ];
     for (free, count, expected) in cases {
-        assert_eq!(take(free, count), expected, "{free:b} {count}");
+        assert_eq!(choose(free, count), expected, "{free:b} {count}");
     }
 }
--- a/tests/it/plan_predict.rs
+++ b/tests/it/plan_predict.rs
@@ -38,9 +38,9 @@
     let mut constant = History::default();
     for declared in [10, 100, 1000] {
         let ran = Duration::from_secs(3 * declared);
-        factor.completed(&spec(declared), ran);
+        factor.record_completion(&spec(declared), ran);
         let ran = Duration::from_secs(42);
-        constant.completed(&spec(declared), ran);
+        constant.record_completion(&spec(declared), ran);
     }
     let seconds = |d: Duration| d.as_secs_f64().round();
     assert_eq!(seconds(factor.predict(&spec(50))), 150.0);
--- a/tests/it/plan_property.rs
+++ b/tests/it/plan_property.rs
@@ -12,7 +12,7 @@
 use landingvalve::plan::command::Command;
 use landingvalve::plan::event::Event;
 use landingvalve::plan::home::mask_on;
-use landingvalve::plan::state::count;
+use landingvalve::plan::state::accelerator_count;
 use landingvalve::plan::state::Phase;
 use landingvalve::plan::Plan;
 use landingvalve::plan::Policy;
@@ -79,7 +79,7 @@
         let up = workers
             .into_iter()
             .map(|worker| Event::WorkerUp { worker: worker.id });
-        let accounts = ACCOUNTS.iter().map(|id| Event::Account {
+        let accounts = ACCOUNTS.iter().map(|id| Event::AccountChanged {
             account: (*id).into(),
             terms: terms(id),
         });
@@ -131,7 +131,10 @@
         let state = self.plan.state();
         let mut homes = vec![0; state.workers.len()];
         for home in state.homes.iter().filter(|home| home.is_placed()) {
-            assert_eq!(count(&home.pieces), home.shape.accelerators);
+            assert_eq!(
+                accelerator_count(&home.pieces),
+                home.shape.accelerators
+            );
             let within = home.shape.within;
             assert!(state.site.lies_within(&home.pieces, within));
             assert!(home.covers(&home.used), "{home:?}");
@@ -146,7 +149,7 @@
         for home in state.homes.iter().filter(|home| home.is_placed()) {
             for worker in 0..state.workers.len() {
                 let unused = home.unused(worker);
-                let mut stays = state.workers[worker].stuck;
+                let mut stays = state.workers[worker].unstoppable;
                 for id in &state.workers[worker].jobs {
                     let job = &state.jobs[id];
                     let run = job.run().expect("it is here");
