--- a/src/plan/admit.rs
+++ b/src/plan/admit.rs
@@ -9,7 +9,7 @@
 
 /// Returns why no healthy site could ever hold the job, if none could.
 pub fn unplaceable_reason(state: &State, spec: &job::Spec) -> Option<String> {
-    let Some(tenant) = state.tenants.get(&spec.account) else {
+    let Some(account_state) = state.accounts.get(&spec.account) else {
         return Some(format!("account: {:?} is not known", spec.account));
     };
     let shape = spec.shape;
@@ -21,7 +21,7 @@
             "accelerators: no part of the site holds {shape}"
         ));
     }
-    let terms = &tenant.terms;
+    let terms = &account_state.terms;
     let holds = |own: &Shape| own.holds(&shape);
     if terms.guarantee.iter().any(holds) {
         return None;
@@ -33,7 +33,7 @@
             terms.borrow
         ));
     }
-    if !spec.reclaimable() && !fits(&|w| state.open_nominal[w]) {
+    if !spec.reclaimable() && !fits(&|w| state.nominal_unguaranteed[w]) {
         return Some(format!(
             "accelerators: {shape} may not repeat, is in no guaranteed \
              shape of the account, and too large for unguaranteed room"
--- a/src/plan/block.rs
+++ b/src/plan/block.rs
@@ -28,7 +28,7 @@
 }
 
 /// What counts towards which block, to go back to.
-pub(super) struct Counts {
+pub(super) struct UsageSnapshot {
     snapshot: Snapshot,
     borrowed: Vec<(account::Id, u32)>,
     homes: Vec<(job::Id, HomeIndex)>,
@@ -49,12 +49,12 @@
 
 impl State {
     /// Returns a place for a block that covers what its owner uses of it.
-    pub(super) fn block(&self, index: HomeIndex) -> Option<Vec<Piece>> {
+    pub(super) fn find_place(&self, index: HomeIndex) -> Option<Vec<Piece>> {
         let home = &self.homes[index];
-        let open = |worker: WorkerIndex| {
-            let books = &self.workers[worker];
-            match books.is_open() {
-                true => self.site.whole() & !books.home & !books.unstoppable,
+        let open = |index: WorkerIndex| {
+            let worker = &self.workers[index];
+            match worker.is_open() {
+                true => self.site.whole() & !worker.home & !worker.unstoppable,
                 false => 0,
             }
         };
@@ -104,9 +104,9 @@
         }
         let before = self.snapshot();
         self.homes[index].charge(pieces);
-        self.lift_block(index);
-        let moved = self.lift_overlapping(pieces);
-        let placed = self.place_home(index) && self.place_all(&moved);
+        self.clear_place(index);
+        let moved = self.clear_overlapping(pieces);
+        let placed = self.place_home(index) && self.place_listed(&moved);
         self.homes[index].discharge(pieces);
         if !placed {
             self.restore(before);
@@ -117,17 +117,20 @@
     /// Moves all blocks off `pieces`, which somebody is about to use who
     /// cannot be stopped. Changes nothing and returns false if one would
     /// have no place.
-    pub fn make_way(&mut self, pieces: &[Piece]) -> bool {
+    pub fn move_blocks_off(&mut self, pieces: &[Piece]) -> bool {
         let before = self.snapshot();
-        let moved = self.lift_overlapping(pieces);
-        let unstoppable: Vec<Mask> =
-            self.workers.iter().map(|books| books.unstoppable).collect();
+        let moved = self.clear_overlapping(pieces);
+        let unstoppable: Vec<Mask> = self
+            .workers
+            .iter()
+            .map(|worker| worker.unstoppable)
+            .collect();
         for piece in pieces {
             self.workers[piece.worker].unstoppable |= piece.mask;
         }
-        let placed = self.place_all(&moved);
-        for (books, unstoppable) in self.workers.iter_mut().zip(unstoppable) {
-            books.unstoppable = unstoppable;
+        let placed = self.place_listed(&moved);
+        for (worker, unstoppable) in self.workers.iter_mut().zip(unstoppable) {
+            worker.unstoppable = unstoppable;
         }
         if !placed {
             self.restore(before);
@@ -138,27 +141,28 @@
     /// Empties a block of its owner's jobs, so that one that needs all of
     /// it can have it: they count towards other shapes, or as borrowers.
     /// Changes nothing and returns false if one can be neither.
-    pub fn vacate(&mut self, index: HomeIndex) -> bool {
-        let before = self.clone_counts();
-        let runs = self
-            .ids(|job| job.run().is_some_and(|run| run.home == Some(index)));
-        let booked = self.ids(|job| {
+    pub fn vacate_home(&mut self, index: HomeIndex) -> bool {
+        let before = self.usage_snapshot();
+        let runs = self.job_ids(|job| {
+            job.run().is_some_and(|run| run.home == Some(index))
+        });
+        let booked = self.job_ids(|job| {
             let booking = job.booking.as_ref();
             booking.is_some_and(|booking| booking.home == Some(index))
         });
         let gone = booked.is_empty()
-            && runs.iter().all(|id| self.count_elsewhere(id, index));
+            && runs.iter().all(|id| self.charge_elsewhere(id, index));
         let placed = gone && {
-            self.lift_block(index);
+            self.clear_place(index);
             self.place_home(index)
         };
         if !placed {
-            self.restore_counts(before);
+            self.restore_usage(before);
         }
         placed
     }
 
-    pub(super) fn count_elsewhere(
+    pub(super) fn charge_elsewhere(
         &mut self,
         id: &job::Id,
         from: HomeIndex,
@@ -174,15 +178,15 @@
             .collect();
         others.sort_by_key(|&at| self.homes[at].shape.accelerators);
         // The job must not count twice while its new block is sought.
-        self.adopt_home(id, None);
+        self.set_home(id, None);
         for other in others {
             if self.cover(other, &run.pieces) {
-                self.adopt_home(id, Some(other));
+                self.set_home(id, Some(other));
                 return true;
             }
         }
-        let tenant = &self.tenants[&job.spec.account];
-        tenant.borrowed <= tenant.terms.borrow
+        let account_state = &self.accounts[&job.spec.account];
+        account_state.borrowed <= account_state.terms.borrow
     }
 
     /// Returns whether a block of the job's account has room for it.
@@ -195,7 +199,7 @@
                 >= job.spec.shape.accelerators
     }
 
-    pub(super) fn lift_overlapping(
+    pub(super) fn clear_overlapping(
         &mut self,
         pieces: &[Piece],
     ) -> Vec<HomeIndex> {
@@ -203,16 +207,16 @@
             let hit = |p: &Piece| mask_on(&home.pieces, p.worker) & p.mask;
             pieces.iter().any(|piece| hit(piece) != 0)
         };
-        let lifted: Vec<HomeIndex> = (0..self.homes.len())
+        let cleared: Vec<HomeIndex> = (0..self.homes.len())
             .filter(|&at| overlaps(&self.homes[at]))
             .collect();
-        for index in &lifted {
-            self.lift_block(*index);
+        for index in &cleared {
+            self.clear_place(*index);
         }
-        lifted
+        cleared
     }
 
-    pub(super) fn place_all(&mut self, indices: &[HomeIndex]) -> bool {
+    pub(super) fn place_listed(&mut self, indices: &[HomeIndex]) -> bool {
         let shapes: Vec<Shape> =
             indices.iter().map(|&at| self.homes[at].shape).collect();
         largest_first(&shapes)
@@ -223,39 +227,41 @@
     pub(super) fn snapshot(&self) -> Snapshot {
         Snapshot {
             homes: self.homes.clone(),
-            masks: self.workers.iter().map(|books| books.home).collect(),
+            masks: self.workers.iter().map(|worker| worker.home).collect(),
         }
     }
 
     pub(super) fn restore(&mut self, before: Snapshot) {
         self.homes = before.homes;
-        for (books, mask) in self.workers.iter_mut().zip(before.masks) {
-            books.home = mask;
+        for (worker, mask) in self.workers.iter_mut().zip(before.masks) {
+            worker.home = mask;
         }
     }
 
-    pub(super) fn clone_counts(&self) -> Counts {
-        let borrowed = self.tenants.iter();
+    pub(super) fn usage_snapshot(&self) -> UsageSnapshot {
+        let borrowed = self.accounts.iter();
         let homes = self.jobs.iter().filter_map(|(id, job)| {
             let home = job.run()?.home?;
             Some((id.clone(), home))
         });
-        Counts {
+        UsageSnapshot {
             snapshot: self.snapshot(),
             borrowed: borrowed
-                .map(|(id, tenant)| (id.clone(), tenant.borrowed))
+                .map(|(id, account_state)| {
+                    (id.clone(), account_state.borrowed)
+                })
                 .collect(),
             homes: homes.collect(),
             guaranteed: self.guaranteed.clone(),
         }
     }
 
-    pub(super) fn restore_counts(&mut self, before: Counts) {
+    pub(super) fn restore_usage(&mut self, before: UsageSnapshot) {
         self.restore(before.snapshot);
         self.guaranteed = before.guaranteed;
         for (id, borrowed) in before.borrowed {
-            if let Some(tenant) = self.tenants.get_mut(&id) {
-                tenant.borrowed = borrowed;
+            if let Some(account_state) = self.accounts.get_mut(&id) {
+                account_state.borrowed = borrowed;
             }
         }
         for (id, home) in before.homes {
--- a/src/plan/compact.rs
+++ b/src/plan/compact.rs
@@ -13,7 +13,7 @@
 use crate::plan::place;
 use crate::plan::place::Spread;
 use crate::plan::schedule;
-use crate::plan::state::ran;
+use crate::plan::state::run_time;
 use crate::plan::state::Booking;
 use crate::plan::state::Job;
 use crate::plan::state::Phase;
@@ -27,11 +27,11 @@
 
 /// How long a job must still run, at least, for a move to pay. It is
 /// divided by the weight of fragmentation.
-const WORTH: Duration = Duration::from_secs(10);
+const MIN_TIME_LEFT: Duration = Duration::from_secs(10);
 /// How long a job stays where it is after a start.
-const REST: Duration = Duration::from_secs(15);
+const MIN_RUN_TIME: Duration = Duration::from_secs(15);
 /// How many moves may be under way at once.
-const MAX_MOVES: usize = 4;
+const MAX_CONCURRENT_MOVES: usize = 4;
 
 /// Empties one worker into the free remainders of others, if that makes a
 /// whole worker free that need not be in use.
@@ -39,26 +39,26 @@
     state: &mut State,
     policy: &Policy,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
-    if policy.weight_fragmentation <= 0.0 || !is_scattered(state) {
+    if policy.weight_fragmentation <= 0.0 || !is_fragmented(state) {
         return;
     }
-    if moves_under_way(state) >= MAX_MOVES {
+    if active_moves(state) >= MAX_CONCURRENT_MOVES {
         return;
     }
-    let worth = WORTH.div_f64(policy.weight_fragmentation);
+    let min_left = MIN_TIME_LEFT.div_f64(policy.weight_fragmentation);
     for source in sources(state) {
-        if let Some(moves) = moves(state, source, worth, now) {
-            for one in &moves {
-                shift(state, one, out);
+        if let Some(moves) = moves(state, source, min_left, now) {
+            for step in &moves {
+                start_move(state, step, commands);
             }
             return;
         }
     }
 }
 
-fn is_scattered(state: &State) -> bool {
+fn is_fragmented(state: &State) -> bool {
     let whole = state.site.accelerators();
     let frees = || (0..state.workers.len()).map(|w| state.free(w));
     let free: u32 = frees().map(Mask::count_ones).sum();
@@ -66,7 +66,7 @@
     (wholes as u32) < free / whole
 }
 
-fn moves_under_way(state: &State) -> usize {
+fn active_moves(state: &State) -> usize {
     state
         .booked
         .iter()
@@ -79,8 +79,8 @@
 fn sources(state: &State) -> Vec<WorkerIndex> {
     let mut sources: Vec<(u32, WorkerIndex)> = (0..state.workers.len())
         .filter(|&w| {
-            let books = &state.workers[w];
-            books.is_open() && books.used != 0 && books.booked == 0
+            let worker = &state.workers[w];
+            worker.is_open() && worker.used != 0 && worker.booked == 0
         })
         .map(|w| (state.workers[w].used.count_ones(), w))
         .filter(|(used, _)| *used < state.site.accelerators())
@@ -93,7 +93,7 @@
 fn moves(
     state: &State,
     source: WorkerIndex,
-    worth: Duration,
+    min_left: Duration,
     now: SystemTime,
 ) -> Option<Vec<Move>> {
     let mut jobs: Vec<&Job> = state.workers[source]
@@ -101,7 +101,7 @@
         .iter()
         .filter_map(|id| state.jobs.get(id))
         .collect();
-    if !jobs.iter().all(|job| is_movable(state, job, worth, now)) {
+    if !jobs.iter().all(|job| is_movable(state, job, min_left, now)) {
         return None;
     }
     jobs.sort_by_key(|job| Reverse(job.spec.shape.accelerators));
@@ -135,10 +135,10 @@
     job: &Job,
     region: &impl Fn(&State, WorkerIndex) -> Mask,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) -> bool {
     let weight = policy.weight_fragmentation;
-    if weight <= 0.0 || moves_under_way(state) >= MAX_MOVES {
+    if weight <= 0.0 || active_moves(state) >= MAX_CONCURRENT_MOVES {
         return false;
     }
     let free: u32 = (0..state.workers.len())
@@ -147,8 +147,8 @@
     if free < job.spec.shape.accelerators {
         return false;
     }
-    let worth = WORTH.div_f64(weight);
-    let Some(room) = find_room(state, job, region, worth, now) else {
+    let min_left = MIN_TIME_LEFT.div_f64(weight);
+    let Some(room) = find_room(state, job, region, min_left, now) else {
         return false;
     };
     let pending = room.moves.iter().map(|m| m.id.clone()).collect();
@@ -160,8 +160,8 @@
     // Booked before anything moves: a block that moves along must not come
     // to lie where this job cannot be stopped.
     state.book(&job.spec.id, booking);
-    for one in &room.moves {
-        shift(state, one, out);
+    for step in &room.moves {
+        start_move(state, step, commands);
     }
     true
 }
@@ -176,7 +176,7 @@
     state: &State,
     job: &Job,
     region: &impl Fn(&State, WorkerIndex) -> Mask,
-    worth: Duration,
+    min_left: Duration,
     now: SystemTime,
 ) -> Option<Room> {
     let shape = job.spec.shape;
@@ -187,16 +187,18 @@
     state
         .site
         .domains(within)
-        .filter_map(|domain| room_in(state, shape, domain, region, worth, now))
+        .filter_map(|domain| {
+            room_in_domain(state, shape, domain, region, min_left, now)
+        })
         .min_by_key(|room| room.moves.len())
 }
 
-fn room_in(
+fn room_in_domain(
     state: &State,
     shape: Shape,
     domain: &[WorkerIndex],
     region: &impl Fn(&State, WorkerIndex) -> Mask,
-    worth: Duration,
+    min_left: Duration,
     now: SystemTime,
 ) -> Option<Room> {
     let open = |w: WorkerIndex| state.free(w) & region(state, w);
@@ -207,7 +209,7 @@
         .filter(|&&w| state.workers[w].is_open())
         .flat_map(|&w| &state.workers[w].jobs)
         .filter_map(|id| state.jobs.get(id))
-        .filter(|job| is_movable(state, job, worth, now))
+        .filter(|job| is_movable(state, job, min_left, now))
         .filter(|job| {
             let pieces = job.run().map(|run| &run.pieces);
             pieces
@@ -225,7 +227,9 @@
             .iter()
             .rposition(|job| job.spec.shape.accelerators >= missing);
         let job = match enough {
-            _ if jobs.is_empty() || moves.len() >= MAX_MOVES => return None,
+            _ if jobs.is_empty() || moves.len() >= MAX_CONCURRENT_MOVES => {
+                return None
+            }
             Some(at) => jobs.remove(at),
             None => jobs.remove(0),
         };
@@ -245,7 +249,7 @@
 fn is_movable(
     state: &State,
     job: &Job,
-    worth: Duration,
+    min_left: Duration,
     now: SystemTime,
 ) -> bool {
     let single = job.run().is_some_and(|run| run.pieces.len() == 1);
@@ -254,9 +258,9 @@
         && job.booking.is_none()
         && job.spec.checkpoint
         && !job.spec.urgent
-        && ran(job, now) >= REST
-        && state.time_left(job, now) >= worth
-        && may_go(state, job)
+        && run_time(job, now) >= MIN_RUN_TIME
+        && state.time_left(job, now) >= min_left
+        && may_leave_home(state, job)
 }
 
 /// Returns the tightest remainder outside `sources` that holds the job, on
@@ -286,23 +290,23 @@
 
 /// Returns whether a job that counts towards a shape may become a borrower
 /// while it moves.
-fn may_go(state: &State, job: &Job) -> bool {
+fn may_leave_home(state: &State, job: &Job) -> bool {
     let counts = job.run().is_some_and(|run| run.home.is_some());
-    let may_borrow = state.tenants.get(&job.spec.account).is_some_and(|t| {
+    let may_borrow = state.accounts.get(&job.spec.account).is_some_and(|t| {
         t.borrowed + job.spec.shape.accelerators <= t.terms.borrow
     });
     may_borrow || !counts
 }
 
 /// Books the destination for the job itself, and tells it to stop.
-fn shift(state: &mut State, one: &Move, out: &mut Vec<Command>) {
-    let Move { id, to } = one;
+fn start_move(state: &mut State, step: &Move, commands: &mut Vec<Command>) {
+    let Move { id, to } = step;
     let home = state
         .jobs
         .get(id)
         .cloned()
         .and_then(|job| state.cover_any(&job, &[*to]));
-    schedule::stop(state, id, Reason::Compact, out);
+    schedule::stop(state, id, Reason::Compact, commands);
     let booking = Booking {
         pieces: vec![*to],
         home,
--- a/src/plan/health.rs
+++ b/src/plan/health.rs
@@ -12,13 +12,13 @@
 use crate::job;
 
 /// How long the first quarantine lasts.
-const FIRST: Duration = Duration::from_secs(20);
+const FIRST_QUARANTINE: Duration = Duration::from_secs(20);
 /// The longest that a quarantine lasts.
-const LONGEST: Duration = Duration::from_secs(15 * 60);
+const MAX_QUARANTINE: Duration = Duration::from_secs(15 * 60);
 /// How long a run must last to clear its worker.
-pub const CLEARED_AFTER: Duration = Duration::from_secs(30);
+pub const MIN_PROBE_RUN: Duration = Duration::from_secs(30);
 /// On how many workers that others run well on a job may fail.
-pub const MAX_FAILURES: usize = 4;
+pub const MAX_FAILED_WORKERS: usize = 4;
 
 /// What is thought of a worker.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -29,7 +29,7 @@
     /// One failure may have been the worker's.
     Suspect {
         /// The job whose failure it was.
-        by: job::Id,
+        job: job::Id,
     },
     /// It gets no work until the deadline, then one job to prove itself.
     Quarantined {
@@ -75,9 +75,9 @@
         let was_good = self.is_in_service();
         let next = match self {
             Health::Quarantined { round, .. } => quarantine(*round + 1, now),
-            Health::Suspect { by } if by != job => quarantine(0, now),
+            Health::Suspect { job } if job != job => quarantine(0, now),
             _ if proven => quarantine(0, now),
-            _ => Health::Suspect { by: job.clone() },
+            _ => Health::Suspect { job: job.clone() },
         };
         *self = next;
         was_good && !self.is_in_service()
@@ -93,9 +93,11 @@
 }
 
 fn quarantine(round: u32, now: SystemTime) -> Health {
-    let lasts = FIRST.saturating_mul(1 << round.min(10)).min(LONGEST);
+    let length = FIRST_QUARANTINE
+        .saturating_mul(1 << round.min(10))
+        .min(MAX_QUARANTINE);
     Health::Quarantined {
-        until: now + lasts,
+        until: now + length,
         round,
         probe: None,
     }
--- a/src/plan/home.rs
+++ b/src/plan/home.rs
@@ -119,8 +119,8 @@
 impl State {
     /// Brings home blocks in line with the client accounts' guarantees.
     pub fn sync_homes(&mut self, account: &account::Id) {
-        let wanted = match self.tenants.get(account) {
-            Some(tenant) => tenant.terms.guarantee.clone(),
+        let wanted = match self.accounts.get(account) {
+            Some(account_state) => account_state.terms.guarantee.clone(),
             None => Vec::new(),
         };
         let mut missing = wanted;
@@ -134,7 +134,7 @@
                     missing.swap_remove(at);
                 }
                 None => {
-                    let demoted = self.unplace(index);
+                    let demoted = self.unplace_home(index);
                     self.homes[index].owner = None;
                     self.promote(&demoted);
                 }
@@ -149,11 +149,11 @@
             });
         }
         self.homes_dirty = true;
-        self.sync_nominal();
+        self.update_nominal();
     }
 
     /// Works out anew what no guarantee needs on the whole site in health.
-    pub fn sync_nominal(&mut self) {
+    pub fn update_nominal(&mut self) {
         let shapes: Vec<Shape> = self
             .homes
             .iter()
@@ -161,16 +161,16 @@
             .map(|home| home.shape)
             .collect();
         let whole = self.site.whole();
-        self.open_nominal = vec![whole; self.workers.len()];
+        self.nominal_unguaranteed = vec![whole; self.workers.len()];
         let places = pack(&self.site, &shapes);
         for piece in places.iter().flatten().flatten() {
-            self.open_nominal[piece.worker] &= !piece.mask;
+            self.nominal_unguaranteed[piece.worker] &= !piece.mask;
         }
     }
 
     /// Gives every home block a place on workers that take work, as far as
     /// there is one, and moves as few as it can.
-    pub fn settle_homes(&mut self) {
+    pub fn place_homes(&mut self) {
         if !std::mem::take(&mut self.homes_dirty) {
             return;
         }
@@ -182,18 +182,18 @@
                 .iter()
                 .all(|piece| self.workers[piece.worker].is_open());
             if !stands {
-                demoted.extend(self.unplace(index));
+                demoted.extend(self.unplace_home(index));
             }
         }
-        self.place_missing();
-        if self.missing().next().is_some() {
+        self.place_unplaced();
+        if self.unplaced().next().is_some() {
             demoted.extend(self.repack());
         }
         self.promote(&demoted);
     }
 
     /// Returns the home blocks that have no place.
-    pub fn missing(&self) -> impl Iterator<Item = HomeIndex> + '_ {
+    pub fn unplaced(&self) -> impl Iterator<Item = HomeIndex> + '_ {
         (0..self.homes.len()).filter(|&index| {
             let home = &self.homes[index];
             home.owner.is_some() && !home.is_placed()
@@ -204,36 +204,37 @@
     /// them. Jobs that count towards a block and can be stopped count as
     /// borrowers then, and their shape is to be had elsewhere.
     fn repack(&mut self) -> Vec<job::Id> {
-        let before = self.placed();
-        let old = self.clone_counts();
+        let before = self.placed_count();
+        let old = self.usage_snapshot();
         let mut demoted = Vec::new();
         for index in 0..self.homes.len() {
             if !self.homes[index].is_used() {
-                self.lift_block(index);
-            } else if let Some(users) = self.movable_users(index) {
+                self.clear_place(index);
+            } else if let Some(users) = self.stoppable_users(index) {
                 demoted.extend(users);
-                self.lift_block(index);
+                self.clear_place(index);
             }
         }
         for id in &demoted {
-            self.adopt_home(id, None);
+            self.set_home(id, None);
         }
-        self.place_missing();
-        if self.placed() <= before {
-            self.restore_counts(old);
+        self.place_unplaced();
+        if self.placed_count() <= before {
+            self.restore_usage(old);
             demoted.clear();
         }
         demoted
     }
 
     /// Returns the jobs that count towards a block, if all can be stopped.
-    fn movable_users(&self, index: HomeIndex) -> Option<Vec<job::Id>> {
+    fn stoppable_users(&self, index: HomeIndex) -> Option<Vec<job::Id>> {
         let booked = self.booked.iter().filter_map(|id| self.jobs.get(id));
         let has_booking = booked
             .filter_map(|job| job.booking.as_ref())
             .any(|booking| booking.home == Some(index));
-        let runs = self
-            .ids(|job| job.run().is_some_and(|run| run.home == Some(index)));
+        let runs = self.job_ids(|job| {
+            job.run().is_some_and(|run| run.home == Some(index))
+        });
         let movable = runs.iter().all(|id| {
             let job = self.jobs.get(id);
             job.is_some_and(|job| job.spec.reclaimable())
@@ -241,7 +242,7 @@
         (movable && !has_booking).then_some(runs)
     }
 
-    fn placed(&self) -> u32 {
+    fn placed_count(&self) -> u32 {
         self.homes
             .iter()
             .filter(|home| home.is_placed())
@@ -249,8 +250,8 @@
             .sum()
     }
 
-    fn place_missing(&mut self) {
-        let missing: Vec<HomeIndex> = self.missing().collect();
+    fn place_unplaced(&mut self) {
+        let missing: Vec<HomeIndex> = self.unplaced().collect();
         let shapes: Vec<Shape> =
             missing.iter().map(|&at| self.homes[at].shape).collect();
         for at in largest_first(&shapes) {
@@ -259,23 +260,23 @@
     }
 
     pub(super) fn place_home(&mut self, index: HomeIndex) -> bool {
-        match self.block(index) {
+        match self.find_place(index) {
             Some(pieces) => {
-                self.put_block(index, pieces);
+                self.set_place(index, pieces);
                 true
             }
             None => false,
         }
     }
 
-    fn put_block(&mut self, index: HomeIndex, pieces: Vec<Piece>) {
+    fn set_place(&mut self, index: HomeIndex, pieces: Vec<Piece>) {
         for piece in &pieces {
             self.workers[piece.worker].home |= piece.mask;
         }
         self.homes[index].pieces = pieces;
     }
 
-    pub(super) fn lift_block(&mut self, index: HomeIndex) {
+    pub(super) fn clear_place(&mut self, index: HomeIndex) {
         for piece in std::mem::take(&mut self.homes[index].pieces) {
             self.workers[piece.worker].home &= !piece.mask;
         }
@@ -283,18 +284,18 @@
 
     /// Takes a home block's place away; the owner's jobs that count towards
     /// it become borrowers, and are returned.
-    fn unplace(&mut self, index: HomeIndex) -> Vec<job::Id> {
-        self.lift_block(index);
+    fn unplace_home(&mut self, index: HomeIndex) -> Vec<job::Id> {
+        self.clear_place(index);
         let in_run =
             |job: &Job| job.run().is_some_and(|run| run.home == Some(index));
         let in_booking = |job: &Job| {
             let booking = job.booking.as_ref();
             booking.is_some_and(|booking| booking.home == Some(index))
         };
-        let runs = self.ids(in_run);
-        let bookings = self.ids(in_booking);
+        let runs = self.job_ids(in_run);
+        let bookings = self.job_ids(in_booking);
         for id in &runs {
-            self.adopt_home(id, None);
+            self.set_home(id, None);
         }
         for id in bookings {
             self.unbook(&id);
@@ -302,7 +303,10 @@
         runs
     }
 
-    pub(super) fn ids(&self, wanted: impl Fn(&Job) -> bool) -> Vec<job::Id> {
+    pub(super) fn job_ids(
+        &self,
+        wanted: impl Fn(&Job) -> bool,
+    ) -> Vec<job::Id> {
         self.jobs
             .iter()
             .filter(|(_, job)| wanted(job))
@@ -312,7 +316,7 @@
 
     /// Returns the running borrowers of an account, the largest first.
     pub fn borrowers(&self, account: &account::Id) -> Vec<job::Id> {
-        let mut borrowers = self.ids(|job| {
+        let mut borrowers = self.job_ids(|job| {
             job.spec.account == *account
                 && matches!(job.phase, Phase::Running(_))
                 && job.run().is_some_and(|run| run.home.is_none())
@@ -333,7 +337,7 @@
             let pieces = job.run().map(|run| run.pieces.clone());
             let home = self.cover_any(&job, &pieces.unwrap_or_default());
             if home.is_some() {
-                self.adopt_home(id, home);
+                self.set_home(id, home);
             }
         }
     }
--- a/src/plan/intake.rs
+++ b/src/plan/intake.rs
@@ -12,7 +12,7 @@
 use crate::plan::health;
 use crate::plan::health::Health;
 use crate::plan::schedule;
-use crate::plan::state::ran;
+use crate::plan::state::run_time;
 use crate::plan::state::Job;
 use crate::plan::state::Phase;
 use crate::plan::state::Presence;
@@ -21,58 +21,58 @@
 use crate::site::WorkerIndex;
 
 /// The wait before the second retry; each later one doubles it.
-const BACKOFF: Duration = Duration::from_secs(1);
+const RETRY_BACKOFF: Duration = Duration::from_secs(1);
 /// How many doublings the wait between retries may see.
-const MAX_DOUBLINGS: usize = 8;
+const MAX_BACKOFF_DOUBLINGS: usize = 8;
 
 /// Takes one event into the books.
-pub fn take(
+pub fn apply(
     state: &mut State,
     event: Event,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     match event {
         Event::AccountChanged { account, terms } => {
-            state.tenants.entry(account.clone()).or_default().terms = terms;
+            state.accounts.entry(account.clone()).or_default().terms = terms;
             state.sync_homes(&account);
-            refuse_impossible(state, now, out);
+            refuse_impossible(state, now, commands);
         }
         Event::AccountRemoved { account } => {
-            if let Some(tenant) = state.tenants.get_mut(&account) {
-                tenant.terms = Default::default();
+            if let Some(account_state) = state.accounts.get_mut(&account) {
+                account_state.terms = Default::default();
             }
             state.sync_homes(&account);
-            refuse_impossible(state, now, out);
+            refuse_impossible(state, now, commands);
         }
-        Event::Submitted { spec } => submitted(state, spec, now, out),
-        Event::Cancelled { job } => cancelled(state, &job, now, out),
+        Event::Submitted { spec } => submitted(state, spec, now, commands),
+        Event::Cancelled { job } => cancelled(state, &job, now, commands),
         Event::WorkerUp { worker } => {
-            with(state, &worker, |state, index| {
-                let books = &mut state.workers[index];
-                if books.presence == Presence::Lost {
-                    books.health = Health::Good;
+            with_worker(state, &worker, |state, index| {
+                let worker = &mut state.workers[index];
+                if worker.presence == Presence::Lost {
+                    worker.health = Health::Good;
                 }
-                books.presence = Presence::Up;
+                worker.presence = Presence::Up;
             });
         }
         Event::WorkerLeaving { worker } => {
-            with(state, &worker, |state, index| {
+            with_worker(state, &worker, |state, index| {
                 state.workers[index].presence = Presence::Leaving;
                 drop_bookings(state, index);
             });
         }
         Event::WorkerSilent { worker } => {
-            with(state, &worker, |state, index| {
+            with_worker(state, &worker, |state, index| {
                 state.workers[index].presence = Presence::Silent;
                 drop_bookings(state, index);
             });
         }
         Event::WorkerLost { worker } => {
-            with(state, &worker, |state, index| {
+            with_worker(state, &worker, |state, index| {
                 state.workers[index].presence = Presence::Lost;
                 drop_bookings(state, index);
-                break_jobs(state, index, out);
+                stop_broken_jobs(state, index, commands);
             });
         }
         Event::Adopted {
@@ -98,16 +98,16 @@
             job,
             attempt,
             worker,
-        } => not_started(state, &job, attempt, worker, now, out),
+        } => not_started(state, &job, attempt, worker, now, commands),
         Event::StartUnknown { job, attempt } => {
             if is_current(state, &job, attempt) {
                 let reason = "it cannot be known whether it ran";
-                finish(state, &job, Outcome::Unknown, reason, now, out);
+                finish(state, &job, Outcome::Unknown, reason, now, commands);
             }
         }
         Event::Completed { job, attempt } => {
             if is_current(state, &job, attempt) {
-                completed(state, &job, now, out);
+                completed(state, &job, now, commands);
             }
         }
         Event::Failed {
@@ -116,7 +116,7 @@
             worker,
         } => {
             if is_current(state, &job, attempt) {
-                failed(state, &job, &worker, now, out);
+                failed(state, &job, &worker, now, commands);
             }
         }
         Event::Stopped {
@@ -126,7 +126,7 @@
             proven,
         } => {
             if is_current(state, &job, attempt) {
-                stopped(state, &job, kept, proven, now, out);
+                stopped(state, &job, kept, proven, now, commands);
             }
         }
         Event::Tick => {}
@@ -134,10 +134,10 @@
 }
 
 /// Takes workers back into service on which a probe has lasted.
-pub fn clear_probes(
+pub fn update_probes(
     state: &mut State,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     for index in 0..state.workers.len() {
         let Health::Quarantined {
@@ -146,13 +146,13 @@
         else {
             continue;
         };
-        let on_it = state.workers[index].jobs.contains(probe);
+        let is_here = state.workers[index].jobs.contains(probe);
         let lasted = state
             .jobs
             .get(probe)
-            .is_some_and(|job| ran(job, now) >= health::CLEARED_AFTER);
-        match on_it {
-            true if lasted => restore(state, index, out),
+            .is_some_and(|job| run_time(job, now) >= health::MIN_PROBE_RUN);
+        match is_here {
+            true if lasted => restore(state, index, commands),
             true => {}
             // The probe left for a reason that says nothing of the worker.
             false => reopen_probe(state, index),
@@ -167,7 +167,7 @@
     }
 }
 
-fn with(
+fn with_worker(
     state: &mut State,
     worker: &str,
     then: impl FnOnce(&mut State, WorkerIndex),
@@ -190,7 +190,7 @@
     state: &mut State,
     spec: job::Spec,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     let id = spec.id.clone();
     if state.jobs.contains_key(&id) {
@@ -200,14 +200,14 @@
     state.jobs.insert(id.clone(), Job::new(spec));
     state.waiting.insert(id.clone());
     if let Some(reason) = refusal {
-        finish(state, &id, Outcome::NotRun, &reason, now, out);
+        finish(state, &id, Outcome::NotRun, &reason, now, commands);
     }
 }
 
 fn refuse_impossible(
     state: &mut State,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     let refused: Vec<(job::Id, String)> = state
         .waiting
@@ -220,7 +220,7 @@
         })
         .collect();
     for (id, reason) in refused {
-        finish(state, &id, Outcome::NotRun, &reason, now, out);
+        finish(state, &id, Outcome::NotRun, &reason, now, commands);
     }
 }
 
@@ -228,7 +228,7 @@
     state: &mut State,
     id: &job::Id,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     let Some(job) = state.jobs.get_mut(id) else {
         return;
@@ -236,11 +236,11 @@
     match &mut job.phase {
         Phase::Waiting => {
             let reason = "cancelled by its caller";
-            finish(state, id, Outcome::Cancelled, reason, now, out);
+            finish(state, id, Outcome::Cancelled, reason, now, commands);
         }
         Phase::Running(_) => {
             state.unbook(id);
-            schedule::stop(state, id, Reason::Cancel, out);
+            schedule::stop(state, id, Reason::Cancel, commands);
         }
         Phase::Stopping(_, reason) => {
             *reason = Reason::Cancel;
@@ -264,7 +264,11 @@
 }
 
 /// Stops every job that has lost a member with its worker.
-fn break_jobs(state: &mut State, index: WorkerIndex, out: &mut Vec<Command>) {
+fn stop_broken_jobs(
+    state: &mut State,
+    index: WorkerIndex,
+    commands: &mut Vec<Command>,
+) {
     for id in state.workers[index].jobs.clone() {
         let Some(job) = state.jobs.get_mut(&id) else {
             continue;
@@ -275,7 +279,7 @@
             }
         }
         state.unbook(&id);
-        schedule::stop(state, &id, Reason::Broken, out);
+        schedule::stop(state, &id, Reason::Broken, commands);
     }
 }
 
@@ -285,7 +289,7 @@
     attempt: job::Attempt,
     worker: Option<crate::site::WorkerId>,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     if !is_current(state, id, attempt) {
         return;
@@ -295,12 +299,12 @@
     });
     if cancelled {
         let reason = "cancelled by its caller";
-        return finish(state, id, Outcome::Cancelled, reason, now, out);
+        return finish(state, id, Outcome::Cancelled, reason, now, commands);
     }
     release(state, id, now);
-    settle_bookings(state, id, now, out);
+    start_ready_bookings(state, id, now, commands);
     if let Some(job) = state.jobs.get_mut(id) {
-        job.not_before = now + BACKOFF / 4;
+        job.not_before = now + RETRY_BACKOFF / 4;
     }
     let index = worker.and_then(|worker| state.site.index(&worker));
     if let Some(index) = index {
@@ -313,26 +317,30 @@
     state: &mut State,
     id: &job::Id,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     let Some(job) = state.jobs.get(id) else {
         return;
     };
-    let total = job.kept + ran(job, now);
+    let total = job.checkpointed + run_time(job, now);
     let spec = job.spec.clone();
     let pieces = job.run().map(|run| run.pieces.clone());
     state.history.record_completion(&spec, total);
     for piece in pieces.into_iter().flatten() {
-        restore(state, piece.worker, out);
+        restore(state, piece.worker, commands);
     }
-    finish(state, id, Outcome::Done, "", now, out);
+    finish(state, id, Outcome::Done, "", now, commands);
 }
 
-fn restore(state: &mut State, index: WorkerIndex, out: &mut Vec<Command>) {
+fn restore(
+    state: &mut State,
+    index: WorkerIndex,
+    commands: &mut Vec<Command>,
+) {
     if state.workers[index].health.record_success() {
         state.homes_dirty = true;
         let worker = state.site.workers()[index].id.clone();
-        out.push(Command::Restore { worker });
+        commands.push(Command::Restore { worker });
     }
 }
 
@@ -341,13 +349,13 @@
     id: &job::Id,
     worker: &str,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     let Some(job) = state.jobs.get(id) else {
         return;
     };
     if matches!(job.phase, Phase::Stopping(..)) {
-        return stopped(state, id, Duration::ZERO, true, now, out);
+        return stopped(state, id, Duration::ZERO, true, now, commands);
     }
     let spec = job.spec.clone();
     let proven = state.history.has_completed(&spec);
@@ -358,33 +366,33 @@
             state.homes_dirty = true;
             drop_bookings(state, index);
             let worker = worker.into();
-            out.push(Command::Quarantine { worker });
+            commands.push(Command::Quarantine { worker });
         }
     }
-    let blamed = note_failure(state, id, index);
+    let blamed = record_failure_site(state, id, index);
     if !spec.repeatable {
         let reason = format!("its task failed on worker {worker}");
-        return finish(state, id, Outcome::Failed, &reason, now, out);
+        return finish(state, id, Outcome::Failed, &reason, now, commands);
     }
-    if blamed >= health::MAX_FAILURES {
+    if blamed >= health::MAX_FAILED_WORKERS {
         let reason =
             format!("it failed on {blamed} workers that others run well on");
-        return finish(state, id, Outcome::Failed, &reason, now, out);
+        return finish(state, id, Outcome::Failed, &reason, now, commands);
     }
     release(state, id, now);
-    settle_bookings(state, id, now, out);
+    start_ready_bookings(state, id, now, commands);
     if let Some(job) = state.jobs.get_mut(id) {
         let retries = job.failures.len();
-        let doublings = retries.saturating_sub(2).min(MAX_DOUBLINGS);
+        let doublings = retries.saturating_sub(2).min(MAX_BACKOFF_DOUBLINGS);
         job.not_before = match retries {
             0 | 1 => now,
-            _ => now + BACKOFF * (1 << doublings),
+            _ => now + RETRY_BACKOFF * (1 << doublings),
         };
     }
 }
 
 /// Notes where a job failed; returns on how many workers in service it did.
-fn note_failure(
+fn record_failure_site(
     state: &mut State,
     id: &job::Id,
     index: Option<WorkerIndex>,
@@ -405,7 +413,7 @@
     kept: Duration,
     proven: bool,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     let Some(job) = state.jobs.get_mut(id) else {
         return;
@@ -414,26 +422,26 @@
         return;
     };
     let repeatable = job.spec.repeatable;
-    job.kept = match job.spec.checkpoint {
-        true => job.kept + kept,
+    job.checkpointed = match job.spec.checkpoint {
+        true => job.checkpointed + kept,
         false => Duration::ZERO,
     };
     match reason {
         Reason::Cancel => {
             let reason = "cancelled by its caller";
-            finish(state, id, Outcome::Cancelled, reason, now, out);
+            finish(state, id, Outcome::Cancelled, reason, now, commands);
         }
         Reason::Broken if !repeatable && proven => {
             let reason = "it lost a worker, and may not run again";
-            finish(state, id, Outcome::Failed, reason, now, out);
+            finish(state, id, Outcome::Failed, reason, now, commands);
         }
         _ if !repeatable => {
             let reason = "a worker it ran on cannot be asked how it ended";
-            finish(state, id, Outcome::Unknown, reason, now, out);
+            finish(state, id, Outcome::Unknown, reason, now, commands);
         }
         _ => release(state, id, now),
     }
-    settle_bookings(state, id, now, out);
+    start_ready_bookings(state, id, now, commands);
 }
 
 /// Takes a job's accelerators back; a blocked home block may fit now.
@@ -442,7 +450,7 @@
         .jobs
         .get(id)
         .is_some_and(|job| !job.spec.reclaimable());
-    if unstoppable && state.missing().next().is_some() {
+    if unstoppable && state.unplaced().next().is_some() {
         state.homes_dirty = true;
     }
     state.release(id, now);
@@ -454,25 +462,25 @@
     outcome: Outcome,
     reason: &str,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     release(state, id, now);
     if state.remove(id, now).is_some() {
-        out.push(Command::Finish {
+        commands.push(Command::Finish {
             job: id.clone(),
             outcome,
             reason: reason.to_owned(),
         });
     }
-    settle_bookings(state, id, now, out);
+    start_ready_bookings(state, id, now, commands);
 }
 
 /// Starts jobs whose booking waited for `gone` and for nobody else.
-fn settle_bookings(
+fn start_ready_bookings(
     state: &mut State,
-    gone: &job::Id,
+    released: &job::Id,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     let ids: Vec<job::Id> = state.booked.iter().cloned().collect();
     for id in ids {
@@ -482,13 +490,13 @@
         let Some(booking) = &mut job.booking else {
             continue;
         };
-        booking.pending.remove(gone);
+        booking.pending.remove(released);
         if !booking.pending.is_empty() {
             continue;
         }
         if let Some(booking) = state.unbook(&id) {
             let pieces = booking.pieces;
-            schedule::start(state, &id, pieces, booking.home, now, out);
+            schedule::start(state, &id, pieces, booking.home, now, commands);
         }
     }
 }
--- a/src/plan/mask.rs
+++ b/src/plan/mask.rs
@@ -18,9 +18,9 @@
         let tightest = windows(size)
             .filter(|(window, _)| (window & free).count_ones() >= count)
             .min_by_key(|&(window, index)| {
-                let around = surroundings(size, index);
+                let surrounding = surroundings(size, index);
                 let open = |mask: Mask| (mask & free).count_ones();
-                (open(window), around.map(open))
+                (open(window), surrounding.map(open))
             })
             .map(|(window, _)| window & free);
         if let Some(open) = tightest {
@@ -48,12 +48,12 @@
 }
 
 fn lowest(free: Mask, count: u32) -> Mask {
-    let mut left = free;
-    let mut taken = 0;
+    let mut remaining = free;
+    let mut chosen = 0;
     for _ in 0..count {
-        let bit = left & left.wrapping_neg();
-        taken |= bit;
-        left &= !bit;
+        let bit = remaining & remaining.wrapping_neg();
+        chosen |= bit;
+        remaining &= !bit;
     }
-    taken
+    chosen
 }
--- a/src/plan/mod.rs
+++ b/src/plan/mod.rs
@@ -35,7 +35,7 @@
 /// Within which a guaranteed shape can be had back from its borrowers.
 pub const RECLAIM_TIME: Duration = Duration::from_secs(10);
 /// How often time-driven rules are looked at while jobs wait.
-const TICK: Duration = Duration::from_secs(5);
+const TICK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// What the operators weigh.
 #[derive(Clone, Debug, PartialEq)]
@@ -74,23 +74,23 @@
         events: impl IntoIterator<Item = Event>,
         now: SystemTime,
     ) -> Vec<Command> {
-        let mut out = Vec::new();
+        let mut commands = Vec::new();
         for event in events {
-            intake::take(&mut self.state, event, now, &mut out);
+            intake::apply(&mut self.state, event, now, &mut commands);
         }
-        intake::clear_probes(&mut self.state, now, &mut out);
-        self.state.settle_homes();
-        schedule::Pass::new(&mut self.state, &self.policy, now, &mut out)
+        intake::update_probes(&mut self.state, now, &mut commands);
+        self.state.place_homes();
+        schedule::Pass::new(&mut self.state, &self.policy, now, &mut commands)
             .run();
-        compact::run(&mut self.state, &self.policy, now, &mut out);
-        out
+        compact::run(&mut self.state, &self.policy, now, &mut commands);
+        commands
     }
 
     /// Returns when time alone may call for a step, if it may.
     pub fn next_deadline(&self, now: SystemTime) -> Option<SystemTime> {
         match self.state.waiting.is_empty() {
             true => None,
-            false => Some(now + TICK),
+            false => Some(now + TICK_INTERVAL),
         }
     }
 
@@ -107,8 +107,8 @@
         worker: &str,
     ) -> Result<(), crate::site::Error> {
         self.state.site.add(hall, rack, worker)?;
-        self.state.grow();
-        self.state.sync_nominal();
+        self.state.add_missing_workers();
+        self.state.update_nominal();
         Ok(())
     }
 }
--- a/src/plan/order.rs
+++ b/src/plan/order.rs
@@ -13,9 +13,9 @@
 ///
 /// The bound on the wait of a large job is this, and its own predicted
 /// run, and the longest run of a job in its way that cannot be stopped.
-pub const PATIENCE: Duration = Duration::from_secs(30 * 60);
+pub const OVERDUE_AFTER: Duration = Duration::from_secs(30 * 60);
 /// How much larger a job counts whose account has borrowed all it may.
-const SHARING: f64 = 0.3;
+const BORROWING_PENALTY: f64 = 0.3;
 
 /// Why a job goes before others; the smaller goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -62,8 +62,8 @@
     let left = state.time_left(job, now);
     let rank = rank(state, job, left, now);
     let size = match rank {
-        Rank::Overdue => since_epoch(job.spec.submitted),
-        _ => weighed(state, job, left),
+        Rank::Overdue => unix_millis(job.spec.submitted),
+        _ => weighted_size(state, job, left),
     };
     Entry {
         rank,
@@ -79,26 +79,29 @@
         _ if state.is_entitled(job) => Rank::Entitled,
         _ if job.spec.urgent => Rank::Urgent,
         Some(due) if close(due) => Rank::Overdue,
-        _ if waited > PATIENCE.max(left) => Rank::Overdue,
+        _ if waited > OVERDUE_AFTER.max(left) => Rank::Overdue,
         _ => Rank::Plain,
     }
 }
 
 /// Returns the job's predicted size, larger for accounts that already have
 /// much of what they may borrow, so that borrowed room is shared.
-fn weighed(state: &State, job: &Job, left: Duration) -> u64 {
+fn weighted_size(state: &State, job: &Job, left: Duration) -> u64 {
     let accelerators = f64::from(job.spec.shape.accelerators);
-    let share = match state.tenants.get(&job.spec.account) {
-        Some(tenant) => {
-            let limit = f64::from(tenant.terms.borrow.max(1));
-            f64::from(tenant.borrowed) / limit
+    let borrowed_share = match state.accounts.get(&job.spec.account) {
+        Some(account_state) => {
+            let limit = f64::from(account_state.terms.borrow.max(1));
+            f64::from(account_state.borrowed) / limit
         }
         None => 1.0,
     };
-    (left.as_secs_f64() * 1e3 * accelerators * (1.0 + share * SHARING)) as u64
+    (left.as_secs_f64()
+        * 1e3
+        * accelerators
+        * (1.0 + borrowed_share * BORROWING_PENALTY)) as u64
 }
 
-fn since_epoch(time: SystemTime) -> u64 {
+fn unix_millis(time: SystemTime) -> u64 {
     time.duration_since(SystemTime::UNIX_EPOCH)
         .map(|since| since.as_millis() as u64)
         .unwrap_or_default()
@@ -117,16 +120,16 @@
     /// whichever block they count towards now: the largest jobs first, each
     /// in the tightest shape.
     pub fn unused_shapes(&self, account: &account::Id) -> Vec<Shape> {
-        let Some(tenant) = self.tenants.get(account) else {
+        let Some(account_state) = self.accounts.get(account) else {
             return Vec::new();
         };
-        let mut rooms: Vec<(Shape, u32)> = tenant
+        let mut rooms: Vec<(Shape, u32)> = account_state
             .terms
             .guarantee
             .iter()
             .map(|shape| (*shape, shape.accelerators))
             .collect();
-        let mut counted: Vec<Shape> = self
+        let mut charged: Vec<Shape> = self
             .guaranteed
             .get(account)
             .into_iter()
@@ -134,8 +137,8 @@
             .filter_map(|id| self.jobs.get(id))
             .map(|job| job.spec.shape)
             .collect();
-        counted.sort_by_key(|s| std::cmp::Reverse(s.accelerators));
-        for job in counted {
+        charged.sort_by_key(|s| std::cmp::Reverse(s.accelerators));
+        for job in charged {
             let tightest = rooms
                 .iter_mut()
                 .filter(|(shape, room)| {
--- a/src/plan/place.rs
+++ b/src/plan/place.rs
@@ -36,11 +36,11 @@
     }
     let domain = site
         .domains(shape.within)
-        .map(|domain| (room(domain, &open), domain))
+        .map(|domain| (open_count(domain, &open), domain))
         .filter(|(room, _)| *room >= shape.accelerators)
         .filter(|(_, domain)| {
             spread == Spread::Remainders
-                || fits_whole(site, domain, shape, &open)
+                || has_whole_workers(site, domain, shape, &open)
         })
         .min_by_key(|(room, _)| *room)
         .map(|(_, domain)| domain)?;
@@ -62,12 +62,15 @@
     Some(Piece { worker, mask })
 }
 
-fn room(domain: &[WorkerIndex], open: &impl Fn(WorkerIndex) -> Mask) -> u32 {
+fn open_count(
+    domain: &[WorkerIndex],
+    open: &impl Fn(WorkerIndex) -> Mask,
+) -> u32 {
     domain.iter().map(|&w| open(w).count_ones()).sum()
 }
 
 /// Returns whether whole workers and one remainder can make up the shape.
-fn fits_whole(
+fn has_whole_workers(
     site: &Site,
     domain: &[WorkerIndex],
     shape: Shape,
@@ -75,13 +78,14 @@
 ) -> bool {
     let whole = shape.accelerators / site.accelerators();
     let rest = shape.accelerators % site.accelerators();
-    let frees = || domain.iter().map(|&w| open(w).count_ones());
-    let wholes = frees().filter(|&n| n == site.accelerators()).count();
-    let wholes = wholes as u32;
+    let free_counts = || domain.iter().map(|&w| open(w).count_ones());
+    let whole_count =
+        free_counts().filter(|&n| n == site.accelerators()).count();
+    let whole_count = whole_count as u32;
     let has_rest = rest == 0
-        || wholes > whole
-        || frees().any(|n| n >= rest && n < site.accelerators());
-    wholes >= whole && has_rest
+        || whole_count > whole
+        || free_counts().any(|n| n >= rest && n < site.accelerators());
+    whole_count >= whole && has_rest
 }
 
 /// Puts a shape together from the workers of one domain.
@@ -92,22 +96,22 @@
     spread: Spread,
     open: &impl Fn(WorkerIndex) -> Mask,
 ) -> Option<Vec<Piece>> {
-    let mut frees: Vec<(u32, WorkerIndex)> = domain
+    let mut free_counts: Vec<(u32, WorkerIndex)> = domain
         .iter()
         .map(|&worker| (open(worker).count_ones(), worker))
         .filter(|(room, _)| *room > 0)
         .collect();
     match spread {
         Spread::Whole => {
-            frees.sort_by_key(|&(room, w)| (std::cmp::Reverse(room), w))
+            free_counts.sort_by_key(|&(room, w)| (std::cmp::Reverse(room), w))
         }
-        Spread::Remainders => frees.sort(),
+        Spread::Remainders => free_counts.sort(),
     }
     let mut pieces = Vec::new();
     let mut needed = shape.accelerators;
     while needed > 0 {
         // The last piece goes where it leaves the least behind.
-        let last = frees
+        let last = free_counts
             .iter()
             .enumerate()
             .filter(|(_, (room, _))| *room >= needed)
@@ -116,10 +120,10 @@
         let at = match last {
             Some(at) if spread == Spread::Remainders => at,
             Some(at) if needed < site.accelerators() => at,
-            _ if frees.is_empty() => return None,
+            _ if free_counts.is_empty() => return None,
             _ => 0,
         };
-        let (room, worker) = frees.remove(at);
+        let (room, worker) = free_counts.remove(at);
         let mask = mask::choose(open(worker), room.min(needed))?;
         needed -= mask.count_ones();
         pieces.push(Piece { worker, mask });
--- a/src/plan/predict.rs
+++ b/src/plan/predict.rs
@@ -11,11 +11,11 @@
 use crate::job;
 
 /// How many runs a template's history keeps.
-const KEPT: usize = 33;
+const MAX_SAMPLES: usize = 33;
 /// How many runs it takes before history goes before the declaration.
-const ENOUGH: usize = 3;
+const MIN_SAMPLES: usize = 3;
 /// The least that a run is predicted to need.
-const LEAST: Duration = Duration::from_millis(100);
+const MIN_RUN_TIME: Duration = Duration::from_millis(100);
 
 /// What templates' jobs have needed.
 #[derive(Clone, Debug, Default)]
@@ -39,7 +39,7 @@
 
 impl Samples {
     fn push(&mut self, value: f64) {
-        if self.arrived.len() == KEPT {
+        if self.arrived.len() == MAX_SAMPLES {
             let oldest = self.arrived.pop_front().unwrap_or_default();
             let at = self.sorted.partition_point(|x| *x < oldest);
             self.sorted.remove(at);
@@ -61,25 +61,25 @@
 
 impl History {
     /// Takes in that a job ran to its end in `ran`.
-    pub fn record_completion(&mut self, spec: &job::Spec, ran: Duration) {
+    pub fn record_completion(&mut self, spec: &job::Spec, run_time: Duration) {
         let template = self
             .accounts
             .entry(spec.account.clone())
             .or_default()
             .entry(spec.template.clone())
             .or_default();
-        let ran = ran.max(LEAST).as_secs_f64();
-        let declared = spec.declared.max(LEAST).as_secs_f64();
-        template.runs.push(ran.ln());
-        template.ratios.push((ran / declared).ln());
+        let run_time = run_time.max(MIN_RUN_TIME).as_secs_f64();
+        let declared = spec.declared.max(MIN_RUN_TIME).as_secs_f64();
+        template.runs.push(run_time.ln());
+        template.ratios.push((run_time / declared).ln());
         template.completed += 1;
     }
 
     /// Returns how long a run of `spec` takes, as far as anyone knows.
     pub fn predict(&self, spec: &job::Spec) -> Duration {
-        let declared = spec.declared.max(LEAST);
+        let declared = spec.declared.max(MIN_RUN_TIME);
         match self.template(spec) {
-            Some(template) if template.runs.arrived.len() >= ENOUGH => {
+            Some(template) if template.runs.arrived.len() >= MIN_SAMPLES => {
                 let seconds = match template.ratios.spread()
                     < template.runs.spread()
                 {
--- a/src/plan/reclaim.rs
+++ b/src/plan/reclaim.rs
@@ -19,7 +19,7 @@
 
 /// Accelerators to be had, and who must stop first.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Claim {
+pub struct Preemption {
     /// The accelerators.
     pub pieces: Vec<Piece>,
     /// The jobs that have them now.
@@ -37,37 +37,37 @@
     shape: Shape,
     spread: Spread,
     region: &impl Fn(WorkerIndex) -> Mask,
-    price: &impl Fn(&Job) -> Option<Cost>,
-) -> Option<Claim> {
-    let market = Market {
+    stop_cost: &impl Fn(&Job) -> Option<Cost>,
+) -> Option<Preemption> {
+    let search = Search {
         state,
         region,
-        price,
+        stop_cost,
     };
     let single = match shape.accelerators <= state.site.accelerators() {
-        true => market.best(shape, spread, Within::Worker),
+        true => search.best(shape, spread, Within::Worker),
         false => None,
     };
     match shape.within {
         Within::Worker => single,
         _ if single.is_some() => single,
-        within => market.best(shape, spread, within),
+        within => search.best(shape, spread, within),
     }
 }
 
-struct Market<'a, R, P> {
+struct Search<'a, R, P> {
     state: &'a State,
     region: &'a R,
-    price: &'a P,
+    stop_cost: &'a P,
 }
 
-struct Offer<'a> {
+struct Candidate<'a> {
     id: &'a job::Id,
     cost: Cost,
-    gain: u32,
+    freed_count: u32,
 }
 
-impl<R, P> Market<'_, R, P>
+impl<R, P> Search<'_, R, P>
 where
     R: Fn(WorkerIndex) -> Mask,
     P: Fn(&Job) -> Option<Cost>,
@@ -77,7 +77,7 @@
         shape: Shape,
         spread: Spread,
         within: Within,
-    ) -> Option<Claim> {
+    ) -> Option<Preemption> {
         let (_, domain, victims) = self
             .state
             .site
@@ -88,14 +88,14 @@
                 Some((cost, domain, victims))
             })
             .min_by_key(|(cost, _, victims)| (*cost, victims.len()))?;
-        self.claim(shape, spread, domain, &victims)
+        self.preemption(shape, spread, domain, &victims)
     }
 
-    fn allowed(&self, worker: WorkerIndex) -> Mask {
-        let books = &self.state.workers[worker];
-        match books.is_open() {
+    fn allowed(&self, index: WorkerIndex) -> Mask {
+        let worker = &self.state.workers[index];
+        match worker.is_open() {
             true => {
-                (self.region)(worker) & self.state.site.whole() & !books.booked
+                (self.region)(index) & self.state.site.whole() & !worker.booked
             }
             false => 0,
         }
@@ -110,7 +110,7 @@
         &self,
         domain: &[WorkerIndex],
         needed: u32,
-    ) -> Option<Vec<Offer<'_>>> {
+    ) -> Option<Vec<Candidate<'_>>> {
         let allowed: u32 =
             domain.iter().map(|&w| self.allowed(w).count_ones()).sum();
         if allowed < needed {
@@ -118,24 +118,24 @@
         }
         let mut room: u32 =
             domain.iter().map(|&w| self.open(w).count_ones()).sum();
-        let mut offers = self.offers(domain);
-        offers.sort_by(|a, b| {
-            let left = a.cost * u64::from(b.gain);
-            let right = b.cost * u64::from(a.gain);
+        let mut candidates = self.candidates(domain);
+        candidates.sort_by(|a, b| {
+            let left = a.cost * u64::from(b.freed_count);
+            let right = b.cost * u64::from(a.freed_count);
             left.cmp(&right).then_with(|| a.id.cmp(b.id))
         });
         let mut victims = Vec::new();
-        for offer in offers {
+        for candidate in candidates {
             if room >= needed {
                 break;
             }
-            room += offer.gain;
-            victims.push(offer);
+            room += candidate.freed_count;
+            victims.push(candidate);
         }
         (room >= needed).then_some(victims)
     }
 
-    fn offers(&self, domain: &[WorkerIndex]) -> Vec<Offer<'_>> {
+    fn candidates(&self, domain: &[WorkerIndex]) -> Vec<Candidate<'_>> {
         let ids: BTreeSet<&job::Id> = domain
             .iter()
             .filter(|&&w| self.allowed(w) != 0)
@@ -147,15 +147,19 @@
                 let cost = match &job.phase {
                     Phase::Waiting => None,
                     Phase::Stopping(..) => Some(0),
-                    Phase::Running(_) => (self.price)(job),
+                    Phase::Running(_) => (self.stop_cost)(job),
                 }?;
-                let gain = self.gain(job, domain);
-                (gain > 0).then_some(Offer { id, cost, gain })
+                let freed_count = self.freed_count(job, domain);
+                (freed_count > 0).then_some(Candidate {
+                    id,
+                    cost,
+                    freed_count,
+                })
             })
             .collect()
     }
 
-    fn gain(&self, job: &Job, domain: &[WorkerIndex]) -> u32 {
+    fn freed_count(&self, job: &Job, domain: &[WorkerIndex]) -> u32 {
         job.run()
             .into_iter()
             .flat_map(|run| &run.pieces)
@@ -165,18 +169,18 @@
             .sum()
     }
 
-    fn claim(
+    fn preemption(
         &self,
         shape: Shape,
         spread: Spread,
         domain: &[WorkerIndex],
-        victims: &[Offer<'_>],
-    ) -> Option<Claim> {
-        let runs: Vec<(&Offer<'_>, &[Piece])> = victims
+        victims: &[Candidate<'_>],
+    ) -> Option<Preemption> {
+        let runs: Vec<(&Candidate<'_>, &[Piece])> = victims
             .iter()
-            .filter_map(|offer| {
-                let run = self.state.jobs.get(offer.id)?.run()?;
-                Some((offer, run.pieces.as_slice()))
+            .filter_map(|candidate| {
+                let run = self.state.jobs.get(candidate.id)?.run()?;
+                Some((candidate, run.pieces.as_slice()))
             })
             .collect();
         let freed = |worker: WorkerIndex| {
@@ -188,20 +192,20 @@
         let open = |w: WorkerIndex| self.open(w) | freed(w) & self.allowed(w);
         let pieces =
             place::gather(&self.state.site, domain, shape, spread, &open)?;
-        let touches = |theirs: &[Piece]| {
-            theirs.iter().any(|a| {
+        let touches = |held: &[Piece]| {
+            held.iter().any(|a| {
                 pieces
                     .iter()
                     .any(|b| a.worker == b.worker && a.mask & b.mask != 0)
             })
         };
-        let needed: Vec<&Offer<'_>> = runs
+        let needed: Vec<&Candidate<'_>> = runs
             .iter()
-            .filter(|(_, theirs)| touches(theirs))
-            .map(|(offer, _)| *offer)
+            .filter(|(_, held)| touches(held))
+            .map(|(candidate, _)| *candidate)
             .collect();
-        Some(Claim {
-            cost: needed.iter().map(|offer| offer.cost).sum(),
+        Some(Preemption {
+            cost: needed.iter().map(|candidate| candidate.cost).sum(),
             victims: needed.iter().map(|o| o.id.clone()).collect(),
             pieces,
         })
--- a/src/plan/reserve.rs
+++ b/src/plan/reserve.rs
@@ -13,7 +13,7 @@
 /// Accelerators that an overdue job will get when they are released.
 pub(super) struct Reservation {
     pieces: Vec<Piece>,
-    ready: SystemTime,
+    ready_at: SystemTime,
 }
 
 impl Pass<'_> {
@@ -27,11 +27,11 @@
         state
             .site
             .domains(job.spec.shape.within)
-            .filter_map(|domain| self.earliest(job, domain))
-            .min_by_key(|reservation| reservation.ready)
+            .filter_map(|domain| self.earliest_in(job, domain))
+            .min_by_key(|reservation| reservation.ready_at)
     }
 
-    fn earliest(
+    fn earliest_in(
         &self,
         job: &Job,
         domain: &[WorkerIndex],
@@ -54,29 +54,29 @@
                     true => self.now,
                     false => self.now + state.time_left(other, self.now),
                 };
-                let theirs = other.run().map(|run| &run.pieces);
-                let theirs = theirs.into_iter().flatten();
-                for piece in theirs.filter(|piece| piece.worker == worker) {
+                let held = other.run().map(|run| &run.pieces);
+                let held = held.into_iter().flatten();
+                for piece in held.filter(|piece| piece.worker == worker) {
                     let mask = piece.mask & allowed;
                     pieces.push((ends, Piece { worker, mask }));
                 }
             }
         }
         pieces.sort_by_key(|(ends, piece)| (*ends, piece.worker));
-        let mut got = 0;
-        let mut ready = self.now;
+        let mut reserved = 0;
+        let mut ready_at = self.now;
         let mut chosen = Vec::new();
         for (ends, piece) in pieces {
-            if got >= job.spec.shape.accelerators {
+            if reserved >= job.spec.shape.accelerators {
                 break;
             }
-            got += piece.len();
-            ready = ends;
+            reserved += piece.len();
+            ready_at = ends;
             chosen.push(piece);
         }
-        (got >= job.spec.shape.accelerators).then_some(Reservation {
+        (reserved >= job.spec.shape.accelerators).then_some(Reservation {
             pieces: chosen,
-            ready,
+            ready_at,
         })
     }
 
@@ -87,11 +87,11 @@
         ends: SystemTime,
         worker: WorkerIndex,
     ) -> Mask {
-        match &self.reserved {
-            Some(reserved)
-                if !job.spec.reclaimable() && ends > reserved.ready =>
+        match &self.reservation {
+            Some(reservation)
+                if !job.spec.reclaimable() && ends > reservation.ready_at =>
             {
-                mask_on(&reserved.pieces, worker)
+                mask_on(&reservation.pieces, worker)
             }
             _ => 0,
         }
--- a/src/plan/schedule.rs
+++ b/src/plan/schedule.rs
@@ -15,10 +15,10 @@
 use crate::plan::place;
 use crate::plan::place::Spread;
 use crate::plan::reclaim;
-use crate::plan::reclaim::Claim;
 use crate::plan::reclaim::Cost;
+use crate::plan::reclaim::Preemption;
 use crate::plan::reserve::Reservation;
-use crate::plan::state::ran;
+use crate::plan::state::run_time;
 use crate::plan::state::Booking;
 use crate::plan::state::Job;
 use crate::plan::state::Phase;
@@ -31,12 +31,12 @@
 use crate::site::WorkerIndex;
 
 /// How long a run lasts at least before a shorter job may take its place.
-const QUANTUM: Duration = Duration::from_secs(30);
+const MIN_RUN_BEFORE_DISPLACED: Duration = Duration::from_secs(30);
 /// How many times longer a run must still take than the job that takes its
 /// place.
-const LONGER: u32 = 4;
+const MIN_TIME_LEFT_FACTOR: u32 = 4;
 /// What stopping one accelerator costs at least, in milliseconds.
-const STOP_COST: Cost = 1000;
+const MIN_STOP_COST: Cost = 1000;
 
 /// Jobs that fare alike in one pass: if one finds no place, none does.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,9 +53,9 @@
     pub(super) state: &'a mut State,
     policy: &'a Policy,
     pub(super) now: SystemTime,
-    out: &'a mut Vec<Command>,
-    hopeless: BTreeSet<Class>,
-    pub(super) reserved: Option<Reservation>,
+    commands: &'a mut Vec<Command>,
+    unplaceable: BTreeSet<Class>,
+    pub(super) reservation: Option<Reservation>,
 }
 
 impl<'a> Pass<'a> {
@@ -64,15 +64,15 @@
         state: &'a mut State,
         policy: &'a Policy,
         now: SystemTime,
-        out: &'a mut Vec<Command>,
+        commands: &'a mut Vec<Command>,
     ) -> Pass<'a> {
         Pass {
             state,
             policy,
             now,
-            out,
-            hopeless: BTreeSet::new(),
-            reserved: None,
+            commands,
+            unplaceable: BTreeSet::new(),
+            reservation: None,
         }
     }
 
@@ -89,25 +89,25 @@
                 rank: entry.rank,
                 reclaimable: job.spec.reclaimable(),
             };
-            if self.hopeless.contains(&class) {
+            if self.unplaceable.contains(&class) {
                 continue;
             }
             if self.place(&job, entry.rank) {
                 continue;
             }
             if job.failures.is_empty() {
-                self.hopeless.insert(class);
+                self.unplaceable.insert(class);
             }
-            if entry.rank == Rank::Overdue && self.reserved.is_none() {
-                self.reserved = self.reserve(&job);
+            if entry.rank == Rank::Overdue && self.reservation.is_none() {
+                self.reservation = self.reserve(&job);
             }
         }
     }
 
     fn place(&mut self, job: &Job, rank: Rank) -> bool {
-        self.in_guarantee(job)
-            || self.in_home(job)
-            || self.on_free(job)
+        self.start_over_moved_home(job)
+            || self.start_in_home(job)
+            || self.start_as_borrower(job)
             || self.reclaim_home(job)
             || self.make_room(job)
             || self.displace(job, rank)
@@ -116,7 +116,7 @@
 
     /// Starts a job on any free accelerators to which a block of its
     /// account can move.
-    fn in_guarantee(&mut self, job: &Job) -> bool {
+    fn start_over_moved_home(&mut self, job: &Job) -> bool {
         for home in self.own_homes(job) {
             if !self.state.has_room(home, job) {
                 continue;
@@ -139,7 +139,7 @@
     }
 
     /// Starts a job on free accelerators of a home block of its own.
-    fn in_home(&mut self, job: &Job) -> bool {
+    fn start_in_home(&mut self, job: &Job) -> bool {
         let found = self.own_homes(job).into_iter().find_map(|home| {
             let state = &*self.state;
             let open = |w: WorkerIndex| {
@@ -159,7 +159,7 @@
     }
 
     /// Starts a job on any free accelerators that it may borrow.
-    fn on_free(&mut self, job: &Job) -> bool {
+    fn start_as_borrower(&mut self, job: &Job) -> bool {
         if !self.may_borrow(job) {
             return false;
         }
@@ -176,13 +176,17 @@
                 self.start(&job.spec.id, pieces, None);
                 true
             }
-            None => self.on_blocks(job, ends),
+            None => self.start_over_moved_blocks(job, ends),
         }
     }
 
     /// Starts a job that cannot be stopped on free accelerators that all
     /// blocks can move off.
-    fn on_blocks(&mut self, job: &Job, ends: SystemTime) -> bool {
+    fn start_over_moved_blocks(
+        &mut self,
+        job: &Job,
+        ends: SystemTime,
+    ) -> bool {
         if job.spec.reclaimable() {
             return false;
         }
@@ -193,7 +197,7 @@
                 & !self.reserved_mask(job, ends, w)
         };
         match self.find(job.spec.shape, open) {
-            Some(pieces) if self.state.make_way(&pieces) => {
+            Some(pieces) if self.state.move_blocks_off(&pieces) => {
                 self.start(&job.spec.id, pieces, None);
                 true
             }
@@ -210,19 +214,19 @@
         // would take each other's place in turn.
         let borrowers = self.state.borrowers(&job.spec.account);
         self.state.promote(&borrowers);
-        self.empty_a_home(job);
+        self.vacate_own_home(job);
         let found = self.own_homes(job).into_iter().find_map(|home| {
             let state = &*self.state;
             let region = |w: WorkerIndex| {
                 self.usable(job, w) & state.homes[home].unused(w)
             };
-            let price = |other: &Job| self.price(other);
-            self.cheapest(job.spec.shape, &region, &price)
-                .map(|claim| (home, claim))
+            let stop_cost = |other: &Job| self.stop_cost(other);
+            self.cheapest(job.spec.shape, &region, &stop_cost)
+                .map(|preemption| (home, preemption))
         });
         match found {
-            Some((home, claim)) => {
-                self.book(&job.spec.id, claim, Some(home));
+            Some((home, preemption)) => {
+                self.book(&job.spec.id, preemption, Some(home));
                 true
             }
             None => false,
@@ -230,7 +234,7 @@
     }
 
     /// Empties a block that the job needs whole of others of its account.
-    fn empty_a_home(&mut self, job: &Job) {
+    fn vacate_own_home(&mut self, job: &Job) {
         let own = self.own_homes(job);
         let has_room = |&home: &HomeIndex| self.state.has_room(home, job);
         if own.iter().any(has_room) {
@@ -249,7 +253,7 @@
         let candidates: Vec<HomeIndex> =
             own.into_iter().filter(spare).collect();
         for home in candidates {
-            if self.state.vacate(home) {
+            if self.state.vacate_home(home) {
                 return;
             }
         }
@@ -266,7 +270,14 @@
             false => !state.workers[w].home,
         };
         let (policy, now) = (self.policy, self.now);
-        compact::make_room(self.state, policy, job, &region, now, self.out)
+        compact::make_room(
+            self.state,
+            policy,
+            job,
+            &region,
+            now,
+            self.commands,
+        )
     }
 
     /// Takes the place of borrowers that must or had better yield.
@@ -277,26 +288,29 @@
         let left = self.state.time_left(job, self.now);
         let region =
             |w: WorkerIndex| self.usable(job, w) & self.region(job, w);
-        let price = |other: &Job| {
-            let yields = other.run().is_some_and(|run| run.home.is_none())
-                || other.spec.account == job.spec.account;
-            let longer = || self.is_longer(other, left);
+        let stop_cost = |other: &Job| {
+            let may_be_displaced =
+                other.run().is_some_and(|run| run.home.is_none())
+                    || other.spec.account == job.spec.account;
+            let longer = || self.has_much_longer_left(other, left);
             match rank {
-                _ if !yields || other.spec.urgent => None,
-                Rank::Urgent => self.price(other),
-                Rank::Overdue if longer() || self.has_had_its_turn(other) => {
-                    self.price(other)
+                _ if !may_be_displaced || other.spec.urgent => None,
+                Rank::Urgent => self.stop_cost(other),
+                Rank::Overdue if longer() || self.has_run_long(other) => {
+                    self.stop_cost(other)
+                }
+                Rank::Plain | Rank::Entitled if longer() => {
+                    self.stop_cost(other)
                 }
-                Rank::Plain | Rank::Entitled if longer() => self.price(other),
                 _ => None,
             }
         };
-        let claim = self.cheapest(job.spec.shape, &region, &price);
-        let Some(claim) = claim else {
+        let preemption = self.cheapest(job.spec.shape, &region, &stop_cost);
+        let Some(preemption) = preemption else {
             return false;
         };
-        let home = self.state.cover_any(job, &claim.pieces);
-        self.book(&job.spec.id, claim, home);
+        let home = self.state.cover_any(job, &preemption.pieces);
+        self.book(&job.spec.id, preemption, home);
         true
     }
 
@@ -308,9 +322,9 @@
         }
         let state = &*self.state;
         let due = |w: WorkerIndex| {
-            let books = &state.workers[w];
-            books.presence == crate::plan::state::Presence::Up
-                && books.health.is_probe_due(self.now)
+            let worker = &state.workers[w];
+            worker.presence == crate::plan::state::Presence::Up
+                && worker.health.is_probe_due(self.now)
         };
         let open = |w: WorkerIndex| match due(w) {
             true => state.vacant(w),
@@ -374,36 +388,39 @@
     }
 
     pub(super) fn may_borrow(&self, job: &Job) -> bool {
-        match self.state.tenants.get(&job.spec.account) {
-            Some(tenant) => {
-                let wanted = tenant.borrowed + job.spec.shape.accelerators;
-                wanted <= tenant.terms.borrow
+        match self.state.accounts.get(&job.spec.account) {
+            Some(account_state) => {
+                let wanted =
+                    account_state.borrowed + job.spec.shape.accelerators;
+                wanted <= account_state.terms.borrow
             }
             None => false,
         }
     }
 
-    fn is_longer(&self, other: &Job, left: Duration) -> bool {
+    fn has_much_longer_left(&self, other: &Job, left: Duration) -> bool {
         other.spec.checkpoint
-            && ran(other, self.now) >= QUANTUM
-            && self.state.time_left(other, self.now) >= left * LONGER
+            && run_time(other, self.now) >= MIN_RUN_BEFORE_DISPLACED
+            && self.state.time_left(other, self.now)
+                >= left * MIN_TIME_LEFT_FACTOR
     }
 
-    fn has_had_its_turn(&self, other: &Job) -> bool {
-        other.spec.checkpoint && ran(other, self.now) >= order::PATIENCE / 2
+    fn has_run_long(&self, other: &Job) -> bool {
+        other.spec.checkpoint
+            && run_time(other, self.now) >= order::OVERDUE_AFTER / 2
     }
 
     /// Returns what stopping a job costs, if it can be stopped at all.
-    fn price(&self, other: &Job) -> Option<Cost> {
+    fn stop_cost(&self, other: &Job) -> Option<Cost> {
         if !other.is_reclaimable() {
             return None;
         }
         let accelerators = u64::from(other.spec.shape.accelerators);
         let lost = match other.spec.checkpoint {
             true => 0,
-            false => ran(other, self.now).as_millis() as u64,
+            false => run_time(other, self.now).as_millis() as u64,
         };
-        Some((lost + STOP_COST) * accelerators)
+        Some((lost + MIN_STOP_COST) * accelerators)
     }
 
     fn find(
@@ -420,10 +437,10 @@
         &self,
         shape: Shape,
         region: &impl Fn(WorkerIndex) -> Mask,
-        price: &impl Fn(&Job) -> Option<Cost>,
-    ) -> Option<Claim> {
+        stop_cost: &impl Fn(&Job) -> Option<Cost>,
+    ) -> Option<Preemption> {
         let spread = Spread::Remainders;
-        reclaim::cheapest(self.state, shape, spread, region, price)
+        reclaim::cheapest(self.state, shape, spread, region, stop_cost)
     }
 
     fn start(
@@ -432,20 +449,25 @@
         pieces: Vec<Piece>,
         home: Option<HomeIndex>,
     ) {
-        start(self.state, id, pieces, home, self.now, self.out);
+        start(self.state, id, pieces, home, self.now, self.commands);
     }
 
-    fn book(&mut self, id: &job::Id, claim: Claim, home: Option<HomeIndex>) {
-        if claim.victims.is_empty() {
-            return self.start(id, claim.pieces, home);
+    fn book(
+        &mut self,
+        id: &job::Id,
+        preemption: Preemption,
+        home: Option<HomeIndex>,
+    ) {
+        if preemption.victims.is_empty() {
+            return self.start(id, preemption.pieces, home);
         }
-        for victim in &claim.victims {
-            stop(self.state, victim, Reason::Reclaim, self.out);
+        for victim in &preemption.victims {
+            stop(self.state, victim, Reason::Reclaim, self.commands);
         }
         let booking = Booking {
-            pieces: claim.pieces,
+            pieces: preemption.pieces,
             home,
-            pending: claim.victims,
+            pending: preemption.victims,
         };
         self.state.book(id, booking);
     }
@@ -458,7 +480,7 @@
     pieces: Vec<Piece>,
     home: Option<HomeIndex>,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     let Some(job) = state.jobs.get(id) else {
         return;
@@ -471,7 +493,7 @@
         started: now,
     };
     state.occupy(id, run);
-    out.push(Command::Start {
+    commands.push(Command::Start {
         job: id.clone(),
         attempt,
         pieces,
@@ -483,7 +505,7 @@
     state: &mut State,
     id: &job::Id,
     reason: Reason,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     let Some(job) = state.jobs.get_mut(id) else {
         return;
@@ -492,7 +514,7 @@
         return;
     };
     let run = run.clone();
-    out.push(Command::Stop {
+    commands.push(Command::Stop {
         job: id.clone(),
         attempt: run.attempt,
         reason,
--- a/src/plan/state.rs
+++ b/src/plan/state.rs
@@ -22,7 +22,7 @@
 use crate::site::WorkerIndex;
 
 /// The least time that a run is taken to need still.
-const LEAST_LEFT: Duration = Duration::from_secs(1);
+const MIN_TIME_LEFT: Duration = Duration::from_secs(1);
 
 /// Whether a worker can be given work, as far as its presence goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -122,7 +122,7 @@
     /// How often it was started.
     pub attempts: job::Attempt,
     /// How much of the run its checkpoints keep.
-    pub kept: Duration,
+    pub checkpointed: Duration,
     /// Workers on which it failed.
     pub failures: Vec<WorkerIndex>,
     /// It is not placed before this deadline.
@@ -138,7 +138,7 @@
             phase: Phase::Waiting,
             booking: None,
             attempts: 0,
-            kept: Duration::ZERO,
+            checkpointed: Duration::ZERO,
             failures: Vec::new(),
             not_before: spec.submitted,
             waiting_since: spec.submitted,
@@ -170,7 +170,7 @@
 
 /// A client account and what it uses.
 #[derive(Clone, Debug, Default)]
-pub struct Tenant {
+pub struct AccountState {
     /// Its guarantee and borrowing limit.
     pub terms: Account,
     /// Accelerators that it uses outside its home blocks.
@@ -185,7 +185,7 @@
     /// The workers, by their position on the site.
     pub workers: Vec<Worker>,
     /// The client accounts.
-    pub tenants: BTreeMap<account::Id, Tenant>,
+    pub accounts: BTreeMap<account::Id, AccountState>,
     /// The jobs that count towards home blocks, by account.
     pub guaranteed: BTreeMap<account::Id, BTreeSet<job::Id>>,
     /// The home blocks.
@@ -193,7 +193,7 @@
     /// Whether home blocks have to be looked at again.
     pub homes_dirty: bool,
     /// Accelerators that no guarantee needs, on the whole site in health.
-    pub open_nominal: Vec<Mask>,
+    pub nominal_unguaranteed: Vec<Mask>,
     /// The jobs that have not ended.
     pub jobs: BTreeMap<job::Id, Job>,
     /// The jobs that wait without a booking.
@@ -209,43 +209,43 @@
     pub fn new(site: Site) -> State {
         let mut state = State {
             workers: Vec::new(),
-            tenants: BTreeMap::new(),
+            accounts: BTreeMap::new(),
             guaranteed: BTreeMap::new(),
             homes: Vec::new(),
             homes_dirty: true,
-            open_nominal: Vec::new(),
+            nominal_unguaranteed: Vec::new(),
             jobs: BTreeMap::new(),
             waiting: BTreeSet::new(),
             booked: BTreeSet::new(),
             history: History::default(),
             site,
         };
-        state.grow();
+        state.add_missing_workers();
         state
     }
 
     /// Keeps books of workers that have joined the site.
-    pub fn grow(&mut self) {
+    pub fn add_missing_workers(&mut self) {
         let whole = self.site.whole();
         self.workers
             .resize_with(self.site.workers().len(), Worker::new);
-        self.open_nominal.resize(self.workers.len(), whole);
+        self.nominal_unguaranteed.resize(self.workers.len(), whole);
     }
 
     /// Returns the free accelerators of a worker that takes new work.
-    pub fn free(&self, worker: WorkerIndex) -> Mask {
-        let books = &self.workers[worker];
-        match books.is_open() {
-            true => self.vacant(worker),
+    pub fn free(&self, index: WorkerIndex) -> Mask {
+        let worker = &self.workers[index];
+        match worker.is_open() {
+            true => self.vacant(index),
             false => 0,
         }
     }
 
     /// Returns the accelerators of a worker that nobody has, whether it
     /// takes new work or not.
-    pub fn vacant(&self, worker: WorkerIndex) -> Mask {
-        let books = &self.workers[worker];
-        self.site.whole() & !books.used & !books.booked
+    pub fn vacant(&self, index: WorkerIndex) -> Mask {
+        let worker = &self.workers[index];
+        self.site.whole() & !worker.used & !worker.booked
     }
 
     /// Returns the free accelerators that are in no home block.
@@ -256,11 +256,11 @@
     /// Returns how long a job will still run, as far as anyone knows.
     pub fn time_left(&self, job: &Job, now: SystemTime) -> Duration {
         let predicted = self.history.predict(&job.spec);
-        let ran = job.kept + ran(job, now);
+        let ran = job.checkpointed + run_time(job, now);
         match predicted > ran {
-            true => (predicted - ran).max(LEAST_LEFT),
+            true => (predicted - ran).max(MIN_TIME_LEFT),
             // What has outlived its prediction has a long tail before it.
-            false => (ran / 2).max(LEAST_LEFT),
+            false => (ran / 2).max(MIN_TIME_LEFT),
         }
     }
 
@@ -346,7 +346,7 @@
     }
 
     /// Counts a running borrower towards its owner's home block.
-    pub fn adopt_home(&mut self, id: &job::Id, home: Option<HomeIndex>) {
+    pub fn set_home(&mut self, id: &job::Id, home: Option<HomeIndex>) {
         let Some(run) = self.jobs.get(id).and_then(Job::run).cloned() else {
             return;
         };
@@ -400,7 +400,10 @@
                 let counted = self.guaranteed.entry(account).or_default();
                 counted.insert(id.clone());
             }
-            None => self.tenant_of(id).borrowed += accelerator_count(pieces),
+            None => {
+                self.account_state_mut(id).borrowed +=
+                    accelerator_count(pieces)
+            }
         }
     }
 
@@ -419,16 +422,17 @@
                 }
             }
             None => {
-                let tenant = self.tenant_of(id);
-                tenant.borrowed =
-                    tenant.borrowed.saturating_sub(accelerator_count(pieces));
+                let account_state = self.account_state_mut(id);
+                account_state.borrowed = account_state
+                    .borrowed
+                    .saturating_sub(accelerator_count(pieces));
             }
         }
     }
 
-    fn tenant_of(&mut self, id: &job::Id) -> &mut Tenant {
+    fn account_state_mut(&mut self, id: &job::Id) -> &mut AccountState {
         let account = self.account_of(id);
-        self.tenants.entry(account).or_default()
+        self.accounts.entry(account).or_default()
     }
 
     fn account_of(&self, id: &job::Id) -> account::Id {
@@ -444,7 +448,7 @@
 }
 
 /// Returns how long a job has been running in its present run.
-pub fn ran(job: &Job, now: SystemTime) -> Duration {
+pub fn run_time(job: &Job, now: SystemTime) -> Duration {
     job.run()
         .and_then(|run| now.duration_since(run.started).ok())
         .unwrap_or_default()
--- a/src/planner/view.rs
+++ b/src/planner/view.rs
@@ -66,7 +66,7 @@
     metrics.running.record(running as u64, &[]);
     metrics.fragmentation.record(fragmentation(plan), &[]);
     metrics.configuration.record(revision, &[]);
-    for account in state.tenants.keys() {
+    for account in state.accounts.keys() {
         let missing = state.homes.iter().filter(|home| {
             home.owner.as_ref() == Some(account) && !home.is_placed()
         });
@@ -78,9 +78,9 @@
 
 fn worker(plan: &Plan, index: WorkerIndex) -> WorkerView {
     let state = plan.state();
-    let books = &state.workers[index];
+    let worker = &state.workers[index];
     let place = &state.site.workers()[index];
-    let jobs = books.jobs.iter().filter_map(|id| {
+    let jobs = worker.jobs.iter().filter_map(|id| {
         let job = state.jobs.get(id)?;
         Some(Use {
             job: id.clone(),
@@ -93,13 +93,13 @@
         let mask = mask_on(&home.pieces, index);
         (mask != 0).then_some(HomeUse { account, mask })
     });
-    let presence = match books.presence {
+    let presence = match worker.presence {
         Presence::Up => "up",
         Presence::Silent => "silent",
         Presence::Leaving => "leaving",
         Presence::Lost => "lost",
     };
-    let health = match books.health.is_in_service() {
+    let health = match worker.health.is_in_service() {
         true => "good",
         false => "quarantined",
     };
