--- a/src/planner/actor.rs
+++ b/src/planner/actor.rs
@@ -24,17 +24,17 @@
 use crate::plan::event::Event;
 use crate::plan::state::Presence;
 use crate::plan::Plan;
-use crate::planner::books::Books;
-use crate::planner::books::Reply;
+use crate::planner::jobs::Jobs;
+use crate::planner::jobs::Reply;
 use crate::planner::launch;
 use crate::planner::links;
-use crate::planner::links::Beat;
+use crate::planner::links::Heartbeat;
 use crate::planner::links::Link;
-use crate::planner::links::News;
+use crate::planner::links::Update;
 use crate::planner::takeover;
 use crate::planner::takeover::Records;
 use crate::planner::view;
-use crate::planner::writer::Done;
+use crate::planner::writer::Completion;
 use crate::planner::writer::Writer;
 use crate::planner::Config;
 use crate::record::Record;
@@ -51,9 +51,9 @@
 use crate::wire::link;
 
 /// How often deadlines are looked at.
-const TICK: Duration = Duration::from_millis(200);
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a takeover waits for agents that do not answer.
-const READING: Duration = Duration::from_millis(1500);
+const TAKEOVER_WAIT: Duration = Duration::from_millis(1500);
 /// How long an agent may be gone before its worker gets no new work.
 const SILENT_AFTER: Duration = Duration::from_millis(2000);
 /// How long an agent may be gone before its worker's jobs are started
@@ -61,7 +61,7 @@
 const LOST_AFTER: Duration = Duration::from_secs(30);
 /// How long a caller waits for a job to be accepted while the store is
 /// silent.
-const ADMIT: Duration = Duration::from_millis(1500);
+const ADMIT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// What a planner is told and asked.
 pub enum Message {
@@ -76,17 +76,17 @@
     /// An entry asks for the whole cell.
     Cell(RpcReplyPort<CellView>),
     /// A link has learned something of its agent.
-    Link(WorkerId, News),
+    Agent(WorkerId, Update),
     /// A start has come to something.
     Launched(gang::Id, launch::Outcome),
     /// Records have been written.
-    Written(Vec<Done>),
+    RecordsWritten(Vec<Completion>),
     /// A record was there already.
-    Exists(Box<Record>),
+    RecordExists(Box<Record>),
     /// The store did not answer a write.
     StoreFailed,
     /// Somebody else has the claim, or nobody.
-    Deposed,
+    ClaimLost,
     /// The records of the cell have been read.
     Records(Records),
     /// The platform's list has been read.
@@ -98,25 +98,27 @@
 }
 
 /// A worker as the planner hears of it.
-pub(super) struct Heard {
+pub(super) struct Worker {
     link: Link,
     /// Whether its agent has ever answered.
-    ever: bool,
+    answered: bool,
     /// The life of its agent that answered last.
     incarnation: agent::Incarnation,
     /// Since when its agent does not answer.
-    down_since: Option<Instant>,
+    unreachable_since: Option<Instant>,
     leaving: bool,
     endpoint_lost: bool,
     listed: bool,
     listed_leaving: bool,
-    told: Presence,
+    reported: Presence,
     entries: BTreeMap<gang::Id, agent::Entry>,
 }
 
-impl Heard {
+impl Worker {
     fn presence(&self, now: Instant) -> Presence {
-        let down = self.down_since.map(|since| now.duration_since(since));
+        let down = self
+            .unreachable_since
+            .map(|since| now.duration_since(since));
         match down {
             _ if self.endpoint_lost => Presence::Lost,
             None if self.leaving || self.listed_leaving => Presence::Leaving,
@@ -125,18 +127,18 @@
             Some(down) if down >= SILENT_AFTER && !self.listed => {
                 Presence::Lost
             }
-            Some(down) if down >= SILENT_AFTER => match self.told {
+            Some(down) if down >= SILENT_AFTER => match self.reported {
                 Presence::Lost => Presence::Lost,
                 _ => Presence::Silent,
             },
-            Some(_) => self.told,
+            Some(_) => self.reported,
         }
     }
 
     /// Returns whether a gang can no longer run here, and whether that is
     /// proven.
-    fn is_over(&self, gang: &gang::Id) -> (bool, bool) {
-        let up = self.ever && self.down_since.is_none();
+    fn gang_is_over(&self, gang: &gang::Id) -> (bool, bool) {
+        let up = self.answered && self.unreachable_since.is_none();
         let ended = match self.entries.get(gang) {
             Some(entry) => {
                 matches!(entry.stage, agent::Stage::Ended(_))
@@ -145,7 +147,7 @@
         };
         match up {
             true => (ended, true),
-            false => (self.told == Presence::Lost, !self.listed),
+            false => (self.reported == Presence::Lost, !self.listed),
         }
     }
 }
@@ -165,12 +167,12 @@
 pub struct State {
     config: Config,
     plan: Plan,
-    books: Books,
+    jobs: Jobs,
     phase: Phase,
-    workers: BTreeMap<WorkerId, Heard>,
+    workers: BTreeMap<WorkerId, Worker>,
     /// Records whose start may have been decided, by an unread ledger.
-    open: BTreeMap<job::Id, Record>,
-    beat: watch::Sender<Beat>,
+    unresolved: BTreeMap<job::Id, Record>,
+    heartbeat: watch::Sender<Heartbeat>,
     writer: Writer,
     pool: link::Pool,
     document: Arc<Document>,
@@ -195,9 +197,9 @@
             epoch: config.epoch,
             revision: config.document.revision,
         };
-        let beat = Beat {
+        let heartbeat = Heartbeat {
             fence,
-            heartbeat: links::heartbeat(0),
+            interval: links::heartbeat_interval(0),
         };
         let writer = Writer::start(
             config.store.clone(),
@@ -211,17 +213,17 @@
             let records = takeover::read(&store, 0).await;
             let _ = planner.cast(Message::Records(records));
         });
-        myself.send_interval(TICK, || Message::Tick);
+        myself.send_interval(TICK_INTERVAL, || Message::Tick);
         let mut state = State {
             plan: Plan::new(site, config.policy.clone()),
-            books: Books::default(),
+            jobs: Jobs::default(),
             phase: Phase::Reading {
-                deadline: Instant::now() + READING,
+                deadline: Instant::now() + TAKEOVER_WAIT,
                 records: None,
             },
             workers: BTreeMap::new(),
-            open: BTreeMap::new(),
-            beat: watch::channel(beat).0,
+            unresolved: BTreeMap::new(),
+            heartbeat: watch::channel(heartbeat).0,
             writer,
             pool: link::Pool::new(),
             document: Arc::new(Document::default()),
@@ -229,7 +231,7 @@
             config,
         };
         let vms = state.config.vms.clone();
-        state.listed(&myself, vms);
+        state.update_vms(&myself, vms);
         let document = state.config.document.clone();
         state.configure(&myself, document);
         Ok(state)
@@ -241,7 +243,7 @@
         message: Message,
         state: &mut State,
     ) -> Result<(), ActorProcessingErr> {
-        state.take(&myself, message);
+        state.dispatch(&myself, message);
         Ok(())
     }
 }
@@ -252,7 +254,7 @@
         self.started.1 + self.started.0.elapsed()
     }
 
-    fn take(&mut self, myself: &ActorRef<Message>, message: Message) {
+    fn dispatch(&mut self, myself: &ActorRef<Message>, message: Message) {
         match message {
             Message::Admit(admit, reply) => self.admit(myself, *admit, reply),
             Message::Status(wait, reply) => self.status(wait, reply),
@@ -270,23 +272,27 @@
                 );
                 let _ = reply.send(view);
             }
-            Message::Link(worker, news) => self.heard(myself, worker, news),
+            Message::Agent(worker, update) => {
+                self.agent_update(myself, worker, update)
+            }
             Message::Launched(gang, outcome) => {
                 self.launched(myself, gang, outcome);
             }
-            Message::Written(done) => self.written(myself, done),
-            Message::Exists(record) => self.exists(*record),
+            Message::RecordsWritten(done) => {
+                self.records_written(myself, done)
+            }
+            Message::RecordExists(record) => self.record_exists(*record),
             Message::StoreFailed => {
                 slog::warn!(self.config.log, "planner: the store is silent");
             }
-            Message::Deposed => self.depose(myself),
+            Message::ClaimLost => self.step_down(myself),
             Message::Records(read) => {
                 if let Phase::Reading { records, .. } = &mut self.phase {
                     *records = Some(read);
                 }
                 self.try_take_over(myself);
             }
-            Message::Vms(vms) => self.listed(myself, vms),
+            Message::Vms(vms) => self.update_vms(myself, vms),
             Message::Configuration(document) => {
                 self.configure(myself, document);
             }
@@ -294,7 +300,7 @@
         }
     }
 
-    fn depose(&mut self, myself: &ActorRef<Message>) {
+    fn step_down(&mut self, myself: &ActorRef<Message>) {
         slog::warn!(self.config.log, "planner: steps down";
             "cell" => &self.config.cell, "epoch" => self.config.epoch);
         myself.stop(None);
@@ -303,16 +309,16 @@
     fn tick(&mut self, myself: &ActorRef<Message>) {
         let now = Instant::now();
         self.try_take_over(myself);
-        let changed = self.presences(now);
-        let stopped = self.stopped_gangs();
-        self.resolve_open(myself);
+        let changed = self.presence_events(now);
+        let stopped = self.leaderless_events();
+        self.resolve_pending(myself);
         let waits = !self.plan.state().waiting.is_empty();
         if waits || !changed.is_empty() || !stopped.is_empty() {
             let events = changed.into_iter().chain(stopped);
             let events = events.chain([Event::Tick]).collect();
             self.step(myself, events);
         }
-        self.books.tick(&self.plan, now);
-        view::measure(&self.plan, self.document.revision);
+        self.jobs.expire(&self.plan, now);
+        view::record_metrics(&self.plan, self.document.revision);
     }
 }
--- a/src/planner/actor/admission.rs
+++ b/src/planner/actor/admission.rs
@@ -12,11 +12,11 @@
 use crate::planner::actor::Message;
 use crate::planner::actor::Phase;
 use crate::planner::actor::State;
-use crate::planner::actor::ADMIT;
-use crate::planner::books::Entry;
-use crate::planner::books::Reply;
-use crate::planner::books::Waiter;
-use crate::planner::writer::Done;
+use crate::planner::actor::ADMIT_TIMEOUT;
+use crate::planner::jobs::Entry;
+use crate::planner::jobs::Reply;
+use crate::planner::jobs::Waiter;
+use crate::planner::writer::Completion;
 use crate::planner::writer::Write;
 use crate::record::Record;
 use crate::telemetry::metrics;
@@ -35,7 +35,7 @@
     ) {
         let spec = &admit.record.spec;
         let limit = self.document.account(&spec.account).map(|a| a.queue);
-        let known = self.books.get(&spec.id);
+        let known = self.jobs.get(&spec.id);
         let same = known.map(|e| e.record.request == admit.record.request);
         let limit = limit.unwrap_or(0);
         match same {
@@ -45,11 +45,11 @@
             Some(false) => {
                 let _ = reply.send(Err(Refusal::Conflict));
             }
-            Some(true) => self.admitted_again(&spec.id.clone(), reply),
-            None if self.open.contains_key(&spec.id) => {
+            Some(true) => self.admit_repeated(&spec.id.clone(), reply),
+            None if self.unresolved.contains_key(&spec.id) => {
                 let _ = reply.send(Err(Refusal::TakingOver));
             }
-            None if self.books.open(&spec.account) >= limit => {
+            None if self.jobs.unfinished(&spec.account) >= limit => {
                 let account = spec.account.clone();
                 let refusal = Refusal::QueueFull { account, limit };
                 let _ = reply.send(Err(refusal));
@@ -58,9 +58,9 @@
         }
     }
 
-    pub(super) fn admitted_again(&mut self, id: &job::Id, reply: Reply) {
+    pub(super) fn admit_repeated(&mut self, id: &job::Id, reply: Reply) {
         let accepted = self
-            .books
+            .jobs
             .get(id)
             .is_some_and(|e| e.durable || e.record.spec.repeatable);
         match accepted {
@@ -70,9 +70,9 @@
     }
 
     pub(super) fn wait_for_admission(&mut self, id: &job::Id, reply: Reply) {
-        let deadline = Instant::now() + ADMIT;
-        if let Some(entry) = self.books.get_mut(id) {
-            entry.admitting.push(Waiter { reply, deadline });
+        let deadline = Instant::now() + ADMIT_TIMEOUT;
+        if let Some(entry) = self.jobs.get_mut(id) {
+            entry.admission_waiters.push(Waiter { reply, deadline });
         }
     }
 
@@ -89,14 +89,14 @@
             key: Record::key(&id),
             value: record.bytes(),
             create: true,
-            then: Some(Done::Created(id.clone())),
+            completion: Some(Completion::Created(id.clone())),
         });
         let label = KeyValue::new("account", spec.account.to_string());
         metrics::get().admitted.add(1, &[label]);
         let admitted = Span::begin("admit", admit.trace.as_ref());
         admitted.set("job", &id);
         let trace = admitted.trace().or(admit.trace);
-        self.books.insert(Entry::new(record, false, trace));
+        self.jobs.insert(Entry::new(record, false, trace));
         // A caller that waits is told nothing before the end, and a job
         // that may repeat does no harm without a record: it starts at once.
         match admit.waits && spec.repeatable {
@@ -109,44 +109,44 @@
     }
 
     /// Goes on with a job whose record has been created.
-    pub(super) fn created(
+    pub(super) fn record_created(
         &mut self,
         myself: &ActorRef<Message>,
         id: &job::Id,
     ) {
-        let Some(entry) = self.books.get_mut(id) else {
+        let Some(entry) = self.jobs.get_mut(id) else {
             return;
         };
         entry.durable = true;
-        let admitting = std::mem::take(&mut entry.admitting);
+        let admission_waiters = std::mem::take(&mut entry.admission_waiters);
         let spec = entry.record.spec.clone();
         let fresh = entry.record.end.is_none()
             && !self.plan.state().jobs.contains_key(id);
         if fresh {
             self.step(myself, vec![Event::Submitted { spec }]);
         }
-        for waiter in admitting {
+        for waiter in admission_waiters {
             self.reply_status(id, waiter.reply);
         }
     }
 
     /// Takes in that a job's record was there before it was admitted here:
     /// it has ended long ago, or is another request's.
-    pub(super) fn exists(&mut self, record: Record) {
+    pub(super) fn record_exists(&mut self, record: Record) {
         let id = record.spec.id.clone();
-        let Some(entry) = self.books.get_mut(&id) else {
+        let Some(entry) = self.jobs.get_mut(&id) else {
             return;
         };
-        let admitting = std::mem::take(&mut entry.admitting);
+        let admission_waiters = std::mem::take(&mut entry.admission_waiters);
         let same = entry.record.request == record.request;
         if same && record.end.is_some() && entry.start.is_none() {
             entry.durable = true;
             entry.record = record;
-            entry.told = true;
-            entry.written = true;
-            self.books.ended(&id, Instant::now());
+            entry.end_visible = true;
+            entry.end_written = true;
+            self.jobs.record_end(&id, Instant::now());
         }
-        for waiter in admitting {
+        for waiter in admission_waiters {
             match same {
                 true => self.reply_status(&id, waiter.reply),
                 false => {
@@ -157,17 +157,17 @@
     }
 
     pub(super) fn reply_status(&self, id: &job::Id, reply: Reply) {
-        let status = self.books.status(id, &self.plan);
+        let status = self.jobs.status(id, &self.plan);
         let _ = reply.send(status.ok_or(Refusal::NotKnown));
     }
 
     pub(super) fn status(&mut self, wait: Await, reply: Reply) {
-        let told = self.books.get(&wait.job).map(|entry| entry.told);
+        let told = self.jobs.get(&wait.job).map(|entry| entry.end_visible);
         match told {
             Some(false) if wait.within_ms > 0 => {
                 let within = Duration::from_millis(wait.within_ms);
                 let deadline = Instant::now() + within;
-                self.books.wait(&wait.job, reply, deadline);
+                self.jobs.wait(&wait.job, reply, deadline);
             }
             Some(_) => self.reply_status(&wait.job, reply),
             None if matches!(self.phase, Phase::Reading { .. }) => {
@@ -185,26 +185,26 @@
         id: job::Id,
         reply: Reply,
     ) {
-        let Some(entry) = self.books.get_mut(&id) else {
+        let Some(entry) = self.jobs.get_mut(&id) else {
             let _ = reply.send(Err(Refusal::NotKnown));
             return;
         };
         if entry.record.end.is_none() && !entry.record.cancelled {
             entry.record.cancelled = true;
-            self.write(&id, None);
+            self.write_record(&id, None);
             self.step(myself, vec![Event::Cancelled { job: id.clone() }]);
         }
         self.reply_status(&id, reply);
     }
 
     pub(super) fn list(&self, account: Option<&account::Id>) -> Vec<Status> {
-        self.books
+        self.jobs
             .iter()
             .filter(|(_, entry)| {
                 let own = &entry.record.spec.account;
                 account.is_none_or(|account| account == own)
             })
-            .filter_map(|(id, _)| self.books.status(id, &self.plan))
+            .filter_map(|(id, _)| self.jobs.status(id, &self.plan))
             .collect()
     }
 }
--- a/src/planner/actor/adoption.rs
+++ b/src/planner/actor/adoption.rs
@@ -11,13 +11,13 @@
 use crate::planner::actor::Message;
 use crate::planner::actor::Phase;
 use crate::planner::actor::State;
-use crate::planner::books::Entry;
-use crate::planner::books::Progress;
-use crate::planner::books::Start;
+use crate::planner::jobs::Entry;
+use crate::planner::jobs::Progress;
+use crate::planner::jobs::Start;
 use crate::planner::takeover;
+use crate::planner::takeover::Ledger;
 use crate::planner::takeover::Records;
-use crate::planner::takeover::Standing;
-use crate::planner::takeover::Witness;
+use crate::planner::takeover::Resolution;
 use crate::record::Record;
 use crate::site::Piece;
 use crate::site::WorkerId;
@@ -31,7 +31,10 @@
         let Phase::Reading { deadline, records } = &mut self.phase else {
             return;
         };
-        let all = self.workers.values().all(|heard| heard.ever);
+        let all = self
+            .workers
+            .values()
+            .all(|worker_state| worker_state.answered);
         if !all && Instant::now() < *deadline {
             return;
         }
@@ -47,11 +50,11 @@
         myself: &ActorRef<Message>,
         read: Records,
     ) {
-        let entries = self.workers.iter().flat_map(|(w, heard)| {
-            heard.entries.values().map(move |e| (w, e))
+        let entries = self.workers.iter().flat_map(|(w, worker_state)| {
+            worker_state.entries.values().map(move |e| (w, e))
         });
-        let gangs = takeover::gangs(entries);
-        let mut events = self.presences(Instant::now());
+        let gangs = takeover::collect_gangs(entries);
+        let mut events = self.presence_events(Instant::now());
         let mut known: BTreeSet<job::Id> = BTreeSet::new();
         let mut unknown = Vec::new();
         let mut cancelled = Vec::new();
@@ -62,19 +65,19 @@
             if record.cancelled {
                 cancelled.push(Event::Cancelled { job: id.clone() });
             }
-            match self.standing(&record, &gangs) {
-                Standing::Runs(gang) => {
+            match self.resolve(&record, &gangs) {
+                Resolution::Adopt(gang) => {
                     events.push(self.adopt(record, true, &gangs[&gang]));
                 }
-                Standing::Waits => {
+                Resolution::Queue => {
                     let spec = record.spec.clone();
-                    self.books.insert(Entry::new(record, true, None));
+                    self.jobs.insert(Entry::new(record, true, None));
                     events.push(Event::Submitted { spec });
                 }
-                Standing::Open => {
-                    self.open.insert(id, record);
+                Resolution::Defer => {
+                    self.unresolved.insert(id, record);
                 }
-                Standing::Unknown => unknown.push(record),
+                Resolution::GiveUp => unknown.push(record),
             }
         }
         for gang in takeover::unrecorded(&gangs, &known) {
@@ -93,23 +96,23 @@
         }
         let workers: Vec<WorkerId> = self.workers.keys().cloned().collect();
         for worker in workers {
-            let events = self.outcomes(myself, &worker);
+            let events = self.outcome_events(myself, &worker);
             self.step(myself, events);
         }
     }
 
-    pub(super) fn standing(
+    pub(super) fn resolve(
         &self,
         record: &Record,
-        gangs: &BTreeMap<gang::Id, takeover::Found>,
-    ) -> Standing {
-        takeover::standing(record, gangs, |worker| {
+        gangs: &BTreeMap<gang::Id, takeover::GangEvidence>,
+    ) -> Resolution {
+        takeover::resolve(record, gangs, |worker| {
             match self.workers.get(worker) {
-                Some(heard) if heard.ever => {
-                    Witness::Read(heard.incarnation.clone())
+                Some(worker_state) if worker_state.answered => {
+                    Ledger::Read(worker_state.incarnation.clone())
                 }
-                Some(heard) if heard.listed => Witness::Unread,
-                Some(_) | None => Witness::Gone,
+                Some(worker_state) if worker_state.listed => Ledger::Unread,
+                Some(_) | None => Ledger::Gone,
             }
         })
     }
@@ -119,7 +122,7 @@
         &mut self,
         record: Record,
         durable: bool,
-        found: &takeover::Found,
+        found: &takeover::GangEvidence,
     ) -> Event {
         let gang = found.gang.clone();
         let spec = record.spec.clone();
@@ -137,35 +140,35 @@
         entry.start = Some(Start {
             gang,
             progress: Progress::Running,
-            stop: false,
+            stop_requested: false,
         });
-        self.books.insert(entry);
+        self.jobs.insert(entry);
         Event::Adopted {
             spec,
             attempt,
             pieces,
-            started: self.now() - found.ago,
+            started: self.now() - found.begun_ago,
         }
     }
 
     /// Looks again at records whose ledgers had not been read.
-    pub(super) fn resolve_open(&mut self, myself: &ActorRef<Message>) {
-        if self.open.is_empty() {
+    pub(super) fn resolve_pending(&mut self, myself: &ActorRef<Message>) {
+        if self.unresolved.is_empty() {
             return;
         }
-        let entries = self.workers.iter().flat_map(|(w, heard)| {
-            heard.entries.values().map(move |e| (w, e))
+        let entries = self.workers.iter().flat_map(|(w, worker_state)| {
+            worker_state.entries.values().map(move |e| (w, e))
         });
-        let gangs = takeover::gangs(entries);
-        for (id, record) in std::mem::take(&mut self.open) {
-            match self.standing(&record, &gangs) {
-                Standing::Runs(gang) => {
+        let gangs = takeover::collect_gangs(entries);
+        for (id, record) in std::mem::take(&mut self.unresolved) {
+            match self.resolve(&record, &gangs) {
+                Resolution::Adopt(gang) => {
                     let event = self.adopt(record, true, &gangs[&gang]);
                     self.step(myself, vec![event]);
                 }
-                Standing::Unknown => self.give_up(myself, record),
-                Standing::Open | Standing::Waits => {
-                    self.open.insert(id, record);
+                Resolution::GiveUp => self.give_up(myself, record),
+                Resolution::Defer | Resolution::Queue => {
+                    self.unresolved.insert(id, record);
                 }
             }
         }
@@ -178,7 +181,7 @@
         record: Record,
     ) {
         let id = record.spec.id.clone();
-        self.books.insert(Entry::new(record, true, None));
+        self.jobs.insert(Entry::new(record, true, None));
         let outcome = job::Outcome::Unknown;
         let reason = "it cannot be known whether it ran";
         self.finish(myself, &id, outcome, reason.to_owned());
--- a/src/planner/actor/agents.rs
+++ b/src/planner/actor/agents.rs
@@ -12,8 +12,8 @@
 use crate::planner::actor;
 use crate::planner::actor::Message;
 use crate::planner::actor::State;
-use crate::planner::books::Progress;
-use crate::planner::links::News;
+use crate::planner::jobs::Progress;
+use crate::planner::links::Update;
 use crate::site::WorkerId;
 use crate::wire::agent;
 use crate::wire::agent::AgentClient;
@@ -24,58 +24,60 @@
 use crate::wire::link;
 
 impl State {
-    pub(super) fn heard(
+    pub(super) fn agent_update(
         &mut self,
         myself: &ActorRef<Message>,
         worker: WorkerId,
-        news: News,
+        update: Update,
     ) {
-        let Some(heard) = self.workers.get_mut(&worker) else {
+        let Some(worker_state) = self.workers.get_mut(&worker) else {
             return;
         };
-        match news {
-            News::Fenced => return self.depose(myself),
-            News::Down => {
-                heard.down_since.get_or_insert_with(Instant::now);
+        match update {
+            Update::Fenced => return self.step_down(myself),
+            Update::Unreachable => {
+                worker_state
+                    .unreachable_since
+                    .get_or_insert_with(Instant::now);
                 return;
             }
-            News::Changes { changes, whole } => {
-                heard.ever = true;
-                heard.incarnation = changes.incarnation;
-                heard.down_since = None;
-                heard.leaving = changes.leaving;
-                heard.endpoint_lost = changes.endpoint_lost;
+            Update::Changes { changes, whole } => {
+                worker_state.answered = true;
+                worker_state.incarnation = changes.incarnation;
+                worker_state.unreachable_since = None;
+                worker_state.leaving = changes.leaving;
+                worker_state.endpoint_lost = changes.endpoint_lost;
                 if whole {
-                    heard.entries.clear();
+                    worker_state.entries.clear();
                 }
                 for entry in changes.entries {
-                    heard.entries.insert(entry.gang.id.clone(), entry);
+                    worker_state.entries.insert(entry.gang.id.clone(), entry);
                 }
             }
         }
         if matches!(self.phase, actor::Phase::Reading { .. }) {
             return self.try_take_over(myself);
         }
-        self.resolve_open(myself);
-        let mut events = self.presences(Instant::now());
-        events.extend(self.outcomes(myself, &worker));
+        self.resolve_pending(myself);
+        let mut events = self.presence_events(Instant::now());
+        events.extend(self.outcome_events(myself, &worker));
         if !events.is_empty() {
             self.step(myself, events);
         }
     }
 
     /// Returns what has changed of workers' presence.
-    pub(super) fn presences(&mut self, now: Instant) -> Vec<Event> {
+    pub(super) fn presence_events(&mut self, now: Instant) -> Vec<Event> {
         if matches!(self.phase, actor::Phase::Reading { .. }) {
             return Vec::new();
         }
         let mut events = Vec::new();
-        for (id, heard) in &mut self.workers {
-            let presence = heard.presence(now);
-            if presence == heard.told {
+        for (id, worker_state) in &mut self.workers {
+            let presence = worker_state.presence(now);
+            if presence == worker_state.reported {
                 continue;
             }
-            heard.told = presence;
+            worker_state.reported = presence;
             let worker = id.clone();
             slog::info!(self.config.log, "planner: worker {worker} is now";
                 "presence" => ?presence);
@@ -91,47 +93,47 @@
 
     /// Returns how gangs ended that `worker` leads, and sees to gangs there
     /// that nobody wants.
-    pub(super) fn outcomes(
+    pub(super) fn outcome_events(
         &mut self,
         myself: &ActorRef<Message>,
         worker: &WorkerId,
     ) -> Vec<Event> {
-        let Some(heard) = self.workers.get(worker) else {
+        let Some(worker_state) = self.workers.get(worker) else {
             return Vec::new();
         };
         let entries: Vec<agent::Entry> =
-            heard.entries.values().cloned().collect();
+            worker_state.entries.values().cloned().collect();
         let mut events = Vec::new();
         for entry in entries {
             let id = &entry.gang.id;
             match self.relation(id) {
                 Relation::Current => {
                     if let Some(end) = entry.outcome {
-                        events.extend(self.ended(myself, id, end));
+                        events.extend(self.gang_ended(myself, id, end));
                     }
                 }
-                Relation::Unwritten => {}
+                Relation::EndUnwritten => {}
                 Relation::Unwanted => {
-                    self.clear(worker, &entry);
+                    self.forget_or_stop(worker, &entry);
                     self.drop_ended(worker, id);
                 }
             }
         }
-        events.extend(self.forgotten(worker));
+        events.extend(self.lost_gang_failures(worker));
         events
     }
 
     /// Returns failures of gangs that their lead, which answers, does not
     /// know any more.
-    pub(super) fn forgotten(&self, worker: &WorkerId) -> Vec<Event> {
-        let Some(heard) = self.workers.get(worker) else {
+    pub(super) fn lost_gang_failures(&self, worker: &WorkerId) -> Vec<Event> {
+        let Some(worker_state) = self.workers.get(worker) else {
             return Vec::new();
         };
-        let running = self.books.iter().filter_map(|(id, entry)| {
+        let running = self.jobs.iter().filter_map(|(id, entry)| {
             let start = entry.start.as_ref()?;
             let led = start.gang.lead().worker == *worker;
             let runs = start.progress == Progress::Running;
-            let known = heard.entries.contains_key(&start.gang.id);
+            let known = worker_state.entries.contains_key(&start.gang.id);
             (led && runs && !known).then(|| Event::Failed {
                 job: id.clone(),
                 attempt: start.gang.id.attempt,
@@ -142,17 +144,17 @@
     }
 
     fn relation(&self, id: &gang::Id) -> Relation {
-        let Some(entry) = self.books.get(&id.job) else {
-            return match self.open.contains_key(&id.job) {
-                true => Relation::Unwritten,
+        let Some(entry) = self.jobs.get(&id.job) else {
+            return match self.unresolved.contains_key(&id.job) {
+                true => Relation::EndUnwritten,
                 false => Relation::Unwanted,
             };
         };
         let current = entry.start.as_ref().map(|start| &start.gang.id);
-        let unwritten = entry.forget.as_ref().map(|gang| &gang.id);
+        let unwritten = entry.ended_gang.as_ref().map(|gang| &gang.id);
         match id {
             id if current == Some(id) => Relation::Current,
-            id if unwritten == Some(id) => Relation::Unwritten,
+            id if unwritten == Some(id) => Relation::EndUnwritten,
             _ => Relation::Unwanted,
         }
     }
@@ -160,27 +162,31 @@
     /// Drops what a ledger said of a gang that has ended there, so that it
     /// is not looked at again with every change.
     pub(super) fn drop_ended(&mut self, worker: &WorkerId, id: &gang::Id) {
-        let Some(heard) = self.workers.get_mut(worker) else {
+        let Some(worker_state) = self.workers.get_mut(worker) else {
             return;
         };
-        let ended = heard.entries.get(id).is_some_and(|entry| {
+        let ended = worker_state.entries.get(id).is_some_and(|entry| {
             matches!(entry.stage, agent::Stage::Ended(_))
         });
         if ended {
-            heard.entries.remove(id);
+            worker_state.entries.remove(id);
         }
     }
 
     /// Has an agent forget a gang that is over, or stop one that is not.
-    pub(super) fn clear(&self, worker: &WorkerId, entry: &agent::Entry) {
-        let Some(heard) = self.workers.get(worker) else {
+    pub(super) fn forget_or_stop(
+        &self,
+        worker: &WorkerId,
+        entry: &agent::Entry,
+    ) {
+        let Some(worker_state) = self.workers.get(worker) else {
             return;
         };
-        let address = heard.link.address.clone();
+        let address = worker_state.link.address.clone();
         let pool = self.pool.clone();
         let id = entry.gang.id.clone();
         let ended = matches!(entry.stage, agent::Stage::Ended(_));
-        let fence = self.beat.borrow().fence;
+        let fence = self.heartbeat.borrow().fence;
         tokio::spawn(async move {
             let Ok(client) = pool.get(&address).await else {
                 return;
@@ -196,8 +202,8 @@
         });
     }
 
-    pub(super) fn forget(&mut self, gang: &Gang) {
-        let fence = self.beat.borrow().fence;
+    pub(super) fn forget_gang(&mut self, gang: &Gang) {
+        let fence = self.heartbeat.borrow().fence;
         for member in &gang.members {
             self.drop_ended(&member.worker, &gang.id);
             let pool = self.pool.clone();
@@ -213,13 +219,13 @@
     }
 
     /// Takes in how a whole gang ended.
-    pub(super) fn ended(
+    pub(super) fn gang_ended(
         &mut self,
         myself: &ActorRef<Message>,
         id: &gang::Id,
         end: End,
     ) -> Vec<Event> {
-        let Some(entry) = self.books.get_mut(&id.job) else {
+        let Some(entry) = self.jobs.get_mut(&id.job) else {
             return Vec::new();
         };
         let Some(start) = entry.start.take() else {
@@ -228,12 +234,12 @@
         let job = id.job.clone();
         let attempt = id.attempt;
         let lead = start.gang.lead().worker.clone();
-        let asked = start.stop;
+        let stop_was_requested = start.stop_requested;
         entry.output = end.output;
         if end.checkpoint.is_some() {
             entry.checkpoint = end.checkpoint;
         }
-        entry.forget = Some(start.gang);
+        entry.ended_gang = Some(start.gang);
         let kept = Duration::from_millis(end.kept_ms);
         let worker = end.worker.unwrap_or(lead);
         let event = match end.ending {
@@ -243,12 +249,14 @@
                 attempt,
                 worker: None,
             },
-            Ending::Stopped | Ending::Lost if asked => Event::Stopped {
-                job,
-                attempt,
-                kept,
-                proven: true,
-            },
+            Ending::Stopped | Ending::Lost if stop_was_requested => {
+                Event::Stopped {
+                    job,
+                    attempt,
+                    kept,
+                    proven: true,
+                }
+            }
             Ending::Failed | Ending::Stopped | Ending::Lost => Event::Failed {
                 job,
                 attempt,
@@ -256,31 +264,31 @@
             },
         };
         self.step(myself, vec![event]);
-        self.forget_unless_ending(&id.job);
+        self.forget_ended_gang(&id.job);
         Vec::new()
     }
 
     /// Lets members forget a gang now, unless its job's end is not written.
-    pub(super) fn forget_unless_ending(&mut self, job: &job::Id) {
-        let Some(entry) = self.books.get_mut(job) else {
+    pub(super) fn forget_ended_gang(&mut self, job: &job::Id) {
+        let Some(entry) = self.jobs.get_mut(job) else {
             return;
         };
-        if entry.record.end.is_some() && !entry.written {
+        if entry.record.end.is_some() && !entry.end_written {
             return;
         }
-        if let Some(gang) = entry.forget.take() {
-            self.forget(&gang);
+        if let Some(gang) = entry.ended_gang.take() {
+            self.forget_gang(&gang);
         }
     }
 
     /// Returns the ends of gangs whose lead is lost, once no member runs on.
-    pub(super) fn stopped_gangs(&mut self) -> Vec<Event> {
+    pub(super) fn leaderless_events(&mut self) -> Vec<Event> {
         let leaderless: Vec<job::Id> = self
-            .books
+            .jobs
             .iter()
             .filter_map(|(id, entry)| Some((id, entry.start.as_ref()?)))
             .filter(|(_, start)| start.progress == Progress::Running)
-            .filter(|(_, start)| self.is_gone(&start.gang.lead().worker))
+            .filter(|(_, start)| self.is_lost(&start.gang.lead().worker))
             .map(|(id, _)| id.clone())
             .collect();
         leaderless
@@ -289,33 +297,34 @@
             .collect()
     }
 
-    fn is_gone(&self, worker: &WorkerId) -> bool {
+    fn is_lost(&self, worker: &WorkerId) -> bool {
         self.workers
             .get(worker)
-            .is_none_or(|heard| heard.told == Presence::Lost)
+            .is_none_or(|worker_state| worker_state.reported == Presence::Lost)
     }
 
     fn end_leaderless(&mut self, id: job::Id) -> Option<Event> {
-        let start = self.books.get_mut(&id)?.start.as_mut()?;
-        let asked = std::mem::replace(&mut start.stop, true);
+        let start = self.jobs.get_mut(&id)?.start.as_mut()?;
+        let stop_was_requested =
+            std::mem::replace(&mut start.stop_requested, true);
         let gang = start.gang.clone();
-        if !asked {
+        if !stop_was_requested {
             // A worker that this planner never saw, or the core would have
             // asked: the gang was taken over from the planner before.
-            self.tell_stop(&id);
+            self.send_stop(&id);
         }
-        let overs: Vec<(bool, bool)> = gang
+        let member_states: Vec<(bool, bool)> = gang
             .members
             .iter()
             .map(|member| match self.workers.get(&member.worker) {
-                Some(heard) => heard.is_over(&gang.id),
+                Some(worker_state) => worker_state.gang_is_over(&gang.id),
                 None => (true, true),
             })
             .collect();
-        if !overs.iter().all(|(over, _)| *over) {
+        if !member_states.iter().all(|(over, _)| *over) {
             return None;
         }
-        self.books.get_mut(&id)?.start = None;
+        self.jobs.get_mut(&id)?.start = None;
         let attempt = gang.id.attempt;
         let phase = self.plan.state().jobs.get(&id).map(|job| &job.phase);
         Some(match phase {
@@ -323,7 +332,7 @@
                 job: id,
                 attempt,
                 kept: Duration::ZERO,
-                proven: overs.iter().all(|(_, proven)| *proven),
+                proven: member_states.iter().all(|(_, proven)| *proven),
             },
             _ => Event::Failed {
                 job: id,
@@ -338,7 +347,7 @@
     /// It is its job's present start.
     Current,
     /// It has ended, and its job's end is not written yet.
-    Unwritten,
+    EndUnwritten,
     /// Nobody wants it.
     Unwanted,
 }
--- a/src/planner/actor/commands.rs
+++ b/src/planner/actor/commands.rs
@@ -11,10 +11,10 @@
 use crate::planner::actor::Message;
 use crate::planner::actor::Phase;
 use crate::planner::actor::State;
-use crate::planner::books::Progress;
-use crate::planner::books::Start;
+use crate::planner::jobs::Progress;
+use crate::planner::jobs::Start;
 use crate::planner::launch;
-use crate::planner::writer::Done;
+use crate::planner::writer::Completion;
 use crate::planner::writer::Write;
 use crate::record;
 use crate::record::Mark;
@@ -45,11 +45,11 @@
         let took = began.elapsed().as_secs_f64();
         metrics::get().step.record(took, &[]);
         for command in commands {
-            self.carry_out(myself, command);
+            self.execute(myself, command);
         }
     }
 
-    pub(super) fn carry_out(
+    pub(super) fn execute(
         &mut self,
         myself: &ActorRef<Message>,
         command: Command,
@@ -64,7 +64,7 @@
                 let label = KeyValue::new("reason", format!("{reason:?}"));
                 metrics::get().stops.add(1, &[label]);
                 let now = self.now();
-                if let Some(entry) = self.books.get_mut(&job) {
+                if let Some(entry) = self.jobs.get_mut(&job) {
                     entry.note(now, format!("stop: {reason:?}"));
                 }
                 self.stop(myself, &job);
@@ -100,7 +100,7 @@
         let incarnations = self.incarnations(&members);
         let epoch = self.config.epoch;
         let now = self.now();
-        let Some(entry) = self.books.get_mut(id) else {
+        let Some(entry) = self.jobs.get_mut(id) else {
             return;
         };
         let mut work = entry.record.work.clone();
@@ -120,14 +120,14 @@
             gang.members.iter().map(|m| &*m.worker).collect();
         let text = format!("start {attempt} on {}", workers.join(", "));
         entry.note(now, text);
-        entry.plan = None;
+        entry.wait_span = None;
         entry.start = Some(Start {
             gang: gang.clone(),
             progress: match repeatable {
                 true => Progress::Launching,
                 false => Progress::Marking,
             },
-            stop: false,
+            stop_requested: false,
         });
         if repeatable {
             return self.launch(myself, gang);
@@ -137,7 +137,7 @@
             members: gang.members.clone(),
             incarnations,
         });
-        self.write(id, Some(Done::Marked(gang.id)));
+        self.write_record(id, Some(Completion::Marked(gang.id)));
     }
 
     pub(super) fn members(&self, pieces: &[Piece]) -> Vec<Member> {
@@ -146,8 +146,9 @@
             .iter()
             .map(|piece| {
                 let worker = site.workers()[piece.worker].id.clone();
-                let heard = self.workers.get(&worker);
-                let address = heard.map(|heard| heard.link.address.clone());
+                let worker_state = self.workers.get(&worker);
+                let address = worker_state
+                    .map(|worker_state| worker_state.link.address.clone());
                 Member {
                     address: address.unwrap_or_default(),
                     mask: piece.mask,
@@ -161,11 +162,11 @@
         &self,
         members: &[Member],
     ) -> Vec<agent::Incarnation> {
-        let heard = |member: &Member| self.workers.get(&member.worker);
+        let worker_state = |member: &Member| self.workers.get(&member.worker);
         members
             .iter()
             .map(|member| {
-                let incarnation = heard(member).map(|h| &h.incarnation);
+                let incarnation = worker_state(member).map(|h| &h.incarnation);
                 incarnation.cloned().unwrap_or_default()
             })
             .collect()
@@ -173,9 +174,9 @@
 
     pub(super) fn launch(&self, myself: &ActorRef<Message>, gang: Gang) {
         let pool = self.pool.clone();
-        let fence = self.beat.borrow().fence;
+        let fence = self.heartbeat.borrow().fence;
         let trace = self
-            .books
+            .jobs
             .get(&gang.id.job)
             .and_then(|entry| entry.trace.clone());
         let myself = myself.clone();
@@ -195,7 +196,7 @@
         let job = id.job.clone();
         let attempt = id.attempt;
         let now = self.now();
-        let Some(entry) = self.books.get_mut(&job) else {
+        let Some(entry) = self.jobs.get_mut(&job) else {
             return;
         };
         let Some(start) =
@@ -205,10 +206,10 @@
         };
         let repeatable = start.gang.spec.repeatable;
         let event = match outcome {
-            launch::Outcome::Fenced => return self.depose(myself),
+            launch::Outcome::Fenced => return self.step_down(myself),
             launch::Outcome::Started => {
                 start.progress = Progress::Running;
-                let stop = start.stop;
+                let stop = start.stop_requested;
                 entry.note(now, "runs");
                 let submitted = entry.record.spec.submitted;
                 let took = now.duration_since(submitted);
@@ -216,10 +217,10 @@
                 metrics::get().starts.add(1, &[]);
                 metrics::get().start.record(took, &[]);
                 if stop {
-                    self.tell_stop(&job);
+                    self.send_stop(&job);
                 }
                 let lead = id.clone();
-                return self.look_again(myself, &lead);
+                return self.apply_early_outcome(myself, &lead);
             }
             launch::Outcome::NotStarted { unreached, .. } => {
                 entry.start = None;
@@ -230,7 +231,10 @@
                     worker: unreached,
                 }
             }
-            launch::Outcome::Broken { known: false, .. } if !repeatable => {
+            launch::Outcome::Broken {
+                known_unfinished: false,
+                ..
+            } if !repeatable => {
                 entry.start = None;
                 Event::StartUnknown { job, attempt }
             }
@@ -247,33 +251,33 @@
     }
 
     /// Takes in an outcome that came before the launch's own answer.
-    pub(super) fn look_again(
+    pub(super) fn apply_early_outcome(
         &mut self,
         myself: &ActorRef<Message>,
         id: &gang::Id,
     ) {
-        let outcome = self.books.get(&id.job).and_then(|entry| {
+        let outcome = self.jobs.get(&id.job).and_then(|entry| {
             let lead = &entry.start.as_ref()?.gang.lead().worker;
             let entries = &self.workers.get(lead)?.entries;
             entries.get(id)?.outcome.clone()
         });
         if let Some(end) = outcome {
-            let events = self.ended(myself, id, end);
+            let events = self.gang_ended(myself, id, end);
             self.step(myself, events);
         }
     }
 
     pub(super) fn stop(&mut self, myself: &ActorRef<Message>, id: &job::Id) {
-        let Some(entry) = self.books.get_mut(id) else {
+        let Some(entry) = self.jobs.get_mut(id) else {
             return;
         };
         let Some(start) = entry.start.as_mut() else {
             return;
         };
-        start.stop = true;
+        start.stop_requested = true;
         let attempt = start.gang.id.attempt;
         match start.progress {
-            Progress::Running => self.tell_stop(id),
+            Progress::Running => self.send_stop(id),
             // It is stopped once its launch has come to something.
             Progress::Launching => {}
             Progress::Marking => {
@@ -288,11 +292,11 @@
         }
     }
 
-    pub(super) fn tell_stop(&self, id: &job::Id) {
-        let start = self.books.get(id).and_then(|e| e.start.as_ref());
+    pub(super) fn send_stop(&self, id: &job::Id) {
+        let start = self.jobs.get(id).and_then(|e| e.start.as_ref());
         if let Some(start) = start {
             let pool = self.pool.clone();
-            let fence = self.beat.borrow().fence;
+            let fence = self.heartbeat.borrow().fence;
             let gang = start.gang.clone();
             tokio::spawn(launch::stop(pool, fence, gang));
         }
@@ -306,7 +310,7 @@
         reason: String,
     ) {
         let now = self.now();
-        let Some(entry) = self.books.get_mut(id) else {
+        let Some(entry) = self.jobs.get_mut(id) else {
             return;
         };
         entry.note(now, format!("ended: {outcome} {reason}"));
@@ -314,7 +318,7 @@
         metrics::get().ended.add(1, &[label]);
         let answer = Span::begin("answer", entry.trace.as_ref());
         answer.set("outcome", outcome);
-        let gang = entry.forget.as_ref();
+        let gang = entry.ended_gang.as_ref();
         let ran = gang.map_or(0, |gang| gang.id.attempt);
         let output = entry.output.take();
         let output = output.filter(|_| outcome == job::Outcome::Done);
@@ -326,51 +330,55 @@
         // only when no later planner can find its record open.
         let proven =
             !matches!(outcome, job::Outcome::NotRun | job::Outcome::Cancelled);
-        self.write(id, Some(Done::Ended(id.clone())));
-        self.books.ended(id, Instant::now());
+        self.write_record(id, Some(Completion::Ended(id.clone())));
+        self.jobs.record_end(id, Instant::now());
         if proven {
-            self.books.tell(id, &self.plan);
+            self.jobs.publish_end(id, &self.plan);
         }
     }
 
-    pub(super) fn write(&self, id: &job::Id, then: Option<Done>) {
-        let Some(entry) = self.books.get(id) else {
+    pub(super) fn write_record(
+        &self,
+        id: &job::Id,
+        completion: Option<Completion>,
+    ) {
+        let Some(entry) = self.jobs.get(id) else {
             return;
         };
         self.writer.put(Write {
             key: Record::key(id),
             value: entry.record.bytes(),
             create: !entry.durable,
-            then,
+            completion,
         });
     }
 
-    pub(super) fn written(
+    pub(super) fn records_written(
         &mut self,
         myself: &ActorRef<Message>,
-        done: Vec<Done>,
+        done: Vec<Completion>,
     ) {
         for done in done {
             match done {
-                Done::Created(id) => self.created(myself, &id),
-                Done::Marked(id) => self.marked(myself, &id),
-                Done::Ended(id) => {
-                    if let Some(entry) = self.books.get_mut(&id) {
-                        entry.written = true;
+                Completion::Created(id) => self.record_created(myself, &id),
+                Completion::Marked(id) => self.mark_written(myself, &id),
+                Completion::Ended(id) => {
+                    if let Some(entry) = self.jobs.get_mut(&id) {
+                        entry.end_written = true;
                     }
-                    self.books.tell(&id, &self.plan);
-                    self.forget_unless_ending(&id);
+                    self.jobs.publish_end(&id, &self.plan);
+                    self.forget_ended_gang(&id);
                 }
             }
         }
     }
 
-    pub(super) fn marked(
+    pub(super) fn mark_written(
         &mut self,
         myself: &ActorRef<Message>,
         id: &gang::Id,
     ) {
-        let Some(entry) = self.books.get_mut(&id.job) else {
+        let Some(entry) = self.jobs.get_mut(&id.job) else {
             return;
         };
         let Some(start) = entry.start.as_mut() else {
--- a/src/planner/actor/platform.rs
+++ b/src/planner/actor/platform.rs
@@ -9,9 +9,9 @@
 use crate::config::Document;
 use crate::plan::event::Event;
 use crate::plan::state::Presence;
-use crate::planner::actor::Heard;
 use crate::planner::actor::Message;
 use crate::planner::actor::State;
+use crate::planner::actor::Worker;
 use crate::planner::links;
 use crate::planner::links::Link;
 use crate::vms::Role;
@@ -19,9 +19,13 @@
 use crate::vms::Vm;
 
 impl State {
-    pub(super) fn listed(&mut self, myself: &ActorRef<Message>, vms: Vec<Vm>) {
-        for heard in self.workers.values_mut() {
-            heard.listed = false;
+    pub(super) fn update_vms(
+        &mut self,
+        myself: &ActorRef<Message>,
+        vms: Vec<Vm>,
+    ) {
+        for worker_state in self.workers.values_mut() {
+            worker_state.listed = false;
         }
         let endpoints = vms.iter().filter(|vm| vm.role == Role::Endpoint);
         for vm in endpoints {
@@ -30,49 +34,54 @@
                 slog::warn!(self.config.log, "planner: {error}");
                 continue;
             }
-            let moved = self
-                .workers
-                .get(&vm.name)
-                .is_none_or(|heard| heard.link.address != vm.address);
+            let moved =
+                self.workers.get(&vm.name).is_none_or(|worker_state| {
+                    worker_state.link.address != vm.address
+                });
             if moved {
                 self.workers
-                    .insert(vm.name.clone(), self.listen(myself, vm));
+                    .insert(vm.name.clone(), self.connect(myself, vm));
             }
-            if let Some(heard) = self.workers.get_mut(&vm.name) {
-                heard.listed = true;
-                heard.listed_leaving = vm.state == Stay::Leaving;
+            if let Some(worker_state) = self.workers.get_mut(&vm.name) {
+                worker_state.listed = true;
+                worker_state.listed_leaving = vm.state == Stay::Leaving;
             }
         }
-        let heartbeat = links::heartbeat(self.workers.len());
-        self.beat.send_modify(|beat| beat.heartbeat = heartbeat);
-        let events = self.presences(Instant::now());
+        let interval = links::heartbeat_interval(self.workers.len());
+        self.heartbeat
+            .send_modify(|heartbeat| heartbeat.interval = interval);
+        let events = self.presence_events(Instant::now());
         if !events.is_empty() {
             self.step(myself, events);
         }
     }
 
-    pub(super) fn listen(&self, myself: &ActorRef<Message>, vm: &Vm) -> Heard {
-        let told = self
+    pub(super) fn connect(
+        &self,
+        myself: &ActorRef<Message>,
+        vm: &Vm,
+    ) -> Worker {
+        let reported = self
             .workers
             .get(&vm.name)
-            .map_or(Presence::Silent, |heard| heard.told);
-        Heard {
+            .map_or(Presence::Silent, |worker_state| worker_state.reported);
+        Worker {
             link: Link::start(
                 vm.name.clone(),
                 vm.address.clone(),
-                self.beat.subscribe(),
+                self.heartbeat.subscribe(),
                 myself.clone(),
             ),
-            ever: false,
+            answered: false,
             incarnation: String::new(),
             // Until it answers it counts as gone, or what a later planner
             // took over from a worker that is lost would be waited for.
-            down_since: Some(Instant::now()),
+            unreachable_since: Some(Instant::now()),
             leaving: false,
             endpoint_lost: false,
             listed: true,
             listed_leaving: false,
-            told,
+            reported,
             entries: BTreeMap::new(),
         }
     }
@@ -103,7 +112,8 @@
             });
         let events: Vec<Event> = changed.chain(gone).collect();
         let revision = document.revision;
-        self.beat.send_modify(|beat| beat.fence.revision = revision);
+        self.heartbeat
+            .send_modify(|heartbeat| heartbeat.fence.revision = revision);
         slog::info!(self.config.log, "planner: configuration in force";
             "revision" => revision);
         self.step(myself, events);
--- a/src/planner/books.rs
+++ b/src/planner/jobs.rs
@@ -23,12 +23,12 @@
 use crate::wire::Trace;
 
 /// How long an ended job is kept in memory.
-const KEPT: Duration = Duration::from_secs(300);
+const ENDED_RETENTION: Duration = Duration::from_secs(300);
 /// How many ended jobs are kept in memory at most.
-const MOST_ENDED: usize = 5_000;
+const MAX_ENDED_JOBS: usize = 5_000;
 
 /// How many lines are kept of what happened to a job.
-const LINES: usize = 20;
+const MAX_LOG_LINES: usize = 20;
 
 /// Where a status is sent.
 pub type Reply = RpcReplyPort<Result<Status, Refusal>>;
@@ -52,7 +52,7 @@
     /// Where it is.
     pub progress: Progress,
     /// Whether it is to be stopped as soon as it can be.
-    pub stop: bool,
+    pub stop_requested: bool,
 }
 
 /// A caller that waits for a job.
@@ -70,9 +70,9 @@
     /// Whether the store is known to hold its record.
     pub durable: bool,
     /// Callers who wait for the job to be accepted.
-    pub admitting: Vec<Waiter>,
+    pub admission_waiters: Vec<Waiter>,
     /// A gang whose members may forget it once the end is written.
-    pub forget: Option<Gang>,
+    pub ended_gang: Option<Gang>,
     /// Its present start.
     pub start: Option<Start>,
     /// The checkpoint to go on from.
@@ -80,18 +80,18 @@
     /// What its last task answered.
     pub output: Option<String>,
     /// Whether its end may be told.
-    pub told: bool,
+    pub end_visible: bool,
     /// Whether the store holds its end. Until then the agents' ledgers are
     /// all that a later planner can learn it from.
-    pub written: bool,
+    pub end_written: bool,
     /// When it ended, if it has.
     pub ended_at: Option<Instant>,
     /// The span that made it.
     pub trace: Option<Trace>,
     /// The span of its wait for accelerators.
-    pub plan: Option<Span>,
+    pub wait_span: Option<Span>,
     log: VecDeque<Line>,
-    waiters: Vec<Waiter>,
+    end_waiters: Vec<Waiter>,
 }
 
 impl Entry {
@@ -100,24 +100,24 @@
         Entry {
             record,
             durable,
-            admitting: Vec::new(),
-            forget: None,
+            admission_waiters: Vec::new(),
+            ended_gang: None,
             start: None,
             checkpoint: None,
             output: None,
-            told: false,
-            written: false,
+            end_visible: false,
+            end_written: false,
             ended_at: None,
-            plan: Some(Span::begin("plan", trace.as_ref())),
+            wait_span: Some(Span::begin("plan", trace.as_ref())),
             trace,
             log: VecDeque::new(),
-            waiters: Vec::new(),
+            end_waiters: Vec::new(),
         }
     }
 
     /// Notes something that happened to the job.
     pub fn note(&mut self, at: SystemTime, text: impl Into<String>) {
-        if self.log.len() == LINES {
+        if self.log.len() == MAX_LOG_LINES {
             self.log.pop_front();
         }
         let text = text.into();
@@ -127,59 +127,59 @@
 
 /// The jobs of a cell.
 #[derive(Default)]
-pub struct Books {
-    jobs: BTreeMap<job::Id, Entry>,
-    open: BTreeMap<account::Id, u32>,
+pub struct Jobs {
+    entries: BTreeMap<job::Id, Entry>,
+    unfinished: BTreeMap<account::Id, u32>,
 }
 
-impl Books {
+impl Jobs {
     /// Takes a job in.
     pub fn insert(&mut self, entry: Entry) {
         let spec = &entry.record.spec;
         if entry.record.end.is_none() {
-            *self.open.entry(spec.account.clone()).or_default() += 1;
+            *self.unfinished.entry(spec.account.clone()).or_default() += 1;
         }
-        self.jobs.insert(spec.id.clone(), entry);
+        self.entries.insert(spec.id.clone(), entry);
     }
 
     /// Returns a job.
     pub fn get(&self, job: &str) -> Option<&Entry> {
-        self.jobs.get(job)
+        self.entries.get(job)
     }
 
     /// Returns a job, to be changed.
     pub fn get_mut(&mut self, job: &str) -> Option<&mut Entry> {
-        self.jobs.get_mut(job)
+        self.entries.get_mut(job)
     }
 
     /// Returns all jobs.
     pub fn iter(&self) -> impl Iterator<Item = (&job::Id, &Entry)> {
-        self.jobs.iter()
+        self.entries.iter()
     }
 
     /// Returns how many jobs of an account have not ended.
-    pub fn open(&self, account: &str) -> u32 {
-        self.open.get(account).copied().unwrap_or_default()
+    pub fn unfinished(&self, account: &str) -> u32 {
+        self.unfinished.get(account).copied().unwrap_or_default()
     }
 
     /// Takes in that a job has ended.
-    pub fn ended(&mut self, job: &job::Id, now: Instant) {
-        if let Some(entry) = self.jobs.get_mut(job) {
+    pub fn record_end(&mut self, job: &job::Id, now: Instant) {
+        if let Some(entry) = self.entries.get_mut(job) {
             entry.ended_at = Some(now);
             entry.start = None;
             let account = &entry.record.spec.account;
-            if let Some(open) = self.open.get_mut(account) {
-                *open = open.saturating_sub(1);
+            if let Some(unfinished) = self.unfinished.get_mut(account) {
+                *unfinished = unfinished.saturating_sub(1);
             }
         }
     }
 
     /// Returns what there is to say of a job.
     pub fn status(&self, job: &str, plan: &Plan) -> Option<Status> {
-        let entry = self.jobs.get(job)?;
+        let entry = self.entries.get(job)?;
         let spec = &entry.record.spec;
         let stage = match plan.state().jobs.get(job).map(|job| &job.phase) {
-            _ if entry.told => Stage::Ended,
+            _ if entry.end_visible => Stage::Ended,
             Some(Phase::Waiting) | None => Stage::Queued,
             Some(Phase::Stopping(..)) => Stage::Stopping,
             Some(Phase::Running(_)) => match &entry.start {
@@ -207,72 +207,78 @@
             },
             workers,
             log: entry.log.iter().cloned().collect(),
-            end: entry.record.end.clone().filter(|_| entry.told),
+            end: entry.record.end.clone().filter(|_| entry.end_visible),
         })
     }
 
     /// Keeps a caller waiting for a job's end.
     pub fn wait(&mut self, job: &str, reply: Reply, deadline: Instant) {
-        if let Some(entry) = self.jobs.get_mut(job) {
-            entry.waiters.push(Waiter { reply, deadline });
+        if let Some(entry) = self.entries.get_mut(job) {
+            entry.end_waiters.push(Waiter { reply, deadline });
         }
     }
 
     /// Answers all who wait for a job, once its end may be told.
-    pub fn tell(&mut self, job: &job::Id, plan: &Plan) {
-        if let Some(entry) = self.jobs.get_mut(job) {
-            entry.told = true;
+    pub fn publish_end(&mut self, job: &job::Id, plan: &Plan) {
+        if let Some(entry) = self.entries.get_mut(job) {
+            entry.end_visible = true;
         }
         let Some(status) = self.status(job, plan) else {
             return;
         };
         let waiters = self
-            .jobs
+            .entries
             .get_mut(job)
-            .map(|entry| std::mem::take(&mut entry.waiters));
+            .map(|entry| std::mem::take(&mut entry.end_waiters));
         for waiter in waiters.into_iter().flatten() {
             let _ = waiter.reply.send(Ok(status.clone()));
         }
     }
 
     /// Answers callers whose wait is over and forgets old jobs.
-    pub fn tick(&mut self, plan: &Plan, now: Instant) {
-        let mut over = Vec::new();
-        for entry in self.jobs.values_mut() {
-            let admitting = std::mem::take(&mut entry.admitting);
-            let (late, rest): (Vec<Waiter>, Vec<Waiter>) =
-                admitting.into_iter().partition(|w| w.deadline <= now);
-            entry.admitting = rest;
-            for waiter in late {
+    pub fn expire(&mut self, plan: &Plan, now: Instant) {
+        let mut expired = Vec::new();
+        for entry in self.entries.values_mut() {
+            let admission_waiters =
+                std::mem::take(&mut entry.admission_waiters);
+            let (expired_waiters, remaining): (Vec<Waiter>, Vec<Waiter>) =
+                admission_waiters
+                    .into_iter()
+                    .partition(|w| w.deadline <= now);
+            entry.admission_waiters = remaining;
+            for waiter in expired_waiters {
                 let _ = waiter.reply.send(Err(Refusal::StoreDown));
             }
         }
-        for (id, entry) in &mut self.jobs {
-            let waiters = std::mem::take(&mut entry.waiters);
-            let (late, rest): (Vec<Waiter>, Vec<Waiter>) =
+        for (id, entry) in &mut self.entries {
+            let waiters = std::mem::take(&mut entry.end_waiters);
+            let (expired_waiters, remaining): (Vec<Waiter>, Vec<Waiter>) =
                 waiters.into_iter().partition(|w| w.deadline <= now);
-            entry.waiters = rest;
-            over.extend(late.into_iter().map(|w| (id.clone(), w)));
+            entry.end_waiters = remaining;
+            expired
+                .extend(expired_waiters.into_iter().map(|w| (id.clone(), w)));
         }
-        for (id, waiter) in over {
+        for (id, waiter) in expired {
             let status = self.status(&id, plan);
             let _ = waiter.reply.send(status.ok_or(Refusal::NotKnown));
         }
-        self.forget(now);
+        self.remove_old(now);
     }
 
-    fn forget(&mut self, now: Instant) {
+    fn remove_old(&mut self, now: Instant) {
         let mut ended: Vec<(Instant, job::Id)> = self
-            .jobs
+            .entries
             .iter()
-            .filter(|(_, entry)| entry.told && entry.written)
+            .filter(|(_, entry)| entry.end_visible && entry.end_written)
             .filter_map(|(id, entry)| Some((entry.ended_at?, id.clone())))
             .collect();
         ended.sort();
-        let surplus = ended.len().saturating_sub(MOST_ENDED);
-        for (at, (ended_at, id)) in ended.into_iter().enumerate() {
-            if at < surplus || now.duration_since(ended_at) >= KEPT {
-                self.jobs.remove(&id);
+        let surplus = ended.len().saturating_sub(MAX_ENDED_JOBS);
+        for (index, (ended_at, id)) in ended.into_iter().enumerate() {
+            if index < surplus
+                || now.duration_since(ended_at) >= ENDED_RETENTION
+            {
+                self.entries.remove(&id);
             }
         }
     }
--- a/src/planner/launch.rs
+++ b/src/planner/launch.rs
@@ -26,9 +26,9 @@
 
 /// How long a launch may take besides the wait for members' leases, if it
 /// goes wrong.
-const LAUNCH: Duration = Duration::from_secs(3);
+const LAUNCH_TIMEOUT: Duration = Duration::from_secs(3);
 /// The wait between two tries to stop a gang.
-const STOP_RETRY: Duration = Duration::from_millis(700);
+const RETRY_INTERVAL: Duration = Duration::from_millis(700);
 
 /// What came of a start.
 #[derive(Clone, Debug, PartialEq)]
@@ -48,7 +48,7 @@
         /// The member in whose way it lay.
         worker: WorkerId,
         /// Whether it is known that it did not run to its end.
-        known: bool,
+        known_unfinished: bool,
     },
     /// A later planner has spoken.
     Fenced,
@@ -69,23 +69,25 @@
         .iter()
         .map(|member| hold(&pool, fence, &gang, member, trace.clone()));
     let held = join_all(holds).await;
-    let failed = held
-        .into_iter()
-        .zip(&gang.members)
-        .find_map(|(held, member)| held.err().map(|why| (why, member)));
-    if let Some((why, member)) = failed {
+    let failed =
+        held.into_iter()
+            .zip(&gang.members)
+            .find_map(|(held, member)| {
+                held.err().map(|refusal| (refusal, member))
+            });
+    if let Some((refusal, member)) = failed {
         release(&pool, fence, &gang).await;
-        return not_held(why, &member.worker);
+        return hold_failure(refusal, &member.worker);
     }
     launch(&pool, fence, &gang, trace).await
 }
 
-fn not_held(why: Option<Refusal>, worker: &WorkerId) -> Outcome {
-    match why {
+fn hold_failure(refusal: Option<Refusal>, worker: &WorkerId) -> Outcome {
+    match refusal {
         Some(Refusal::Epoch { .. }) => Outcome::Fenced,
-        why => Outcome::NotStarted {
-            behind: matches!(why, Some(Refusal::Revision { .. })),
-            unreached: why.is_none().then(|| worker.clone()),
+        refusal => Outcome::NotStarted {
+            behind: matches!(refusal, Some(Refusal::Revision { .. })),
+            unreached: refusal.is_none().then(|| worker.clone()),
         },
     }
 }
@@ -131,8 +133,8 @@
     let launched = match pool.get(&lead.address).await {
         Ok(client) => {
             let call = client.launch(launch);
-            let limit = LAUNCH + 2 * gang_lease(gang.members.len());
-            link::within(&lead.address, limit, call).await
+            let timeout = LAUNCH_TIMEOUT + 2 * gang_lease(gang.members.len());
+            link::within(&lead.address, timeout, call).await
         }
         Err(error) => Err(error),
     };
@@ -147,14 +149,14 @@
         }
         Ok(Ok(Launched::Broken { worker })) => Outcome::Broken {
             worker,
-            known: true,
+            known_unfinished: true,
         },
         Ok(Err(Refusal::Epoch { .. })) => Outcome::Fenced,
         Ok(Err(refusal)) => {
             // Asking settles it: a gang that is not decided by now is
             // decided not to run.
             let behind = matches!(refusal, Refusal::Revision { .. });
-            let verdict = ask(pool, gang).await;
+            let verdict = request_verdict(pool, gang).await;
             if verdict == Some(Verdict::Run) {
                 return Outcome::Started;
             }
@@ -166,25 +168,29 @@
                 },
                 None => Outcome::Broken {
                     worker: lead.worker.clone(),
-                    known: false,
+                    known_unfinished: false,
                 },
             }
         }
         Err(_) => {
             pool.drop(&lead.address);
-            lost_launch(pool, fence, gang).await
+            recover_verdict(pool, fence, gang).await
         }
     }
 }
 
 /// Finds out what the lead decided when its answer was lost.
-async fn lost_launch(pool: &link::Pool, fence: Fence, gang: &Gang) -> Outcome {
+async fn recover_verdict(
+    pool: &link::Pool,
+    fence: Fence,
+    gang: &Gang,
+) -> Outcome {
     let deadline = Instant::now() + HOLD + 2 * gang_lease(gang.members.len());
     while Instant::now() < deadline {
-        match ask(pool, gang).await {
+        match request_verdict(pool, gang).await {
             Some(Verdict::Run) => return Outcome::Started,
             Some(Verdict::Halt) => break,
-            None => tokio::time::sleep(STOP_RETRY).await,
+            None => tokio::time::sleep(RETRY_INTERVAL).await,
         }
     }
     // A lead that halted may have run before, and one that is not reached
@@ -192,13 +198,13 @@
     release(pool, fence, gang).await;
     Outcome::Broken {
         worker: gang.lead().worker.clone(),
-        known: false,
+        known_unfinished: false,
     }
 }
 
 /// Asks the lead for its verdict; who asks before there is one decides
 /// that the gang does not run.
-async fn ask(pool: &link::Pool, gang: &Gang) -> Option<Verdict> {
+async fn request_verdict(pool: &link::Pool, gang: &Gang) -> Option<Verdict> {
     let address = &gang.lead().address;
     let client = pool.get(address).await.ok()?;
     let report = Report {
@@ -215,11 +221,11 @@
     let stops = gang
         .members
         .iter()
-        .map(|member| stop_at(pool, fence, gang, member));
+        .map(|member| stop_member(pool, fence, gang, member));
     join_all(stops).await;
 }
 
-async fn stop_at(
+async fn stop_member(
     pool: &link::Pool,
     fence: Fence,
     gang: &Gang,
@@ -248,10 +254,10 @@
 pub async fn stop(pool: link::Pool, fence: Fence, gang: Gang) {
     let deadline = Instant::now() + 4 * gang_lease(gang.members.len());
     while Instant::now() < deadline {
-        if stop_at(&pool, fence, &gang, gang.lead()).await {
+        if stop_member(&pool, fence, &gang, gang.lead()).await {
             return;
         }
         release(&pool, fence, &gang).await;
-        tokio::time::sleep(STOP_RETRY).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
--- a/src/planner/links.rs
+++ b/src/planner/links.rs
@@ -19,32 +19,32 @@
 
 /// The shortest time that an agent waits for a change before it answers
 /// all the same.
-const HEARTBEAT_LEAST: Duration = Duration::from_secs(2);
+const MIN_HEARTBEAT: Duration = Duration::from_secs(2);
 /// The longest such time.
-const HEARTBEAT_MOST: Duration = Duration::from_secs(9);
+const MAX_HEARTBEAT: Duration = Duration::from_secs(9);
 /// How much longer it waits for each agent of the cell.
-const HEARTBEAT_EACH: Duration = Duration::from_millis(30);
+const HEARTBEAT_PER_WORKER: Duration = Duration::from_millis(30);
 /// The longest wait between two tries to connect.
-const RECONNECT: Duration = Duration::from_millis(400);
+const MAX_RECONNECT_WAIT: Duration = Duration::from_millis(400);
 
 /// Returns how long agents wait in a cell of so many workers, so that the
 /// planner's traffic grows more slowly than the cell.
-pub fn heartbeat(workers: usize) -> Duration {
-    let wanted = HEARTBEAT_EACH * workers as u32;
-    wanted.clamp(HEARTBEAT_LEAST, HEARTBEAT_MOST)
+pub fn heartbeat_interval(workers: usize) -> Duration {
+    let wanted = HEARTBEAT_PER_WORKER * workers as u32;
+    wanted.clamp(MIN_HEARTBEAT, MAX_HEARTBEAT)
 }
 
 /// What a planner says with each heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Under whose authority.
     pub fence: Fence,
     /// How long the agent waits for a change.
-    pub heartbeat: Duration,
+    pub interval: Duration,
 }
 
 /// What a link has learned.
-pub enum News {
+pub enum Update {
     /// The agent answered; `whole` if these are all its entries.
     Changes {
         /// What it answered.
@@ -53,7 +53,7 @@
         whole: bool,
     },
     /// The agent does not answer.
-    Down,
+    Unreachable,
     /// A later planner has spoken.
     Fenced,
 }
@@ -76,40 +76,40 @@
     pub fn start(
         worker: WorkerId,
         address: String,
-        beat: watch::Receiver<Beat>,
+        heartbeat: watch::Receiver<Heartbeat>,
         planner: ActorRef<Message>,
     ) -> Link {
-        let listener = Listener {
+        let watcher = Watcher {
             worker,
             address: address.clone(),
-            beat,
+            heartbeat,
             planner,
         };
         Link {
             address,
-            task: tokio::spawn(listener.run()),
+            task: tokio::spawn(watcher.run()),
         }
     }
 }
 
-struct Listener {
+struct Watcher {
     worker: WorkerId,
     address: String,
-    beat: watch::Receiver<Beat>,
+    heartbeat: watch::Receiver<Heartbeat>,
     planner: ActorRef<Message>,
 }
 
-impl Listener {
+impl Watcher {
     async fn run(self) {
         loop {
             if let Ok(client) = link::connect(&self.address).await {
                 self.listen(&client).await;
             }
-            if self.tell(News::Down).is_err() {
+            if self.send(Update::Unreachable).is_err() {
                 return;
             }
-            let most = RECONNECT.as_millis() as u64;
-            let wait = fastrand::u64(most / 4..=most);
+            let longest = MAX_RECONNECT_WAIT.as_millis() as u64;
+            let wait = fastrand::u64(longest / 4..=longest);
             tokio::time::sleep(Duration::from_millis(wait)).await;
         }
     }
@@ -117,34 +117,34 @@
     async fn listen(&self, client: &Arc<WsClient>) {
         let mut since = 0;
         loop {
-            let beat = *self.beat.borrow();
+            let heartbeat = *self.heartbeat.borrow();
             let watch = Watch {
-                fence: beat.fence,
+                fence: heartbeat.fence,
                 since,
-                within_ms: beat.heartbeat.as_millis() as u64,
+                within_ms: heartbeat.interval.as_millis() as u64,
             };
-            let limit = beat.heartbeat + link::CALL;
+            let timeout = heartbeat.interval + link::CALL;
             let call = client.watch(watch);
-            let answer = link::within(&self.address, limit, call).await;
-            let news = match answer {
+            let answer = link::within(&self.address, timeout, call).await;
+            let update = match answer {
                 Ok(Ok(changes)) => {
                     let whole = since == 0;
                     since = changes.sequence;
-                    News::Changes { changes, whole }
+                    Update::Changes { changes, whole }
                 }
-                Ok(Err(Refusal::Epoch { .. })) => News::Fenced,
+                Ok(Err(Refusal::Epoch { .. })) => Update::Fenced,
                 Ok(Err(_)) | Err(_) => return,
             };
-            if self.tell(news).is_err() {
+            if self.send(update).is_err() {
                 return;
             }
         }
     }
 
-    fn tell(&self, news: News) -> Result<(), ()> {
+    fn send(&self, update: Update) -> Result<(), ()> {
         let worker = self.worker.clone();
         self.planner
-            .cast(Message::Link(worker, news))
+            .cast(Message::Agent(worker, update))
             .map_err(|_| ())
     }
 }
--- a/src/planner/mod.rs
+++ b/src/planner/mod.rs
@@ -7,7 +7,7 @@
 //! [`takeover`] finds out what goes on before anything is decided.
 
 pub mod actor;
-pub mod books;
+pub mod jobs;
 pub mod launch;
 pub mod links;
 pub mod takeover;
--- a/src/planner/takeover.rs
+++ b/src/planner/takeover.rs
@@ -17,7 +17,7 @@
 use crate::wire::gang::Gang;
 
 /// The wait between two tries to read records.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_WAIT: Duration = Duration::from_millis(500);
 
 /// Records as they were read, and at which revision.
 #[derive(Debug, Default)]
@@ -35,7 +35,7 @@
         if let Ok(records) = try_read(store, since).await {
             return records;
         }
-        let most = RETRY.as_millis() as u64;
+        let most = RETRY_WAIT.as_millis() as u64;
         let wait = Duration::from_millis(fastrand::u64(most / 2..=most * 2));
         tokio::time::sleep(wait).await;
     }
@@ -60,39 +60,42 @@
 
 /// A gang put together from its members' ledgers.
 #[derive(Clone, Debug)]
-pub struct Found {
+pub struct GangEvidence {
     /// The gang.
     pub gang: Gang,
     /// Whether any member has begun, or had.
     pub begun: bool,
     /// How long ago the first one did.
-    pub ago: Duration,
+    pub begun_ago: Duration,
     /// Whether the lead's ledger was read.
     pub lead_read: bool,
 }
 
 /// Puts the gangs of all ledgers together.
-pub fn gangs<'a>(
+pub fn collect_gangs<'a>(
     entries: impl Iterator<Item = (&'a WorkerId, &'a Entry)>,
-) -> BTreeMap<gang::Id, Found> {
-    let mut gangs: BTreeMap<gang::Id, Found> = BTreeMap::new();
+) -> BTreeMap<gang::Id, GangEvidence> {
+    let mut gangs: BTreeMap<gang::Id, GangEvidence> = BTreeMap::new();
     for (worker, entry) in entries {
-        let found =
-            gangs.entry(entry.gang.id.clone()).or_insert_with(|| Found {
-                gang: entry.gang.clone(),
-                begun: false,
-                ago: Duration::ZERO,
-                lead_read: false,
+        let evidence =
+            gangs.entry(entry.gang.id.clone()).or_insert_with(|| {
+                GangEvidence {
+                    gang: entry.gang.clone(),
+                    begun: false,
+                    begun_ago: Duration::ZERO,
+                    lead_read: false,
+                }
             });
-        found.lead_read |= entry.gang.lead().worker == *worker;
+        evidence.lead_read |= entry.gang.lead().worker == *worker;
         match &entry.stage {
             Stage::Held => {}
             Stage::Begun { ago_ms } => {
-                found.begun = true;
-                found.ago = found.ago.max(Duration::from_millis(*ago_ms));
+                evidence.begun = true;
+                evidence.begun_ago =
+                    evidence.begun_ago.max(Duration::from_millis(*ago_ms));
             }
             Stage::Ended(end) => {
-                found.begun |= end.ending != Ending::NotBegun;
+                evidence.begun |= end.ending != Ending::NotBegun;
             }
         }
     }
@@ -101,20 +104,20 @@
 
 /// What is to be done about a record that has not ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Standing {
+pub enum Resolution {
     /// It runs, or did: this gang is the one.
-    Runs(gang::Id),
+    Adopt(gang::Id),
     /// Nothing of it has ever run, or it may run again.
-    Waits,
+    Queue,
     /// A start may have been decided, and a member's ledger is not read.
-    Open,
+    Defer,
     /// A start may have been decided, and nobody knows of it.
-    Unknown,
+    GiveUp,
 }
 
 /// An agent as a takeover finds it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Witness {
+pub enum Ledger {
     /// Its ledger was read, in this life of its process. It has seen the
     /// epoch of this planner, so no earlier one is obeyed any more.
     Read(Incarnation),
@@ -126,47 +129,50 @@
 
 /// Returns what is to be done about a record, given the gangs found and
 /// what became of each worker's agent.
-pub fn standing(
+pub fn resolve(
     record: &Record,
-    gangs: &BTreeMap<gang::Id, Found>,
-    witness: impl Fn(&WorkerId) -> Witness,
-) -> Standing {
+    gangs: &BTreeMap<gang::Id, GangEvidence>,
+    ledger: impl Fn(&WorkerId) -> Ledger,
+) -> Resolution {
     let last = gangs
         .iter()
-        .filter(|(id, found)| id.job == record.spec.id && found.begun)
+        .filter(|(id, evidence)| id.job == record.spec.id && evidence.begun)
         .map(|(id, _)| id)
         .max_by_key(|id| (id.epoch, id.attempt));
     if let Some(id) = last {
-        return Standing::Runs(id.clone());
+        return Resolution::Adopt(id.clone());
     }
     let Some(mark) = &record.mark else {
-        return Standing::Waits;
+        return Resolution::Queue;
     };
-    let witnesses: Vec<Witness> =
-        mark.members.iter().map(|m| witness(&m.worker)).collect();
-    let same_lives = witnesses.len() == mark.incarnations.len()
-        && witnesses
+    let ledgers: Vec<Ledger> =
+        mark.members.iter().map(|m| ledger(&m.worker)).collect();
+    let same_incarnations = ledgers.len() == mark.incarnations.len()
+        && ledgers
             .iter()
             .zip(&mark.incarnations)
-            .all(|(witness, then)| *witness == Witness::Read(then.clone()));
-    match witnesses.contains(&Witness::Unread) {
-        true => Standing::Open,
+            .all(|(ledger, then)| *ledger == Ledger::Read(then.clone()));
+    match ledgers.contains(&Ledger::Unread) {
+        true => Resolution::Defer,
         // Every member's agent remembers, and none has begun it.
-        false if same_lives => Standing::Waits,
-        false => Standing::Unknown,
+        false if same_incarnations => Resolution::Queue,
+        false => Resolution::GiveUp,
     }
 }
 
 /// Returns the jobs that gangs without a record belong to.
 pub fn unrecorded(
-    gangs: &BTreeMap<gang::Id, Found>,
+    gangs: &BTreeMap<gang::Id, GangEvidence>,
     records: &BTreeSet<job::Id>,
 ) -> Vec<Gang> {
-    let mut latest: BTreeMap<&job::Id, &Found> = BTreeMap::new();
-    for (id, found) in gangs {
-        if found.begun && !records.contains(&id.job) {
-            latest.insert(&id.job, found);
+    let mut latest: BTreeMap<&job::Id, &GangEvidence> = BTreeMap::new();
+    for (id, evidence) in gangs {
+        if evidence.begun && !records.contains(&id.job) {
+            latest.insert(&id.job, evidence);
         }
     }
-    latest.values().map(|found| found.gang.clone()).collect()
+    latest
+        .values()
+        .map(|evidence| evidence.gang.clone())
+        .collect()
 }
--- a/src/planner/view.rs
+++ b/src/planner/view.rs
@@ -46,18 +46,19 @@
 pub fn fragmentation(plan: &Plan) -> f64 {
     let state = plan.state();
     let whole = state.site.accelerators();
-    let frees =
+    let free_counts =
         || (0..state.workers.len()).map(|w| state.free(w).count_ones());
-    let free: u32 = frees().sum();
-    let wholes: u32 = frees().filter(|free| *free == whole).sum();
+    let free: u32 = free_counts().sum();
+    let in_whole_workers: u32 =
+        free_counts().filter(|free| *free == whole).sum();
     match free {
         0 => 0.0,
-        free => f64::from(free - wholes) / f64::from(free),
+        free => f64::from(free - in_whole_workers) / f64::from(free),
     }
 }
 
 /// Shows the state of the cell as metrics.
-pub fn measure(plan: &Plan, revision: Revision) {
+pub fn record_metrics(plan: &Plan, revision: Revision) {
     let state = plan.state();
     let metrics = metrics::get();
     let waiting = state.waiting.len() + state.booked.len();
--- a/src/planner/writer.rs
+++ b/src/planner/writer.rs
@@ -20,13 +20,13 @@
 use crate::wire::Epoch;
 
 /// How many records one transaction writes at most.
-const BATCH: usize = 64;
+const MAX_BATCH_RECORDS: usize = 64;
 /// How many bytes one transaction writes at most.
-const BATCH_BYTES: usize = 700 * 1024;
+const MAX_BATCH_BYTES: usize = 700 * 1024;
 /// The least time between two transactions: ten a second at most.
-const SPACING: Duration = Duration::from_millis(100);
+const BATCH_INTERVAL: Duration = Duration::from_millis(100);
 /// The longest wait after a transaction that failed.
-const RETRY: Duration = Duration::from_secs(2);
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(2);
 
 /// A record to be written.
 #[derive(Clone, Debug)]
@@ -38,12 +38,12 @@
     /// Whether it must not be there yet.
     pub create: bool,
     /// What the planner is told once it is written.
-    pub then: Option<Done>,
+    pub completion: Option<Completion>,
 }
 
 /// What a write that is done means.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Done {
+pub enum Completion {
     /// A job has been accepted.
     Created(crate::job::Id),
     /// A job's end may be told to its callers.
@@ -54,7 +54,7 @@
 
 /// A writer; it ends when dropped.
 pub struct Writer {
-    to: mpsc::UnboundedSender<Write>,
+    sender: mpsc::UnboundedSender<Write>,
     task: JoinHandle<()>,
 }
 
@@ -72,24 +72,24 @@
         epoch: Epoch,
         planner: ActorRef<Message>,
     ) -> Writer {
-        let (to, from) = mpsc::unbounded_channel();
-        let run = Run {
+        let (sender, receiver) = mpsc::unbounded_channel();
+        let writer_task = WriterTask {
             store,
             claim,
             epoch,
             planner,
-            from,
+            receiver,
             pending: BTreeMap::new(),
         };
         Writer {
-            to,
-            task: tokio::spawn(run.run()),
+            sender,
+            task: tokio::spawn(writer_task.run()),
         }
     }
 
     /// Has a record written; a later write of it goes before an earlier.
     pub fn put(&self, write: Write) {
-        let _ = self.to.send(write);
+        let _ = self.sender.send(write);
     }
 }
 
@@ -97,41 +97,41 @@
 struct Pending {
     value: Vec<u8>,
     create: bool,
-    then: Vec<Done>,
+    completions: Vec<Completion>,
 }
 
 type Batch = Vec<(String, Pending)>;
 
-struct Run {
+struct WriterTask {
     store: store::Client,
     claim: String,
     epoch: Epoch,
     planner: ActorRef<Message>,
-    from: mpsc::UnboundedReceiver<Write>,
+    receiver: mpsc::UnboundedReceiver<Write>,
     pending: BTreeMap<String, Pending>,
 }
 
-impl Run {
+impl WriterTask {
     async fn run(mut self) {
-        while let Some(write) = self.from.recv().await {
-            self.take(write);
+        while let Some(write) = self.receiver.recv().await {
+            self.add(write);
             while !self.pending.is_empty() {
-                while let Ok(write) = self.from.try_recv() {
-                    self.take(write);
+                while let Ok(write) = self.receiver.try_recv() {
+                    self.add(write);
                 }
                 self.flush().await;
             }
         }
     }
 
-    fn take(&mut self, write: Write) {
+    fn add(&mut self, write: Write) {
         let pending = self.pending.entry(write.key).or_insert(Pending {
             value: Vec::new(),
             create: write.create,
-            then: Vec::new(),
+            completions: Vec::new(),
         });
         pending.value = write.value;
-        pending.then.extend(write.then);
+        pending.completions.extend(write.completion);
     }
 
     /// Writes one batch, or tells why it could not, and waits as it must.
@@ -139,22 +139,22 @@
         let batch = self.batch();
         match self.write(&batch).await {
             Ok(Swap::Written(_)) => {
-                self.done(batch);
-                tokio::time::sleep(SPACING).await;
+                self.complete(batch);
+                tokio::time::sleep(BATCH_INTERVAL).await;
             }
-            Ok(Swap::Refused(items)) if self.is_held(&items) => {
-                self.one_by_one(batch).await;
+            Ok(Swap::Refused(items)) if self.holds_claim(&items) => {
+                self.write_separately(batch).await;
             }
             Ok(Swap::Refused(_)) => {
                 // Another has claimed the cell, or nobody has yet: either
                 // way this planner may write nothing more.
-                let _ = self.planner.cast(Message::Deposed);
-                tokio::time::sleep(RETRY).await;
+                let _ = self.planner.cast(Message::ClaimLost);
+                tokio::time::sleep(MAX_RETRY_WAIT).await;
             }
             Err(error) => {
                 let _ = self.planner.cast(Message::StoreFailed);
-                let may_be_there = matches!(error, store::Error::Lost(_));
-                self.wait_to_retry(&batch, may_be_there).await;
+                let may_be_written = matches!(error, store::Error::Lost(_));
+                self.wait_to_retry(&batch, may_be_written).await;
             }
         }
     }
@@ -164,25 +164,25 @@
         let fits = |pending: &Pending| {
             let first = bytes == 0;
             bytes += pending.value.len();
-            first || bytes <= BATCH_BYTES
+            first || bytes <= MAX_BATCH_BYTES
         };
         let mut fits = fits;
         self.pending
             .iter()
-            .take(BATCH)
+            .take(MAX_BATCH_RECORDS)
             .take_while(|(_, pending)| fits(pending))
             .map(|(key, pending)| (key.clone(), pending.clone()))
             .collect()
     }
 
     async fn write(&self, batch: &Batch) -> Result<Swap, store::Error> {
-        let held = Compare::Created(self.claim.clone(), self.epoch);
+        let claim_held = Compare::Created(self.claim.clone(), self.epoch);
         let absent = batch
             .iter()
             .filter(|(_, pending)| pending.create)
             .map(|(key, _)| Compare::Created(key.clone(), 0));
         let conditions: Vec<Compare> =
-            std::iter::once(held).chain(absent).collect();
+            std::iter::once(claim_held).chain(absent).collect();
         let puts = batch
             .iter()
             .map(|(key, pending)| {
@@ -192,20 +192,20 @@
         self.store.swap(&conditions, puts).await
     }
 
-    fn is_held(&self, items: &[store::Item]) -> bool {
+    fn holds_claim(&self, items: &[store::Item]) -> bool {
         items
             .iter()
             .any(|item| item.key == self.claim && item.created == self.epoch)
     }
 
     /// Writes each of a batch by itself: a record was there already.
-    async fn one_by_one(&mut self, batch: Batch) {
+    async fn write_separately(&mut self, batch: Batch) {
         for one in batch {
             let single = vec![one];
             match self.write(&single).await {
-                Ok(Swap::Written(_)) => self.done(single),
-                Ok(Swap::Refused(items)) if self.is_held(&items) => {
-                    self.exists(&single[0].0, &items);
+                Ok(Swap::Written(_)) => self.complete(single),
+                Ok(Swap::Refused(items)) if self.holds_claim(&items) => {
+                    self.report_existing(&single[0].0, &items);
                 }
                 // The next flush meets it again.
                 Ok(Swap::Refused(_)) | Err(_) => return,
@@ -213,7 +213,7 @@
         }
     }
 
-    fn done(&mut self, batch: Batch) {
+    fn complete(&mut self, batch: Batch) {
         for (key, written) in &batch {
             let newer = self
                 .pending
@@ -230,28 +230,29 @@
                 }
             }
         }
-        let done = batch.into_iter().flat_map(|(_, p)| p.then).collect();
-        let _ = self.planner.cast(Message::Written(done));
+        let done =
+            batch.into_iter().flat_map(|(_, p)| p.completions).collect();
+        let _ = self.planner.cast(Message::RecordsWritten(done));
     }
 
-    fn exists(&mut self, key: &str, items: &[store::Item]) {
+    fn report_existing(&mut self, key: &str, items: &[store::Item]) {
         self.pending.remove(key);
         let record = items
             .iter()
             .find(|item| item.key == key)
             .and_then(|item| Record::parse(&item.value));
         if let Some(record) = record {
-            let _ = self.planner.cast(Message::Exists(Box::new(record)));
+            let _ = self.planner.cast(Message::RecordExists(Box::new(record)));
         }
     }
 
     /// Waits, and finds out which creations took effect though their answer
     /// was lost, so that they are not taken for somebody else's.
-    async fn wait_to_retry(&mut self, batch: &Batch, may_be_there: bool) {
-        let most = RETRY.as_millis() as u64;
-        let wait = fastrand::u64(most / 8..=most / 2);
+    async fn wait_to_retry(&mut self, batch: &Batch, may_be_written: bool) {
+        let longest = MAX_RETRY_WAIT.as_millis() as u64;
+        let wait = fastrand::u64(longest / 8..=longest / 2);
         tokio::time::sleep(Duration::from_millis(wait)).await;
-        let created = batch.iter().filter(|(_, p)| p.create && may_be_there);
+        let created = batch.iter().filter(|(_, p)| p.create && may_be_written);
         for (key, ours) in created {
             if let Ok(Some(item)) = self.store.get(key).await {
                 if item.value == ours.value {
