--- a/src/plan/admit.rs
+++ b/src/plan/admit.rs
@@ -1,4 +1,4 @@
-//! Refusing at once what could never run.
+//! Rejects jobs that could never run.
 
 use crate::job;
 use crate::plan::place;
@@ -7,7 +7,8 @@
 use crate::site::Shape;
 use crate::site::WorkerIndex;
 
-/// Returns why no healthy site could ever hold the job, if none could.
+/// Returns why the job could never run, even on an empty site in full health,
+/// or `None` if it could.
 pub fn unplaceable_reason(state: &State, spec: &job::Spec) -> Option<String> {
     let Some(account_state) = state.accounts.get(&spec.account) else {
         return Some(format!("account: {:?} is not known", spec.account));
@@ -36,7 +37,8 @@
     if !spec.reclaimable() && !fits(&|w| state.nominal_unguaranteed[w]) {
         return Some(format!(
             "accelerators: {shape} may not repeat, is in no guaranteed \
-             shape of the account, and too large for unguaranteed room"
+             shape of the account, and is too large for the accelerators \
+             that no guarantee needs"
         ));
     }
     None
--- a/src/plan/block.rs
+++ b/src/plan/block.rs
@@ -1,6 +1,7 @@
-//! Moving home blocks: onto what their owner uses, and out of the way.
+//! Moves home blocks: onto the accelerators that their owner uses, and away
+//! from accelerators that others need.
 //!
-//! Every move is made as a whole or not at all.
+//! A move is made completely or not at all.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,13 +22,13 @@
 use crate::site::Shape;
 use crate::site::WorkerIndex;
 
-/// Where all blocks are, to go back to.
+/// The positions of all home blocks, for rollback.
 pub(super) struct Snapshot {
     homes: Vec<Home>,
     masks: Vec<Mask>,
 }
 
-/// What counts towards which block, to go back to.
+/// The positions of all home blocks and what is charged to them, for rollback.
 pub(super) struct UsageSnapshot {
     snapshot: Snapshot,
     borrowed: Vec<(account::Id, u32)>,
@@ -35,7 +36,7 @@
     guaranteed: BTreeMap<account::Id, BTreeSet<job::Id>>,
 }
 
-/// Returns pieces with those of one worker put together.
+/// Returns `pieces` with one piece per worker.
 fn merged<'a>(pieces: impl Iterator<Item = &'a Piece>) -> Vec<Piece> {
     let mut masks: BTreeMap<WorkerIndex, Mask> = BTreeMap::new();
     for piece in pieces {
@@ -48,7 +49,8 @@
 }
 
 impl State {
-    /// Returns a place for a block that covers what its owner uses of it.
+    /// Returns accelerators for a block that include all that is charged to
+    /// it, or `None` if there are none.
     pub(super) fn find_place(&self, index: HomeIndex) -> Option<Vec<Piece>> {
         let home = &self.homes[index];
         let open = |index: WorkerIndex| {
@@ -65,10 +67,12 @@
                     place::find(&self.site, home.shape, spread, open)
                 });
         };
-        // A job about to take another's place is counted beside it.
+        // The booking of a job that displaces another overlaps the other's run
+        // while both are charged, so their pieces are merged.
         let used = merged(home.used.iter());
         let within = home.shape.within;
-        // What is about to be displaced may still count towards another.
+        // Accelerators of a run that is about to be displaced may still be
+        // charged to another block.
         let contested =
             |piece: &Piece| self.workers[piece.worker].home & piece.mask != 0;
         if used.iter().any(contested) {
@@ -84,21 +88,22 @@
                 .checked_sub(accelerator_count(&used))?,
             within,
         };
-        let rest = |w: WorkerIndex| open(w) & !mask_on(&used, w);
+        let remaining = |w: WorkerIndex| open(w) & !mask_on(&used, w);
         let domain = self
             .site
             .domains(within)
             .find(|domain| domain.contains(&first.worker))?;
         let spread = Spread::Remainders;
-        let more = place::gather(&self.site, domain, missing, spread, &rest)?;
-        Some(merged(used.iter().chain(&more)))
+        let added =
+            place::gather(&self.site, domain, missing, spread, &remaining)?;
+        Some(merged(used.iter().chain(&added)))
     }
 
-    /// Counts `pieces`, which the owner is about to use, towards a block,
-    /// and moves it and all blocks in the way. Changes nothing and returns
-    /// false if one would have no place.
+    /// Moves a block over `pieces`, which its owner is about to use, and moves
+    /// all other blocks off them. Returns whether every block has a place; if
+    /// one would have none, nothing changes.
     pub fn cover(&mut self, index: HomeIndex, pieces: &[Piece]) -> bool {
-        // A block on a worker that takes no work would be no promise.
+        // A block on a worker that takes no new work could not be handed out.
         if !pieces.iter().all(|p| self.workers[p.worker].is_open()) {
             return false;
         }
@@ -114,9 +119,9 @@
         placed
     }
 
-    /// Moves all blocks off `pieces`, which somebody is about to use who
-    /// cannot be stopped. Changes nothing and returns false if one would
-    /// have no place.
+    /// Moves all blocks off `pieces`, which a job that cannot be stopped is
+    /// about to use. Returns whether every block has a place; if one would
+    /// have none, nothing changes.
     pub fn move_blocks_off(&mut self, pieces: &[Piece]) -> bool {
         let before = self.snapshot();
         let moved = self.clear_overlapping(pieces);
@@ -138,9 +143,10 @@
         placed
     }
 
-    /// Empties a block of its owner's jobs, so that one that needs all of
-    /// it can have it: they count towards other shapes, or as borrowers.
-    /// Changes nothing and returns false if one can be neither.
+    /// Releases a block from its owner's jobs, so that a job that needs all of
+    /// it can use it. The jobs are charged to other blocks of the account or
+    /// count as borrowers. If one can do neither, nothing changes and `false`
+    /// is returned.
     pub fn vacate_home(&mut self, index: HomeIndex) -> bool {
         let before = self.usage_snapshot();
         let runs = self.job_ids(|job| {
@@ -150,9 +156,9 @@
             let booking = job.booking.as_ref();
             booking.is_some_and(|booking| booking.home == Some(index))
         });
-        let gone = booked.is_empty()
+        let all_recharged = booked.is_empty()
             && runs.iter().all(|id| self.charge_elsewhere(id, index));
-        let placed = gone && {
+        let placed = all_recharged && {
             self.clear_place(index);
             self.place_home(index)
         };
@@ -174,10 +180,10 @@
             return false;
         };
         let mut others: Vec<HomeIndex> = (0..self.homes.len())
-            .filter(|&at| at != from && self.has_room(at, &job))
+            .filter(|&other| other != from && self.has_room(other, &job))
             .collect();
-        others.sort_by_key(|&at| self.homes[at].shape.accelerators);
-        // The job must not count twice while its new block is sought.
+        others.sort_by_key(|&index| self.homes[index].shape.accelerators);
+        // The job must not be charged twice while a new block is sought.
         self.set_home(id, None);
         for other in others {
             if self.cover(other, &run.pieces) {
@@ -189,7 +195,8 @@
         account_state.borrowed <= account_state.terms.borrow
     }
 
-    /// Returns whether a block of the job's account has room for it.
+    /// Returns whether the block belongs to the job's account and has enough
+    /// uncharged accelerators for the job.
     pub fn has_room(&self, index: HomeIndex, job: &Job) -> bool {
         let home = &self.homes[index];
         let used: u32 = home.used.iter().map(Piece::len).sum();
@@ -204,11 +211,11 @@
         pieces: &[Piece],
     ) -> Vec<HomeIndex> {
         let overlaps = |home: &Home| {
-            let hit = |p: &Piece| mask_on(&home.pieces, p.worker) & p.mask;
-            pieces.iter().any(|piece| hit(piece) != 0)
+            let overlap = |p: &Piece| mask_on(&home.pieces, p.worker) & p.mask;
+            pieces.iter().any(|piece| overlap(piece) != 0)
         };
         let cleared: Vec<HomeIndex> = (0..self.homes.len())
-            .filter(|&at| overlaps(&self.homes[at]))
+            .filter(|&index| overlaps(&self.homes[index]))
             .collect();
         for index in &cleared {
             self.clear_place(*index);
@@ -217,11 +224,13 @@
     }
 
     pub(super) fn place_listed(&mut self, indices: &[HomeIndex]) -> bool {
-        let shapes: Vec<Shape> =
-            indices.iter().map(|&at| self.homes[at].shape).collect();
+        let shapes: Vec<Shape> = indices
+            .iter()
+            .map(|&index| self.homes[index].shape)
+            .collect();
         largest_first(&shapes)
             .into_iter()
-            .all(|at| self.place_home(indices[at]))
+            .all(|index| self.place_home(indices[index]))
     }
 
     pub(super) fn snapshot(&self) -> Snapshot {
--- a/src/plan/command.rs
+++ b/src/plan/command.rs
@@ -1,11 +1,11 @@
-//! What the decision core wants done.
+//! Commands of the decision core.
 
 use crate::job;
 use crate::job::Outcome;
 use crate::site::Piece;
 use crate::site::WorkerId;
 
-/// Something to do.
+/// A command that the planner carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Start a job on all its pieces or on none.
@@ -14,51 +14,53 @@
         job: job::Id,
         /// The number of this start.
         attempt: job::Attempt,
-        /// The accelerators.
+        /// The accelerators to start on.
         pieces: Vec<Piece>,
     },
-    /// Stop all members of a job, after a checkpoint if it can.
+    /// Stop all members of a job, after a checkpoint where the job supports
+    /// one.
     Stop {
         /// The job.
         job: job::Id,
-        /// The start to be stopped.
+        /// The start to stop.
         attempt: job::Attempt,
-        /// Why.
+        /// Why the job is stopped.
         reason: Reason,
     },
-    /// A job has ended; this is its answer.
+    /// A job has ended; its caller can be answered.
     Finish {
         /// The job.
         job: job::Id,
-        /// How it ended.
+        /// How the job ended.
         outcome: Outcome,
-        /// Why, in words for its caller.
+        /// Why the job ended so, in words for its caller.
         reason: String,
     },
-    /// A worker gets no work until it has proved itself again.
+    /// A worker gets no work until a probe has run well on it.
     Quarantine {
         /// The worker.
         worker: WorkerId,
     },
-    /// A worker has proved itself again.
+    /// A worker is back in service.
     Restore {
         /// The worker.
         worker: WorkerId,
     },
 }
 
-/// Why a job is stopped.
+/// Why a job is stopped. The variant's name is a metric label.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// Its accelerators are owed to somebody else.
+    /// The job's accelerators are owed to another job.
     Reclaim,
-    /// It moves, so that a larger block becomes whole.
+    /// The job moves, so that a larger block of free accelerators becomes
+    /// whole.
     Compact,
-    /// Its caller cancelled it.
+    /// The job's caller cancelled it.
     Cancel,
-    /// A member of its gang is lost or failed.
+    /// A member of the job's gang was lost or failed.
     Broken,
 }
--- a/src/plan/compact.rs
+++ b/src/plan/compact.rs
@@ -1,4 +1,4 @@
-//! Moving small jobs together, so that whole workers become free.
+//! Moves small jobs together, so that whole workers become free.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -25,16 +25,16 @@
 use crate::site::Within;
 use crate::site::WorkerIndex;
 
-/// How long a job must still run, at least, for a move to pay. It is
-/// divided by the weight of fragmentation.
+/// The shortest remaining run time for which a move pays, divided by the
+/// weight of fragmentation.
 const MIN_TIME_LEFT: Duration = Duration::from_secs(10);
-/// How long a job stays where it is after a start.
+/// How long a job has to run after a start before it may be moved.
 const MIN_RUN_TIME: Duration = Duration::from_secs(15);
-/// How many moves may be under way at once.
+/// How many moves may be in progress at once.
 const MAX_CONCURRENT_MOVES: usize = 4;
 
-/// Empties one worker into the free remainders of others, if that makes a
-/// whole worker free that need not be in use.
+/// Moves all jobs of one worker to free remainders of others, if fewer workers
+/// are entirely free than the free accelerators could make up.
 pub fn run(
     state: &mut State,
     policy: &Policy,
@@ -60,10 +60,10 @@
 
 fn is_fragmented(state: &State) -> bool {
     let whole = state.site.accelerators();
-    let frees = || (0..state.workers.len()).map(|w| state.free(w));
-    let free: u32 = frees().map(Mask::count_ones).sum();
-    let wholes = frees().filter(|f| f.count_ones() == whole).count();
-    (wholes as u32) < free / whole
+    let free_masks = || (0..state.workers.len()).map(|w| state.free(w));
+    let free: u32 = free_masks().map(Mask::count_ones).sum();
+    let whole_count = free_masks().filter(|f| f.count_ones() == whole).count();
+    (whole_count as u32) < free / whole
 }
 
 fn active_moves(state: &State) -> usize {
@@ -75,7 +75,7 @@
         .count()
 }
 
-/// Returns the workers in part use, the least used first.
+/// Returns the partly used workers without bookings, the least used first.
 fn sources(state: &State) -> Vec<WorkerIndex> {
     let mut sources: Vec<(u32, WorkerIndex)> = (0..state.workers.len())
         .filter(|&w| {
@@ -89,7 +89,8 @@
     sources.into_iter().map(|(_, w)| w).collect()
 }
 
-/// Returns where each job of `source` can go, if all can go.
+/// Returns a destination for each job of `source`, or `None` if one cannot
+/// move.
 fn moves(
     state: &State,
     source: WorkerIndex,
@@ -113,7 +114,7 @@
     Some(moves)
 }
 
-/// A job and where it goes.
+/// A job and its destination.
 #[derive(Clone, Debug)]
 struct Move {
     id: job::Id,
@@ -127,8 +128,8 @@
     }
 }
 
-/// Makes room for a job that waits, by moving others into free remainders
-/// elsewhere. Returns whether it did; the job is booked then.
+/// Makes room for a waiting job by moving others to free remainders elsewhere.
+/// Returns whether room was found; the job is then booked.
 pub fn make_room(
     state: &mut State,
     policy: &Policy,
@@ -157,8 +158,8 @@
         home: None,
         pending,
     };
-    // Booked before anything moves: a block that moves along must not come
-    // to lie where this job cannot be stopped.
+    // The booking comes before the moves: otherwise a home block that moves
+    // along could be placed where this job cannot be stopped.
     state.book(&job.spec.id, booking);
     for step in &room.moves {
         start_move(state, step, commands);
@@ -166,7 +167,7 @@
     true
 }
 
-/// Accelerators for a job, and who has to move away first.
+/// Accelerators for a job, and the moves that free them.
 struct Room {
     pieces: Vec<Piece>,
     moves: Vec<Move>,
@@ -218,7 +219,8 @@
                 .all(|piece| piece.mask & !region(state, piece.worker) == 0)
         })
         .collect();
-    // The smallest that is enough goes, else the largest: few moves.
+    // To keep moves few, the smallest sufficient job is moved, or the largest
+    // if none suffices.
     jobs.sort_by_key(|job| Reverse(job.spec.shape.accelerators));
     let mut moves: Vec<Move> = Vec::new();
     let mut freed: Vec<Piece> = Vec::new();
@@ -230,7 +232,7 @@
             _ if jobs.is_empty() || moves.len() >= MAX_CONCURRENT_MOVES => {
                 return None
             }
-            Some(at) => jobs.remove(at),
+            Some(index) => jobs.remove(index),
             None => jobs.remove(0),
         };
         let Some(to) = destination(state, domain, job, &moves, false) else {
@@ -263,8 +265,8 @@
         && may_leave_home(state, job)
 }
 
-/// Returns the tightest remainder outside `sources` that holds the job, on
-/// a worker in use unless `anywhere`.
+/// Returns the tightest free remainder outside `sources` that holds the job,
+/// on a worker in use unless `anywhere`.
 fn destination(
     state: &State,
     sources: &[WorkerIndex],
@@ -288,8 +290,8 @@
     Some(Piece { worker, mask })
 }
 
-/// Returns whether a job that counts towards a shape may become a borrower
-/// while it moves.
+/// Returns whether a job may run as a borrower while it moves; a job that is
+/// charged to no home block does so already.
 fn may_leave_home(state: &State, job: &Job) -> bool {
     let counts = job.run().is_some_and(|run| run.home.is_some());
     let may_borrow = state.accounts.get(&job.spec.account).is_some_and(|t| {
@@ -298,7 +300,7 @@
     may_borrow || !counts
 }
 
-/// Books the destination for the job itself, and tells it to stop.
+/// Books the destination for the job itself, and stops the job.
 fn start_move(state: &mut State, step: &Move, commands: &mut Vec<Command>) {
     let Move { id, to } = step;
     let home = state
--- a/src/plan/event.rs
+++ b/src/plan/event.rs
@@ -1,4 +1,4 @@
-//! What the decision core is told.
+//! Events that the decision core is given.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -9,19 +9,19 @@
 use crate::site::Piece;
 use crate::site::WorkerId;
 
-/// Something that happened.
+/// An event on the site.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A client account is new or has changed.
+    /// A client account was added or changed.
     AccountChanged {
-        /// Its name.
+        /// The account's name.
         account: account::Id,
-        /// What it now is.
+        /// The account's present guarantee and limits.
         terms: Account,
     },
-    /// A client account is no more; its jobs end as they would.
+    /// A client account was removed; its jobs run to their end.
     AccountRemoved {
-        /// Its name.
+        /// The account's name.
         account: account::Id,
     },
     /// A job was accepted.
@@ -29,52 +29,53 @@
         /// The job.
         spec: job::Spec,
     },
-    /// A caller takes its job back.
+    /// A caller cancelled its job.
     Cancelled {
         /// The job.
         job: job::Id,
     },
-    /// A worker is there and may be given work.
+    /// A worker is reachable and can be given work.
     WorkerUp {
-        /// Its name.
+        /// The worker's name.
         worker: WorkerId,
     },
-    /// A worker gets no new work; what runs there goes on.
+    /// A worker gets no new work; its jobs run on.
     WorkerLeaving {
-        /// Its name.
+        /// The worker's name.
         worker: WorkerId,
     },
-    /// A worker is lost with all that ran on it.
+    /// A worker was lost with all that ran on it.
     WorkerLost {
-        /// Its name.
+        /// The worker's name.
         worker: WorkerId,
     },
-    /// A worker cannot be reached: no new work, nothing is known lost.
+    /// A worker is unreachable: it gets no new work, but its jobs are not
+    /// known to be lost.
     WorkerSilent {
-        /// Its name.
+        /// The worker's name.
         worker: WorkerId,
     },
-    /// A job was found running, by a planner that took over.
+    /// A planner that took over found a job running.
     Adopted {
         /// The job.
         spec: job::Spec,
-        /// Its start.
+        /// The number of the job's start.
         attempt: job::Attempt,
-        /// What it runs on.
+        /// The accelerators that the job runs on.
         pieces: Vec<Piece>,
-        /// When it started.
+        /// When the job started.
         started: SystemTime,
     },
     /// A gang was not started, and no member ran.
     NotStarted {
         /// The job.
         job: job::Id,
-        /// The start that came to nothing.
+        /// The start that failed.
         attempt: job::Attempt,
-        /// The member that stood in the way, if one did.
+        /// The member that prevented the start, if one did.
         worker: Option<WorkerId>,
     },
-    /// Nobody can say whether a gang was started.
+    /// Whether a gang was started cannot be determined.
     StartUnknown {
         /// The job.
         job: job::Id,
@@ -85,7 +86,7 @@
     Completed {
         /// The job.
         job: job::Id,
-        /// The start that did it.
+        /// The start that ran to its end.
         attempt: job::Attempt,
     },
     /// A job's task failed; all members have been stopped or will be.
@@ -94,18 +95,18 @@
         job: job::Id,
         /// The start that failed.
         attempt: job::Attempt,
-        /// The worker that reported it.
+        /// The worker that reported the failure.
         worker: WorkerId,
     },
-    /// All members of a job have stopped, as they were told.
+    /// All members of a job have stopped, as requested.
     Stopped {
         /// The job.
         job: job::Id,
         /// The start that was stopped.
         attempt: job::Attempt,
-        /// How much of the run its checkpoint keeps.
+        /// How much of the run the job's checkpoint keeps.
         kept: Duration,
-        /// Whether it is proven that no member runs on.
+        /// Whether it is proven that no member runs any more.
         proven: bool,
     },
     /// Time has passed.
--- a/src/plan/health.rs
+++ b/src/plan/health.rs
@@ -1,60 +1,60 @@
-//! Telling a bad worker from a bad job.
+//! Distinguishes bad workers from bad jobs.
 //!
-//! A failure speaks against the worker when the job's template has run to
-//! its end before, and against the job when it has failed on several
-//! workers that others run well on. A worker under suspicion is
-//! quarantined, then offered one repeatable job at a time until a run
-//! lasts.
+//! A failure counts against the worker if the job's template has run to its
+//! end before, and against the job if it has failed on several workers on
+//! which others run well. A suspect worker is quarantined, then offered one
+//! repeatable job at a time until a run lasts.
 
 use std::time::Duration;
 use std::time::SystemTime;
 
 use crate::job;
 
-/// How long the first quarantine lasts.
+/// The length of the first quarantine; each directly after doubles it.
 const FIRST_QUARANTINE: Duration = Duration::from_secs(20);
-/// The longest that a quarantine lasts.
+/// The longest quarantine.
 const MAX_QUARANTINE: Duration = Duration::from_secs(15 * 60);
-/// How long a run must last to clear its worker.
+/// How long a probe must run to restore its worker.
 pub const MIN_PROBE_RUN: Duration = Duration::from_secs(30);
-/// On how many workers that others run well on a job may fail.
+/// The number of workers in service on which a job may fail; a failure on as
+/// many ends the job.
 pub const MAX_FAILED_WORKERS: usize = 4;
 
-/// What is thought of a worker.
+/// The health of a worker, as judged by its runs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Health {
-    /// Nothing speaks against it.
+    /// No failure counts against the worker.
     #[default]
     Good,
     /// One failure may have been the worker's.
     Suspect {
-        /// The job whose failure it was.
+        /// The job that failed.
         job: job::Id,
     },
-    /// It gets no work until the deadline, then one job to prove itself.
+    /// The worker gets no work until the deadline, then one job as a probe.
     Quarantined {
-        /// When it may be probed.
+        /// When a probe may start.
         until: SystemTime,
-        /// How many quarantines came right after each other.
+        /// How many quarantines directly preceded this one.
         round: u32,
-        /// The job that probes it.
+        /// The job that probes the worker.
         probe: Option<job::Id>,
     },
 }
 
 impl Health {
-    /// Returns whether any work may be placed here without a thought.
+    /// Returns whether the worker is not quarantined.
     pub fn is_in_service(&self) -> bool {
         !matches!(self, Health::Quarantined { .. })
     }
 
-    /// Returns whether a probe may be placed here now.
+    /// Returns whether a probe may start here now.
     pub fn is_probe_due(&self, now: SystemTime) -> bool {
         matches!(self, Health::Quarantined { until, probe: None, .. }
             if *until <= now)
     }
 
-    /// Returns when a probe may be placed here, if one is waited for.
+    /// Returns when a probe may start here, if none has started.
     pub fn probe_due_at(&self) -> Option<SystemTime> {
         match self {
             Health::Quarantined {
@@ -64,8 +64,9 @@
         }
     }
 
-    /// Takes in that `job` failed here; `proven` if its template runs well
-    /// elsewhere. Returns whether the worker has just gone out of service.
+    /// Records that `job` failed here; `proven` says that its template has run
+    /// to its end before. Returns whether the worker has just gone out of
+    /// service.
     pub fn record_failure(
         &mut self,
         job: &job::Id,
@@ -83,7 +84,7 @@
         was_good && !self.is_in_service()
     }
 
-    /// Takes in that a run here lasted. Returns whether the worker has just
+    /// Records that a run here lasted. Returns whether the worker has just
     /// come back into service.
     pub fn record_success(&mut self) -> bool {
         let was_good = self.is_in_service();
--- a/src/plan/home.rs
+++ b/src/plan/home.rs
@@ -1,15 +1,15 @@
-//! Home blocks: the concrete accelerators behind each guaranteed shape.
+//! Home blocks: the concrete accelerators that are reserved for each
+//! guaranteed shape.
 //!
-//! Home blocks are disjoint, and nobody but the owner runs a job there that
-//! cannot be stopped. So that every unused guaranteed shape can be had
-//! within the reclaim time, by all client accounts at once, is seen by
-//! looking at one block at a time.
+//! Home blocks are disjoint, and no job that cannot be stopped runs in one
+//! unless it belongs to the owner. Each block can therefore be checked by
+//! itself to show that all client accounts together can have their unused
+//! guaranteed shapes within the reclaim time.
 //!
-//! A block is a promise, not a place: it moves for free. A job that counts
-//! towards a shape may run anywhere that the shape's block can move to, and
-//! a job that cannot be stopped may borrow anywhere that all blocks in its
-//! way can move from. A move that leaves any block without a place is not
-//! made.
+//! Moving an unused block costs nothing. A job that is charged to a block may
+//! run anywhere that the block can move to, and a job that cannot be stopped
+//! may borrow anywhere that all blocks in its way can move away from. A move
+//! that leaves any block without a place is not made.
 
 use crate::account;
 use crate::job;
@@ -24,19 +24,21 @@
 use crate::site::Site;
 use crate::site::WorkerIndex;
 
-/// The position of a home block.
+/// The position of a home block in the state's list.
 pub type HomeIndex = usize;
 
-/// The accelerators behind one guaranteed shape.
+/// The accelerators reserved for one guaranteed shape.
 #[derive(Clone, Debug)]
 pub struct Home {
-    /// Its owner; `None` once the guarantee is gone.
+    /// The account that the block belongs to; `None` once the guarantee is
+    /// removed.
     pub owner: Option<account::Id>,
     /// The guaranteed shape.
     pub shape: Shape,
-    /// Where it is; empty while there is no place for it.
+    /// Where the block is; empty while there is no place for it.
     pub pieces: Vec<Piece>,
-    /// What the owner's jobs and bookings have of it.
+    /// The accelerators of the owner's jobs and bookings that are charged to
+    /// the block.
     pub used: Vec<Piece>,
 }
 
@@ -46,12 +48,14 @@
         !self.pieces.is_empty()
     }
 
-    /// Returns whether the owner uses any of it.
+    /// Returns whether any job or booking of the owner is charged to the
+    /// block.
     pub fn is_used(&self) -> bool {
         !self.used.is_empty()
     }
 
-    /// Returns the accelerators on `worker` that the owner does not use.
+    /// Returns the block's accelerators on `worker` that the owner does not
+    /// use.
     pub fn unused(&self, worker: WorkerIndex) -> Mask {
         mask_on(&self.pieces, worker) & !mask_on(&self.used, worker)
     }
@@ -63,16 +67,16 @@
         })
     }
 
-    /// Counts `pieces` as used by the owner.
+    /// Charges `pieces` to the block.
     pub fn charge(&mut self, pieces: &[Piece]) {
         self.used.extend_from_slice(pieces);
     }
 
-    /// Counts `pieces` as no longer used by the owner.
+    /// Removes `pieces` from what is charged to the block.
     pub fn discharge(&mut self, pieces: &[Piece]) {
         for piece in pieces {
-            if let Some(at) = self.used.iter().position(|x| x == piece) {
-                self.used.swap_remove(at);
+            if let Some(index) = self.used.iter().position(|x| x == piece) {
+                self.used.swap_remove(index);
             }
         }
     }
@@ -86,22 +90,22 @@
         .fold(0, |mask, piece| mask | piece.mask)
 }
 
-/// Returns places for `shapes` on an otherwise empty site in full health,
-/// in their order, `None` for each that does not fit.
+/// Returns places for `shapes` on an empty site in full health, in the order
+/// of `shapes`; `None` for each that does not fit.
 pub fn pack(site: &Site, shapes: &[Shape]) -> Vec<Option<Vec<Piece>>> {
     let mut open = vec![site.whole(); site.workers().len()];
     let mut places = vec![None; shapes.len()];
-    for at in largest_first(shapes) {
+    for index in largest_first(shapes) {
         let spread = Spread::Whole;
-        let found = place::find(site, shapes[at], spread, |w| open[w])
+        let found = place::find(site, shapes[index], spread, |w| open[w])
             .or_else(|| {
                 let spread = Spread::Remainders;
-                place::find(site, shapes[at], spread, |w| open[w])
+                place::find(site, shapes[index], spread, |w| open[w])
             });
         for piece in found.iter().flatten() {
             open[piece.worker] &= !piece.mask;
         }
-        places[at] = found;
+        places[index] = found;
     }
     places
 }
@@ -109,15 +113,16 @@
 /// Returns positions of `shapes`, the hardest to place first.
 pub(super) fn largest_first(shapes: &[Shape]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..shapes.len()).collect();
-    order.sort_by_key(|&at| {
-        let shape = shapes[at];
-        (std::cmp::Reverse(shape.accelerators), shape.within, at)
+    order.sort_by_key(|&index| {
+        let shape = shapes[index];
+        (std::cmp::Reverse(shape.accelerators), shape.within, index)
     });
     order
 }
 
 impl State {
-    /// Brings home blocks in line with the client accounts' guarantees.
+    /// Adds and removes home blocks so that they match the account's
+    /// guarantee.
     pub fn sync_homes(&mut self, account: &account::Id) {
         let wanted = match self.accounts.get(account) {
             Some(account_state) => account_state.terms.guarantee.clone(),
@@ -130,8 +135,8 @@
             }
             let shape = self.homes[index].shape;
             match missing.iter().position(|x| *x == shape) {
-                Some(at) => {
-                    missing.swap_remove(at);
+                Some(position) => {
+                    missing.swap_remove(position);
                 }
                 None => {
                     let demoted = self.unplace_home(index);
@@ -152,7 +157,8 @@
         self.update_nominal();
     }
 
-    /// Works out anew what no guarantee needs on the whole site in health.
+    /// Recomputes the accelerators that no guarantee needs on a site in full
+    /// health.
     pub fn update_nominal(&mut self) {
         let shapes: Vec<Shape> = self
             .homes
@@ -168,8 +174,8 @@
         }
     }
 
-    /// Gives every home block a place on workers that take work, as far as
-    /// there is one, and moves as few as it can.
+    /// Places every home block on workers that take work, as far as there is
+    /// room, and moves as few blocks as possible.
     pub fn place_homes(&mut self) {
         if !std::mem::take(&mut self.homes_dirty) {
             return;
@@ -177,11 +183,11 @@
         let mut demoted = Vec::new();
         for index in 0..self.homes.len() {
             let home = &self.homes[index];
-            let stands = home
+            let is_usable = home
                 .pieces
                 .iter()
                 .all(|piece| self.workers[piece.worker].is_open());
-            if !stands {
+            if !is_usable {
                 demoted.extend(self.unplace_home(index));
             }
         }
@@ -200,9 +206,9 @@
         })
     }
 
-    /// Moves every block that can move, if that finds places for more of
-    /// them. Jobs that count towards a block and can be stopped count as
-    /// borrowers then, and their shape is to be had elsewhere.
+    /// Moves every block that can move, if more of them then have a place.
+    /// Jobs charged to such a block that can be stopped become borrowers, and
+    /// their guaranteed shape is reserved elsewhere.
     fn repack(&mut self) -> Vec<job::Id> {
         let before = self.placed_count();
         let old = self.usage_snapshot();
@@ -226,7 +232,7 @@
         demoted
     }
 
-    /// Returns the jobs that count towards a block, if all can be stopped.
+    /// Returns the jobs charged to a block, if all can be stopped.
     fn stoppable_users(&self, index: HomeIndex) -> Option<Vec<job::Id>> {
         let booked = self.booked.iter().filter_map(|id| self.jobs.get(id));
         let has_booking = booked
@@ -252,10 +258,12 @@
 
     fn place_unplaced(&mut self) {
         let missing: Vec<HomeIndex> = self.unplaced().collect();
-        let shapes: Vec<Shape> =
-            missing.iter().map(|&at| self.homes[at].shape).collect();
-        for at in largest_first(&shapes) {
-            self.place_home(missing[at]);
+        let shapes: Vec<Shape> = missing
+            .iter()
+            .map(|&index| self.homes[index].shape)
+            .collect();
+        for index in largest_first(&shapes) {
+            self.place_home(missing[index]);
         }
     }
 
@@ -282,8 +290,8 @@
         }
     }
 
-    /// Takes a home block's place away; the owner's jobs that count towards
-    /// it become borrowers, and are returned.
+    /// Removes a home block from its place. The owner's jobs charged to it
+    /// become borrowers and are returned.
     fn unplace_home(&mut self, index: HomeIndex) -> Vec<job::Id> {
         self.clear_place(index);
         let in_run =
@@ -328,7 +336,7 @@
         borrowers
     }
 
-    /// Counts borrowers towards shapes of their account that have room.
+    /// Charges borrowers to home blocks of their account that have room.
     pub fn promote(&mut self, borrowers: &[job::Id]) {
         for id in borrowers {
             let Some(job) = self.jobs.get(id).cloned() else {
@@ -342,17 +350,20 @@
         }
     }
 
-    /// Counts `pieces`, which a job is about to use, towards the tightest
-    /// shape of its account that can be moved there.
+    /// Moves the tightest home block of the job's account that has room and
+    /// can move there over `pieces`, which the job is about to use, and
+    /// returns the block.
     pub fn cover_any(
         &mut self,
         job: &Job,
         pieces: &[Piece],
     ) -> Option<HomeIndex> {
         let mut own: Vec<HomeIndex> = (0..self.homes.len())
-            .filter(|&at| self.has_room(at, job))
+            .filter(|&index| self.has_room(index, job))
             .collect();
-        own.sort_by_key(|&at| (self.homes[at].shape.accelerators, at));
+        own.sort_by_key(|&index| {
+            (self.homes[index].shape.accelerators, index)
+        });
         own.into_iter().find(|&home| self.cover(home, pieces))
     }
 }
--- a/src/plan/intake.rs
+++ b/src/plan/intake.rs
@@ -1,4 +1,4 @@
-//! Taking events into the books.
+//! Applies events to the state.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -20,12 +20,12 @@
 use crate::plan::state::State;
 use crate::site::WorkerIndex;
 
-/// The wait before the second retry; each later one doubles it.
+/// The wait before the second retry, doubled for each later one.
 const RETRY_BACKOFF: Duration = Duration::from_secs(1);
-/// How many doublings the wait between retries may see.
+/// The largest number of doublings of the wait between retries.
 const MAX_BACKOFF_DOUBLINGS: usize = 8;
 
-/// Takes one event into the books.
+/// Applies one event to the state.
 pub fn apply(
     state: &mut State,
     event: Event,
@@ -101,7 +101,7 @@
         } => not_started(state, &job, attempt, worker, now, commands),
         Event::StartUnknown { job, attempt } => {
             if is_current(state, &job, attempt) {
-                let reason = "it cannot be known whether it ran";
+                let reason = "whether the job ran cannot be determined";
                 finish(state, &job, Outcome::Unknown, reason, now, commands);
             }
         }
@@ -133,7 +133,8 @@
     }
 }
 
-/// Takes workers back into service on which a probe has lasted.
+/// Restores workers whose probe has lasted, and lets workers be probed again
+/// whose probe ended without a verdict.
 pub fn update_probes(
     state: &mut State,
     now: SystemTime,
@@ -154,7 +155,8 @@
         match is_here {
             true if lasted => restore(state, index, commands),
             true => {}
-            // The probe left for a reason that says nothing of the worker.
+            // The probe ended for a reason that is no evidence about the
+            // worker.
             false => reopen_probe(state, index),
         }
     }
@@ -249,21 +251,21 @@
     }
 }
 
-/// Gives up bookings on a worker that takes no new work.
+/// Cancels bookings on a worker that takes no new work.
 fn drop_bookings(state: &mut State, index: WorkerIndex) {
     let ids: Vec<job::Id> = state.booked.iter().cloned().collect();
     for id in ids {
-        let here = state.jobs.get(&id).is_some_and(|job| {
+        let is_booked_here = state.jobs.get(&id).is_some_and(|job| {
             let pieces = job.booking.iter().flat_map(|b| &b.pieces);
             pieces.into_iter().any(|piece| piece.worker == index)
         });
-        if here {
+        if is_booked_here {
             state.unbook(&id);
         }
     }
 }
 
-/// Stops every job that has lost a member with its worker.
+/// Stops every job that lost a member with its worker.
 fn stop_broken_jobs(
     state: &mut State,
     index: WorkerIndex,
@@ -369,14 +371,15 @@
             commands.push(Command::Quarantine { worker });
         }
     }
-    let blamed = record_failure_site(state, id, index);
+    let failed_workers = record_failed_worker(state, id, index);
     if !spec.repeatable {
         let reason = format!("its task failed on worker {worker}");
         return finish(state, id, Outcome::Failed, &reason, now, commands);
     }
-    if blamed >= health::MAX_FAILED_WORKERS {
-        let reason =
-            format!("it failed on {blamed} workers that others run well on");
+    if failed_workers >= health::MAX_FAILED_WORKERS {
+        let reason = format!(
+            "the job failed on {failed_workers} workers that run others well"
+        );
         return finish(state, id, Outcome::Failed, &reason, now, commands);
     }
     release(state, id, now);
@@ -391,8 +394,9 @@
     }
 }
 
-/// Notes where a job failed; returns on how many workers in service it did.
-fn record_failure_site(
+/// Records that a job failed on a worker, and returns the number of workers in
+/// service on which it has failed.
+fn record_failed_worker(
     state: &mut State,
     id: &job::Id,
     index: Option<WorkerIndex>,
@@ -403,8 +407,9 @@
     job.failures.extend(index);
     job.failures.sort_unstable();
     job.failures.dedup();
-    let good = |&&w: &&WorkerIndex| state.workers[w].health.is_in_service();
-    job.failures.iter().filter(good).count()
+    let in_service =
+        |&&w: &&WorkerIndex| state.workers[w].health.is_in_service();
+    job.failures.iter().filter(in_service).count()
 }
 
 fn stopped(
@@ -432,11 +437,11 @@
             finish(state, id, Outcome::Cancelled, reason, now, commands);
         }
         Reason::Broken if !repeatable && proven => {
-            let reason = "it lost a worker, and may not run again";
+            let reason = "the job lost a worker and may not repeat";
             finish(state, id, Outcome::Failed, reason, now, commands);
         }
         _ if !repeatable => {
-            let reason = "a worker it ran on cannot be asked how it ended";
+            let reason = "a worker of the job cannot report how it ended";
             finish(state, id, Outcome::Unknown, reason, now, commands);
         }
         _ => release(state, id, now),
@@ -444,7 +449,8 @@
     start_ready_bookings(state, id, now, commands);
 }
 
-/// Takes a job's accelerators back; a blocked home block may fit now.
+/// Releases a job's accelerators; a home block without a place may fit
+/// afterwards.
 fn release(state: &mut State, id: &job::Id, now: SystemTime) {
     let unstoppable = state
         .jobs
@@ -475,7 +481,7 @@
     start_ready_bookings(state, id, now, commands);
 }
 
-/// Starts jobs whose booking waited for `gone` and for nobody else.
+/// Starts the jobs whose bookings waited for `released` alone.
 fn start_ready_bookings(
     state: &mut State,
     released: &job::Id,
--- a/src/plan/mask.rs
+++ b/src/plan/mask.rs
@@ -1,11 +1,11 @@
-//! Choosing accelerators inside one worker.
+//! Chooses accelerators inside one worker.
 
 use crate::site::Mask;
 
-/// Returns `count` accelerators of `free`, aligned where that is possible.
+/// Returns `count` accelerators of `free`, aligned where possible.
 ///
-/// The tightest aligned power-of-two window that holds `count` free
-/// accelerators is taken, and of equals the one whose surroundings are the
+/// The choice falls on the tightest aligned power-of-two window with `count`
+/// free accelerators, and among equals on the one whose surroundings are the
 /// least free, so that larger windows stay whole.
 ///
 /// Returns `None` if fewer than `count` are free or `count` is 0.
@@ -19,8 +19,8 @@
             .filter(|(window, _)| (window & free).count_ones() >= count)
             .min_by_key(|&(window, index)| {
                 let surrounding = surroundings(size, index);
-                let open = |mask: Mask| (mask & free).count_ones();
-                (open(window), surrounding.map(open))
+                let free_count = |mask: Mask| (mask & free).count_ones();
+                (free_count(window), surrounding.map(free_count))
             })
             .map(|(window, _)| window & free);
         if let Some(open) = tightest {
@@ -39,7 +39,7 @@
     (Mask::MAX >> (Mask::BITS - size)) << (index * size)
 }
 
-/// Returns the next two larger windows around one, up to a whole mask.
+/// Returns the next two larger windows around one, up to a full mask.
 fn surroundings(size: u32, index: u32) -> [Mask; 2] {
     [1, 2].map(|doublings| {
         let larger = (size << doublings).min(Mask::BITS);
--- a/src/plan/mod.rs
+++ b/src/plan/mod.rs
@@ -2,10 +2,11 @@
 //!
 //! A [`Plan`] has no clock, does no I/O and draws no random numbers. The
 //! planner in an entry, the replay, the tests and the benchmarks all drive
-//! this same code. Its stages stand in line, a module each: events change
-//! the books ([`state`]), home blocks are settled ([`home`], [`block`]), waiting jobs
-//! are put in [`order`], each finds a [`place`] or a claim on somebody
-//! else's ([`reclaim`]), and what is left over is compacted ([`compact`]).
+//! this same code. Each stage of a step is a module: events are applied to the
+//! state ([`intake`], [`state`]), home blocks are placed ([`home`],
+//! [`block`]), waiting jobs are put in [`order`], each gets a [`place`] or
+//! displaces other jobs ([`reclaim`]), and jobs are moved together so that
+//! whole workers become free ([`compact`]).
 
 pub mod admit;
 pub mod block;
@@ -32,15 +33,16 @@
 use crate::plan::state::State;
 use crate::site::Site;
 
-/// Within which a guaranteed shape can be had back from its borrowers.
+/// The time within which a guaranteed shape must be reclaimed from its
+/// borrowers.
 pub const RECLAIM_TIME: Duration = Duration::from_secs(10);
-/// How often time-driven rules are looked at while jobs wait.
+/// The interval of steps for time-driven rules while jobs wait.
 const TICK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What the operators weigh.
+/// The weights that operators set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// How much whole free workers count against early completion, 0 to 1.
+    /// The weight of whole free workers against early completion, 0 to 1.
     pub weight_fragmentation: f64,
 }
 
@@ -52,7 +54,7 @@
     }
 }
 
-/// The decision core.
+/// The decision core: the state of a site and the policy for it.
 #[derive(Clone, Debug)]
 pub struct Plan {
     state: State,
@@ -60,7 +62,7 @@
 }
 
 impl Plan {
-    /// Returns a plan for a site on which no worker has been seen yet.
+    /// Returns a plan for a site whose workers are all unreachable so far.
     pub fn new(site: Site, policy: Policy) -> Plan {
         Plan {
             state: State::new(site),
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Takes in what happened and returns what is to be done.
+    /// Applies `events` and returns the commands that follow from them.
     pub fn step(
         &mut self,
         events: impl IntoIterator<Item = Event>,
@@ -86,7 +88,7 @@
         commands
     }
 
-    /// Returns when time alone may call for a step, if it may.
+    /// Returns when a step is due without an event; `None` if no job waits.
     pub fn next_deadline(&self, now: SystemTime) -> Option<SystemTime> {
         match self.state.waiting.is_empty() {
             true => None,
@@ -94,12 +96,16 @@
         }
     }
 
-    /// Returns the books.
+    /// Returns the state that decisions are based on.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Returns the site, to which workers may be added.
+    /// Adds a worker to the site.
+    ///
+    /// # Errors
+    ///
+    /// If the site rejects the worker.
     pub fn add_worker(
         &mut self,
         hall: &str,
--- a/src/plan/order.rs
+++ b/src/plan/order.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting jobs are looked at.
+//! The order in which waiting jobs are considered.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -9,34 +9,35 @@
 use crate::plan::state::State;
 use crate::site::Shape;
 
-/// The wait after which a job goes before all that is merely shorter.
+/// The wait after which a job precedes jobs that are merely shorter.
 ///
-/// The bound on the wait of a large job is this, and its own predicted
-/// run, and the longest run of a job in its way that cannot be stopped.
+/// A large job waits no longer than this, plus its own predicted run, plus the
+/// longest run of a job in its way that cannot be stopped.
 pub const OVERDUE_AFTER: Duration = Duration::from_secs(30 * 60);
-/// How much larger a job counts whose account has borrowed all it may.
+/// The share by which a job counts as larger if its account has borrowed all
+/// that it may.
 const BORROWING_PENALTY: f64 = 0.3;
 
-/// Why a job goes before others; the smaller goes first.
+/// The reason that a job precedes others; smaller ranks go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rank {
-    /// A guaranteed shape of its account is unused and holds it.
+    /// An unused guaranteed shape of the job's account holds the job.
     Entitled,
-    /// It is urgent.
+    /// The job is urgent.
     Urgent,
-    /// It has waited past its bound, or its due time is near.
+    /// The job has waited past its bound, or its due time is near.
     Overdue,
-    /// None of these: the smallest goes first.
+    /// None of these: the smallest job goes first.
     Plain,
 }
 
-/// A job and its place in the order.
+/// A waiting job with its sort key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Why it goes before others.
+    /// The rank, which is compared first.
     pub rank: Rank,
-    /// The predicted accelerator-milliseconds that it will take, or the
-    /// time of its submission where it is overdue.
+    /// The predicted accelerator-milliseconds of the job's run, or the time of
+    /// its submission if the job is overdue.
     pub size: u64,
     /// The job.
     pub id: job::Id,
@@ -59,11 +60,11 @@
 }
 
 fn entry(state: &State, job: &Job, now: SystemTime) -> Entry {
-    let left = state.time_left(job, now);
-    let rank = rank(state, job, left, now);
+    let time_left = state.time_left(job, now);
+    let rank = rank(state, job, time_left, now);
     let size = match rank {
         Rank::Overdue => unix_millis(job.spec.submitted),
-        _ => weighted_size(state, job, left),
+        _ => weighted_size(state, job, time_left),
     };
     Entry {
         rank,
@@ -72,21 +73,26 @@
     }
 }
 
-fn rank(state: &State, job: &Job, left: Duration, now: SystemTime) -> Rank {
+fn rank(
+    state: &State,
+    job: &Job,
+    time_left: Duration,
+    now: SystemTime,
+) -> Rank {
     let waited = now.duration_since(job.waiting_since).unwrap_or_default();
-    let close = |due: SystemTime| due <= now + left + left / 2;
+    let is_near = |due: SystemTime| due <= now + time_left + time_left / 2;
     match job.spec.due {
         _ if state.is_entitled(job) => Rank::Entitled,
         _ if job.spec.urgent => Rank::Urgent,
-        Some(due) if close(due) => Rank::Overdue,
-        _ if waited > OVERDUE_AFTER.max(left) => Rank::Overdue,
+        Some(due) if is_near(due) => Rank::Overdue,
+        _ if waited > OVERDUE_AFTER.max(time_left) => Rank::Overdue,
         _ => Rank::Plain,
     }
 }
 
-/// Returns the job's predicted size, larger for accounts that already have
-/// much of what they may borrow, so that borrowed room is shared.
-fn weighted_size(state: &State, job: &Job, left: Duration) -> u64 {
+/// Returns the job's predicted size, raised for accounts that have already
+/// borrowed much of what they may, so that borrowed accelerators are shared.
+fn weighted_size(state: &State, job: &Job, time_left: Duration) -> u64 {
     let accelerators = f64::from(job.spec.shape.accelerators);
     let borrowed_share = match state.accounts.get(&job.spec.account) {
         Some(account_state) => {
@@ -95,7 +101,7 @@
         }
         None => 1.0,
     };
-    (left.as_secs_f64()
+    (time_left.as_secs_f64()
         * 1e3
         * accelerators
         * (1.0 + borrowed_share * BORROWING_PENALTY)) as u64
@@ -108,8 +114,8 @@
 }
 
 impl State {
-    /// Returns whether an unused guaranteed shape of the job's account
-    /// holds the job.
+    /// Returns whether an unused guaranteed shape of the job's account holds
+    /// the job.
     pub fn is_entitled(&self, job: &Job) -> bool {
         self.unused_shapes(&job.spec.account)
             .iter()
@@ -117,13 +123,13 @@
     }
 
     /// Returns the account's guaranteed shapes that its jobs leave unused,
-    /// whichever block they count towards now: the largest jobs first, each
-    /// in the tightest shape.
+    /// whichever blocks the jobs are charged to: the largest jobs are assigned
+    /// first, each to the tightest shape.
     pub fn unused_shapes(&self, account: &account::Id) -> Vec<Shape> {
         let Some(account_state) = self.accounts.get(account) else {
             return Vec::new();
         };
-        let mut rooms: Vec<(Shape, u32)> = account_state
+        let mut free_counts: Vec<(Shape, u32)> = account_state
             .terms
             .guarantee
             .iter()
@@ -139,19 +145,19 @@
             .collect();
         charged.sort_by_key(|s| std::cmp::Reverse(s.accelerators));
         for job in charged {
-            let tightest = rooms
+            let tightest = free_counts
                 .iter_mut()
-                .filter(|(shape, room)| {
-                    shape.holds(&job) && *room >= job.accelerators
+                .filter(|(shape, free_count)| {
+                    shape.holds(&job) && *free_count >= job.accelerators
                 })
-                .min_by_key(|(_, room)| *room);
-            if let Some((_, room)) = tightest {
-                *room -= job.accelerators;
+                .min_by_key(|(_, free_count)| *free_count);
+            if let Some((_, free_count)) = tightest {
+                *free_count -= job.accelerators;
             }
         }
-        let unused = rooms.into_iter();
+        let unused = free_counts.into_iter();
         unused
-            .filter(|(shape, room)| shape.accelerators == *room)
+            .filter(|(shape, free_count)| shape.accelerators == *free_count)
             .map(|(shape, _)| shape)
             .collect()
     }
--- a/src/plan/place.rs
+++ b/src/plan/place.rs
@@ -1,4 +1,4 @@
-//! Finding accelerators for a shape: best fit, so that large blocks stay
+//! Finds accelerators for a shape by best fit, so that large free blocks stay
 //! whole.
 
 use crate::plan::mask;
@@ -8,17 +8,17 @@
 use crate::site::Site;
 use crate::site::WorkerIndex;
 
-/// How a shape that spans workers is put together.
+/// How a shape that spans workers is composed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spread {
-    /// Of whole workers and one remainder: least spread.
+    /// Of whole workers and one remainder, which spreads the shape the least.
     Whole,
-    /// Of the smallest free remainders first: whole workers stay whole.
+    /// Of the smallest free remainders first, which keeps whole workers free.
     Remainders,
 }
 
-/// Returns the best place for `shape` on the accelerators that `open`
-/// allows, or `None` if there is none.
+/// Returns the best place for `shape` on the accelerators that `open` allows,
+/// or `None` if there is none.
 pub fn find(
     site: &Site,
     shape: Shape,
@@ -37,17 +37,17 @@
     let domain = site
         .domains(shape.within)
         .map(|domain| (open_count(domain, &open), domain))
-        .filter(|(room, _)| *room >= shape.accelerators)
+        .filter(|(count, _)| *count >= shape.accelerators)
         .filter(|(_, domain)| {
             spread == Spread::Remainders
                 || has_whole_workers(site, domain, shape, &open)
         })
-        .min_by_key(|(room, _)| *room)
+        .min_by_key(|(count, _)| *count)
         .map(|(_, domain)| domain)?;
     gather(site, domain, shape, spread, &open)
 }
 
-/// Returns the tightest place for a shape in one of `workers`.
+/// Returns the tightest place for a shape on one of `workers`.
 fn tightest(
     workers: impl Iterator<Item = WorkerIndex>,
     shape: Shape,
@@ -56,8 +56,8 @@
     let (_, worker, free) = workers
         .map(|worker| (worker, open(worker)))
         .map(|(worker, free)| (free.count_ones(), worker, free))
-        .filter(|(room, _, _)| *room >= shape.accelerators)
-        .min_by_key(|(room, _, _)| *room)?;
+        .filter(|(count, _, _)| *count >= shape.accelerators)
+        .min_by_key(|(count, _, _)| *count)?;
     let mask = mask::choose(free, shape.accelerators)?;
     Some(Piece { worker, mask })
 }
@@ -77,18 +77,18 @@
     open: &impl Fn(WorkerIndex) -> Mask,
 ) -> bool {
     let whole = shape.accelerators / site.accelerators();
-    let rest = shape.accelerators % site.accelerators();
+    let remainder = shape.accelerators % site.accelerators();
     let free_counts = || domain.iter().map(|&w| open(w).count_ones());
     let whole_count =
         free_counts().filter(|&n| n == site.accelerators()).count();
     let whole_count = whole_count as u32;
-    let has_rest = rest == 0
+    let has_remainder = remainder == 0
         || whole_count > whole
-        || free_counts().any(|n| n >= rest && n < site.accelerators());
-    whole_count >= whole && has_rest
+        || free_counts().any(|n| n >= remainder && n < site.accelerators());
+    whole_count >= whole && has_remainder
 }
 
-/// Puts a shape together from the workers of one domain.
+/// Composes a shape from the workers of one domain.
 pub fn gather(
     site: &Site,
     domain: &[WorkerIndex],
@@ -99,32 +99,32 @@
     let mut free_counts: Vec<(u32, WorkerIndex)> = domain
         .iter()
         .map(|&worker| (open(worker).count_ones(), worker))
-        .filter(|(room, _)| *room > 0)
+        .filter(|(count, _)| *count > 0)
         .collect();
     match spread {
-        Spread::Whole => {
-            free_counts.sort_by_key(|&(room, w)| (std::cmp::Reverse(room), w))
-        }
+        Spread::Whole => free_counts
+            .sort_by_key(|&(count, w)| (std::cmp::Reverse(count), w)),
         Spread::Remainders => free_counts.sort(),
     }
     let mut pieces = Vec::new();
     let mut needed = shape.accelerators;
     while needed > 0 {
-        // The last piece goes where it leaves the least behind.
+        // The last piece goes to the worker that it leaves with the least
+        // free.
         let last = free_counts
             .iter()
             .enumerate()
-            .filter(|(_, (room, _))| *room >= needed)
-            .min_by_key(|(_, (room, _))| *room)
-            .map(|(at, _)| at);
-        let at = match last {
-            Some(at) if spread == Spread::Remainders => at,
-            Some(at) if needed < site.accelerators() => at,
+            .filter(|(_, (count, _))| *count >= needed)
+            .min_by_key(|(_, (count, _))| *count)
+            .map(|(index, _)| index);
+        let index = match last {
+            Some(index) if spread == Spread::Remainders => index,
+            Some(index) if needed < site.accelerators() => index,
             _ if free_counts.is_empty() => return None,
             _ => 0,
         };
-        let (room, worker) = free_counts.remove(at);
-        let mask = mask::choose(open(worker), room.min(needed))?;
+        let (count, worker) = free_counts.remove(index);
+        let mask = mask::choose(open(worker), count.min(needed))?;
         needed -= mask.count_ones();
         pieces.push(Piece { worker, mask });
     }
--- a/src/plan/predict.rs
+++ b/src/plan/predict.rs
@@ -1,8 +1,8 @@
-//! Run times predicted from a template's own history.
+//! Predicts run times from a template's history.
 //!
-//! Callers' declarations are often far off, but off alike. Two predictors
-//! are kept a template: the quantile of its run times, and the quantile of
-//! run time over declaration. The one that has spread less goes.
+//! Callers' declarations are often wrong, but consistently so. Each template
+//! has two predictors: the median of its run times, and the median of run time
+//! over declaration. The one whose samples spread less is used.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use crate::account;
 use crate::job;
 
-/// How many runs a template's history keeps.
+/// How many runs a template's history holds.
 const MAX_SAMPLES: usize = 33;
-/// How many runs it takes before history goes before the declaration.
+/// How many runs are needed before history replaces the declaration.
 const MIN_SAMPLES: usize = 3;
-/// The least that a run is predicted to need.
+/// The shortest run time that is recorded or predicted.
 const MIN_RUN_TIME: Duration = Duration::from_millis(100);
 
-/// What templates' jobs have needed.
+/// The run times of all templates' jobs.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     accounts: BTreeMap<account::Id, BTreeMap<job::TemplateId, Template>>,
@@ -30,7 +30,7 @@
     completed: u64,
 }
 
-/// Logarithms of the last samples, in order of size as well as of arrival.
+/// Logarithms of the last samples, in order of arrival and in order of size.
 #[derive(Clone, Debug, Default)]
 struct Samples {
     arrived: std::collections::VecDeque<f64>,
@@ -41,11 +41,11 @@
     fn push(&mut self, value: f64) {
         if self.arrived.len() == MAX_SAMPLES {
             let oldest = self.arrived.pop_front().unwrap_or_default();
-            let at = self.sorted.partition_point(|x| *x < oldest);
-            self.sorted.remove(at);
+            let index = self.sorted.partition_point(|x| *x < oldest);
+            self.sorted.remove(index);
         }
-        let at = self.sorted.partition_point(|x| *x < value);
-        self.sorted.insert(at, value);
+        let index = self.sorted.partition_point(|x| *x < value);
+        self.sorted.insert(index, value);
         self.arrived.push_back(value);
     }
 
@@ -60,7 +60,7 @@
 }
 
 impl History {
-    /// Takes in that a job ran to its end in `ran`.
+    /// Records that a job ran to its end in `run_time`.
     pub fn record_completion(&mut self, spec: &job::Spec, run_time: Duration) {
         let template = self
             .accounts
@@ -75,7 +75,8 @@
         template.completed += 1;
     }
 
-    /// Returns how long a run of `spec` takes, as far as anyone knows.
+    /// Returns the predicted run time of `spec`: its declaration until the
+    /// template has enough history.
     pub fn predict(&self, spec: &job::Spec) -> Duration {
         let declared = spec.declared.max(MIN_RUN_TIME);
         match self.template(spec) {
--- a/src/plan/reclaim.rs
+++ b/src/plan/reclaim.rs
@@ -1,4 +1,4 @@
-//! Choosing whom to stop so that a shape fits: the cheapest whole jobs.
+//! Chooses the jobs to stop so that a shape fits: the cheapest whole jobs.
 
 use std::collections::BTreeSet;
 
@@ -14,24 +14,24 @@
 use crate::site::Within;
 use crate::site::WorkerIndex;
 
-/// What stopping a job costs, in accelerator-milliseconds of lost work.
+/// The cost of stopping a job, in accelerator-milliseconds of lost work.
 pub type Cost = u64;
 
-/// Accelerators to be had, and who must stop first.
+/// Accelerators for a shape, and the jobs to stop first.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Preemption {
     /// The accelerators.
     pub pieces: Vec<Piece>,
-    /// The jobs that have them now.
+    /// The jobs that use the accelerators now.
     pub victims: BTreeSet<job::Id>,
-    /// What stopping them costs.
+    /// The cost of stopping the victims.
     pub cost: Cost,
 }
 
 /// Returns the cheapest way to fit `shape` into what `region` allows, by
-/// stopping jobs to which `price` gives a cost.
+/// stopping jobs to which `stop_cost` gives a cost.
 ///
-/// Jobs that are stopping already cost nothing, and are waited for.
+/// Jobs that are already stopping cost nothing; the shape waits for them.
 pub fn cheapest(
     state: &State,
     shape: Shape,
@@ -105,7 +105,7 @@
         self.allowed(worker) & !self.state.workers[worker].used
     }
 
-    /// Returns the cheapest jobs whose end makes room for `needed`.
+    /// Returns the cheapest jobs whose end frees `needed` accelerators.
     fn victims(
         &self,
         domain: &[WorkerIndex],
@@ -116,7 +116,7 @@
         if allowed < needed {
             return None;
         }
-        let mut room: u32 =
+        let mut free_count: u32 =
             domain.iter().map(|&w| self.open(w).count_ones()).sum();
         let mut candidates = self.candidates(domain);
         candidates.sort_by(|a, b| {
@@ -126,13 +126,13 @@
         });
         let mut victims = Vec::new();
         for candidate in candidates {
-            if room >= needed {
+            if free_count >= needed {
                 break;
             }
-            room += candidate.freed_count;
+            free_count += candidate.freed_count;
             victims.push(candidate);
         }
-        (room >= needed).then_some(victims)
+        (free_count >= needed).then_some(victims)
     }
 
     fn candidates(&self, domain: &[WorkerIndex]) -> Vec<Candidate<'_>> {
--- a/src/plan/reserve.rs
+++ b/src/plan/reserve.rs
@@ -1,5 +1,5 @@
-//! Keeping room for an overdue job: what will be free first is not given to
-//! anything that cannot be stopped.
+//! Reserves accelerators for an overdue job: those that are expected to be
+//! free first are given to no other job that cannot be stopped.
 
 use std::time::SystemTime;
 
@@ -10,15 +10,15 @@
 use crate::site::Piece;
 use crate::site::WorkerIndex;
 
-/// Accelerators that an overdue job will get when they are released.
+/// Accelerators that an overdue job gets once they are released.
 pub(super) struct Reservation {
     pieces: Vec<Piece>,
     ready_at: SystemTime,
 }
 
 impl Pass<'_> {
-    /// Works out where an overdue job will fit first, so that nothing that
-    /// cannot be stopped is put there meanwhile.
+    /// Determines where an overdue job will fit first, so that no job that
+    /// cannot be stopped is placed there in the meantime.
     pub(super) fn reserve(&self, job: &Job) -> Option<Reservation> {
         if !self.may_borrow(job) {
             return None;
@@ -80,7 +80,8 @@
         })
     }
 
-    /// Returns what a job that ends at `ends` must leave to a reservation.
+    /// Returns the accelerators that a job ending at `ends` must leave to the
+    /// reservation.
     pub(super) fn reserved_mask(
         &self,
         job: &Job,
--- a/src/plan/schedule.rs
+++ b/src/plan/schedule.rs
@@ -1,4 +1,4 @@
-//! One pass over the waiting jobs: each is placed, books, or waits on.
+//! One pass over the waiting jobs: each is started, booked, or left waiting.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -30,15 +30,15 @@
 use crate::site::Shape;
 use crate::site::WorkerIndex;
 
-/// How long a run lasts at least before a shorter job may take its place.
+/// How long a job has to run before a shorter job may displace it.
 const MIN_RUN_BEFORE_DISPLACED: Duration = Duration::from_secs(30);
-/// How many times longer a run must still take than the job that takes its
-/// place.
+/// How many times as long as a job's own predicted run the remaining run of a
+/// job that it displaces must be.
 const MIN_TIME_LEFT_FACTOR: u32 = 4;
-/// What stopping one accelerator costs at least, in milliseconds.
+/// The least cost of stopping one accelerator, in milliseconds.
 const MIN_STOP_COST: Cost = 1000;
 
-/// Jobs that fare alike in one pass: if one finds no place, none does.
+/// Jobs that are equivalent in one pass: if one finds no place, none does.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Class {
     account: account::Id,
@@ -59,7 +59,7 @@
 }
 
 impl<'a> Pass<'a> {
-    /// Returns a pass that appends its commands to `out`.
+    /// Returns a pass that appends its commands to `commands`.
     pub fn new(
         state: &'a mut State,
         policy: &'a Policy,
@@ -114,8 +114,8 @@
             || self.probe(job)
     }
 
-    /// Starts a job on any free accelerators to which a block of its
-    /// account can move.
+    /// Starts a job on any free accelerators to which a block of its account
+    /// can move.
     fn start_over_moved_home(&mut self, job: &Job) -> bool {
         for home in self.own_homes(job) {
             if !self.state.has_room(home, job) {
@@ -138,7 +138,7 @@
         false
     }
 
-    /// Starts a job on free accelerators of a home block of its own.
+    /// Starts a job on free accelerators of one of its account's home blocks.
     fn start_in_home(&mut self, job: &Job) -> bool {
         let found = self.own_homes(job).into_iter().find_map(|home| {
             let state = &*self.state;
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Starts a job on any free accelerators that it may borrow.
+    /// Starts a job on any free accelerators that its account may borrow.
     fn start_as_borrower(&mut self, job: &Job) -> bool {
         if !self.may_borrow(job) {
             return false;
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Starts a job that cannot be stopped on free accelerators that all
+    /// Starts a job that cannot be stopped on free accelerators that all home
     /// blocks can move off.
     fn start_over_moved_blocks(
         &mut self,
@@ -205,13 +205,13 @@
         }
     }
 
-    /// Takes a home block of the job's account back from its borrowers.
+    /// Reclaims a home block of the job's account from its borrowers.
     fn reclaim_home(&mut self, job: &Job) -> bool {
         if !self.state.is_entitled(job) {
             return false;
         }
-        // What the account already runs counts first, or two of its jobs
-        // would take each other's place in turn.
+        // Jobs that the account already runs are charged first; otherwise two
+        // of its jobs would displace each other in turn.
         let borrowers = self.state.borrowers(&job.spec.account);
         self.state.promote(&borrowers);
         self.vacate_own_home(job);
@@ -233,7 +233,8 @@
         }
     }
 
-    /// Empties a block that the job needs whole of others of its account.
+    /// Releases a home block that the job needs entirely from other jobs of
+    /// the account.
     fn vacate_own_home(&mut self, job: &Job) {
         let own = self.own_homes(job);
         let has_room = |&home: &HomeIndex| self.state.has_room(home, job);
@@ -244,14 +245,15 @@
         if !entitled.iter().any(|shape| shape.holds(&job.spec.shape)) {
             return;
         }
-        // Only a shape that the account's jobs could leave to it: emptying
-        // another would take its place from the job that needs it most.
-        let spare = |&home: &HomeIndex| {
+        // Only a block of a shape that the account's jobs leave unused:
+        // releasing another would take the place of the job that needs it
+        // most.
+        let is_unused = |&home: &HomeIndex| {
             let shape = &self.state.homes[home].shape;
             shape.holds(&job.spec.shape) && entitled.contains(shape)
         };
         let candidates: Vec<HomeIndex> =
-            own.into_iter().filter(spare).collect();
+            own.into_iter().filter(is_unused).collect();
         for home in candidates {
             if self.state.vacate_home(home) {
                 return;
@@ -259,7 +261,7 @@
         }
     }
 
-    /// Has others move together, so that the job fits.
+    /// Moves other jobs together, so that the job fits.
     fn make_room(&mut self, job: &Job) -> bool {
         if !self.may_borrow(job) || !job.failures.is_empty() {
             return false;
@@ -280,26 +282,28 @@
         )
     }
 
-    /// Takes the place of borrowers that must or had better yield.
+    /// Displaces borrowers and jobs of the same account: for an urgent job any
+    /// that is not urgent, for an overdue one those that have run long, and
+    /// for every job those with much longer left to run.
     fn displace(&mut self, job: &Job, rank: Rank) -> bool {
         if !self.may_borrow(job) {
             return false;
         }
-        let left = self.state.time_left(job, self.now);
+        let time_left = self.state.time_left(job, self.now);
         let region =
             |w: WorkerIndex| self.usable(job, w) & self.region(job, w);
         let stop_cost = |other: &Job| {
             let may_be_displaced =
                 other.run().is_some_and(|run| run.home.is_none())
                     || other.spec.account == job.spec.account;
-            let longer = || self.has_much_longer_left(other, left);
+            let much_longer = || self.has_much_longer_left(other, time_left);
             match rank {
                 _ if !may_be_displaced || other.spec.urgent => None,
                 Rank::Urgent => self.stop_cost(other),
-                Rank::Overdue if longer() || self.has_run_long(other) => {
+                Rank::Overdue if much_longer() || self.has_run_long(other) => {
                     self.stop_cost(other)
                 }
-                Rank::Plain | Rank::Entitled if longer() => {
+                Rank::Plain | Rank::Entitled if much_longer() => {
                     self.stop_cost(other)
                 }
                 _ => None,
@@ -314,8 +318,8 @@
         true
     }
 
-    /// Lets a repeatable job that found no place try a worker in
-    /// quarantine whose time has come.
+    /// Starts a repeatable job that found no other place on a quarantined
+    /// worker whose probe is due.
     fn probe(&mut self, job: &Job) -> bool {
         if !job.spec.reclaimable() || !self.may_borrow(job) {
             return false;
@@ -350,23 +354,24 @@
         true
     }
 
-    /// Returns the account's home blocks that could hold the job, the
-    /// tightest first.
+    /// Returns the account's home blocks that could hold the job, the tightest
+    /// first.
     fn own_homes(&self, job: &Job) -> Vec<HomeIndex> {
         let homes = &self.state.homes;
         let mut own: Vec<HomeIndex> = (0..homes.len())
-            .filter(|&at| {
-                homes[at].owner.as_ref() == Some(&job.spec.account)
-                    && homes[at].is_placed()
-                    && homes[at].shape.accelerators
+            .filter(|&index| {
+                homes[index].owner.as_ref() == Some(&job.spec.account)
+                    && homes[index].is_placed()
+                    && homes[index].shape.accelerators
                         >= job.spec.shape.accelerators
             })
             .collect();
-        own.sort_by_key(|&at| (homes[at].shape.accelerators, at));
+        own.sort_by_key(|&index| (homes[index].shape.accelerators, index));
         own
     }
 
-    /// Returns where a job may run outside its own home blocks.
+    /// Returns the accelerators of a worker on which a job may run outside its
+    /// account's home blocks.
     pub(super) fn region(&self, job: &Job, worker: WorkerIndex) -> Mask {
         match job.spec.reclaimable() {
             true => Mask::MAX,
@@ -374,7 +379,8 @@
         }
     }
 
-    /// Returns which accelerators of a worker a job may use, all or none.
+    /// Returns the accelerators of a worker that may run a job, given its
+    /// failures there and the worker's health: all or none.
     pub(super) fn usable(&self, job: &Job, worker: WorkerIndex) -> Mask {
         let suspect = matches!(
             self.state.workers[worker].health,
@@ -398,11 +404,11 @@
         }
     }
 
-    fn has_much_longer_left(&self, other: &Job, left: Duration) -> bool {
+    fn has_much_longer_left(&self, other: &Job, time_left: Duration) -> bool {
         other.spec.checkpoint
             && run_time(other, self.now) >= MIN_RUN_BEFORE_DISPLACED
             && self.state.time_left(other, self.now)
-                >= left * MIN_TIME_LEFT_FACTOR
+                >= time_left * MIN_TIME_LEFT_FACTOR
     }
 
     fn has_run_long(&self, other: &Job) -> bool {
@@ -410,7 +416,7 @@
             && run_time(other, self.now) >= order::OVERDUE_AFTER / 2
     }
 
-    /// Returns what stopping a job costs, if it can be stopped at all.
+    /// Returns the cost of stopping a job, or `None` if it cannot be stopped.
     fn stop_cost(&self, other: &Job) -> Option<Cost> {
         if !other.is_reclaimable() {
             return None;
@@ -473,7 +479,7 @@
     }
 }
 
-/// Lets a job start on `pieces`.
+/// Starts a job on `pieces`.
 pub fn start(
     state: &mut State,
     id: &job::Id,
@@ -500,7 +506,7 @@
     });
 }
 
-/// Tells a running job to stop, unless it has been told.
+/// Stops a running job, unless it is already stopping.
 pub fn stop(
     state: &mut State,
     id: &job::Id,
--- a/src/plan/state.rs
+++ b/src/plan/state.rs
@@ -1,6 +1,7 @@
-//! The books of the decision core: who runs where, and who is owed what.
+//! The state of the decision core: which jobs run where, and what each account
+//! is owed.
 //!
-//! The functions here keep the books consistent and decide nothing.
+//! The functions here keep the state consistent and decide nothing.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,38 +22,39 @@
 use crate::site::Site;
 use crate::site::WorkerIndex;
 
-/// The least time that a run is taken to need still.
+/// The least time that a run is predicted to need still.
 const MIN_TIME_LEFT: Duration = Duration::from_secs(1);
 
-/// Whether a worker can be given work, as far as its presence goes.
+/// Whether a worker's agent and VM allow new work. The variant's name is
+/// logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// It can.
+    /// The worker can be given work.
     Up,
-    /// It cannot be reached, and what it does is not known.
+    /// The worker is unreachable, and its state is not known.
     Silent,
-    /// It goes; what runs there goes on.
+    /// The worker is leaving; its jobs run on.
     Leaving,
-    /// It is gone with all that ran there.
+    /// The worker is gone with all that ran on it.
     Lost,
 }
 
-/// A worker's accelerators and who has them.
+/// A worker's accelerators and their users.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// Whether it is there.
+    /// Whether the worker is reachable.
     pub presence: Presence,
-    /// Whether it does what it is told.
+    /// Whether jobs run well on the worker.
     pub health: Health,
     /// Accelerators that a job occupies.
     pub used: Mask,
-    /// Accelerators kept for a job that waits for their release.
+    /// Accelerators booked for a job that waits for their release.
     pub booked: Mask,
     /// Accelerators in any home block.
     pub home: Mask,
-    /// Accelerators that jobs have or will have that cannot be stopped.
+    /// Accelerators occupied by or booked for jobs that cannot be stopped.
     pub unstoppable: Mask,
-    /// The jobs that occupy accelerators here.
+    /// The jobs that occupy accelerators of the worker.
     pub jobs: Vec<job::Id>,
 }
 
@@ -75,64 +77,66 @@
     }
 }
 
-/// A stretch of running on given accelerators.
+/// One run of a job on given accelerators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Run {
     /// The number of the start.
     pub attempt: job::Attempt,
-    /// The accelerators.
+    /// The accelerators that the run occupies.
     pub pieces: Vec<Piece>,
-    /// The owner's home block that it counts against, if any.
+    /// The home block of the job's account that the run is charged to; `None`
+    /// for a borrower.
     pub home: Option<HomeIndex>,
-    /// When it started.
+    /// When the run started.
     pub started: SystemTime,
 }
 
 /// Accelerators kept for a job until their present users have stopped.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Booking {
-    /// The accelerators.
+    /// The accelerators to run on.
     pub pieces: Vec<Piece>,
-    /// The owner's home block that it counts against, if any.
+    /// The home block of the job's account that the booking is charged to;
+    /// `None` for a borrower.
     pub home: Option<HomeIndex>,
     /// The jobs that have yet to stop.
     pub pending: BTreeSet<job::Id>,
 }
 
-/// Where a job is in its life.
+/// The state of a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Phase {
-    /// It waits for accelerators.
+    /// The job waits for accelerators.
     Waiting,
-    /// It runs, or has been told to start.
+    /// The job runs, or its start is in progress.
     Running(Run),
-    /// It has been told to stop and still has its accelerators.
+    /// The job is stopping and still occupies its accelerators.
     Stopping(Run, Reason),
 }
 
 /// A job that has not ended.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// What was asked for.
+    /// The job as submitted.
     pub spec: job::Spec,
-    /// Where it is in its life.
+    /// The state of the job.
     pub phase: Phase,
-    /// Accelerators kept for it.
+    /// Accelerators kept for the job.
     pub booking: Option<Booking>,
-    /// How often it was started.
+    /// The number of the job's last start, 0 before the first.
     pub attempts: job::Attempt,
-    /// How much of the run its checkpoints keep.
+    /// How much of the run the job's checkpoints keep.
     pub checkpointed: Duration,
-    /// Workers on which it failed.
+    /// Workers on which the job failed.
     pub failures: Vec<WorkerIndex>,
-    /// It is not placed before this deadline.
+    /// The job is not placed before this time.
     pub not_before: SystemTime,
-    /// Since when it has been waiting.
+    /// Since when the job has been waiting.
     pub waiting_since: SystemTime,
 }
 
 impl Job {
-    /// Returns a job that waits.
+    /// Returns a waiting job.
     pub fn new(spec: job::Spec) -> Job {
         Job {
             phase: Phase::Waiting,
@@ -146,7 +150,7 @@
         }
     }
 
-    /// Returns the accelerators that the job occupies.
+    /// Returns the job's present run, if it runs or is stopping.
     pub fn run(&self) -> Option<&Run> {
         match &self.phase {
             Phase::Waiting => None,
@@ -154,7 +158,7 @@
         }
     }
 
-    /// Returns the accelerators that the job occupies, to be changed.
+    /// Returns the job's present run for changes.
     pub fn run_mut(&mut self) -> Option<&mut Run> {
         match &mut self.phase {
             Phase::Waiting => None,
@@ -162,22 +166,22 @@
         }
     }
 
-    /// Returns whether the job can be told to stop for somebody else.
+    /// Returns whether the job runs and may be stopped for another.
     pub fn is_reclaimable(&self) -> bool {
         self.spec.reclaimable() && matches!(self.phase, Phase::Running(_))
     }
 }
 
-/// A client account and what it uses.
+/// A client account and its use of accelerators.
 #[derive(Clone, Debug, Default)]
 pub struct AccountState {
-    /// Its guarantee and borrowing limit.
+    /// The account's guarantee and borrowing limit.
     pub terms: Account,
-    /// Accelerators that it uses outside its home blocks.
+    /// Accelerators that the account uses outside its home blocks.
     pub borrowed: u32,
 }
 
-/// All books of one planner.
+/// The state of one planner's site.
 #[derive(Clone, Debug)]
 pub struct State {
     /// The site.
@@ -186,13 +190,14 @@
     pub workers: Vec<Worker>,
     /// The client accounts.
     pub accounts: BTreeMap<account::Id, AccountState>,
-    /// The jobs that count towards home blocks, by account.
+    /// The jobs that are charged to home blocks, by account.
     pub guaranteed: BTreeMap<account::Id, BTreeSet<job::Id>>,
     /// The home blocks.
     pub homes: Vec<Home>,
-    /// Whether home blocks have to be looked at again.
+    /// Whether home blocks have to be placed again.
     pub homes_dirty: bool,
-    /// Accelerators that no guarantee needs, on the whole site in health.
+    /// Accelerators that no guarantee needs on a site in full health, by
+    /// worker.
     pub nominal_unguaranteed: Vec<Mask>,
     /// The jobs that have not ended.
     pub jobs: BTreeMap<job::Id, Job>,
@@ -200,12 +205,12 @@
     pub waiting: BTreeSet<job::Id>,
     /// The jobs that have a booking.
     pub booked: BTreeSet<job::Id>,
-    /// What templates' jobs have needed.
+    /// The run times of all templates' jobs.
     pub history: History,
 }
 
 impl State {
-    /// Returns the books of a site on which no worker has been seen yet.
+    /// Returns the state of a site whose workers are all unreachable so far.
     pub fn new(site: Site) -> State {
         let mut state = State {
             workers: Vec::new(),
@@ -224,7 +229,7 @@
         state
     }
 
-    /// Keeps books of workers that have joined the site.
+    /// Adds the workers that have joined the site.
     pub fn add_missing_workers(&mut self) {
         let whole = self.site.whole();
         self.workers
@@ -232,7 +237,8 @@
         self.nominal_unguaranteed.resize(self.workers.len(), whole);
     }
 
-    /// Returns the free accelerators of a worker that takes new work.
+    /// Returns the free accelerators of a worker, none if it takes no new
+    /// work.
     pub fn free(&self, index: WorkerIndex) -> Mask {
         let worker = &self.workers[index];
         match worker.is_open() {
@@ -241,30 +247,31 @@
         }
     }
 
-    /// Returns the accelerators of a worker that nobody has, whether it
-    /// takes new work or not.
+    /// Returns the accelerators of a worker that are neither occupied nor
+    /// booked, whether it takes new work or not.
     pub fn vacant(&self, index: WorkerIndex) -> Mask {
         let worker = &self.workers[index];
         self.site.whole() & !worker.used & !worker.booked
     }
 
-    /// Returns the free accelerators that are in no home block.
+    /// Returns the free accelerators of a worker that are in no home block.
     pub fn free_open(&self, worker: WorkerIndex) -> Mask {
         self.free(worker) & !self.workers[worker].home
     }
 
-    /// Returns how long a job will still run, as far as anyone knows.
+    /// Returns the predicted time until a job ends.
     pub fn time_left(&self, job: &Job, now: SystemTime) -> Duration {
         let predicted = self.history.predict(&job.spec);
         let ran = job.checkpointed + run_time(job, now);
         match predicted > ran {
             true => (predicted - ran).max(MIN_TIME_LEFT),
-            // What has outlived its prediction has a long tail before it.
+            // Run times have a long tail: a run that exceeds its prediction is
+            // predicted to need half of its time so far again.
             false => (ran / 2).max(MIN_TIME_LEFT),
         }
     }
 
-    /// Lets a job occupy accelerators.
+    /// Starts `run` of a job: it occupies the run's accelerators.
     pub fn occupy(&mut self, id: &job::Id, run: Run) {
         let unstoppable = self.is_unstoppable(id);
         for piece in &run.pieces {
@@ -281,7 +288,7 @@
         }
     }
 
-    /// Takes a job's accelerators back; the job waits again.
+    /// Ends a job's run and releases its accelerators; the job waits again.
     pub fn release(&mut self, id: &job::Id, now: SystemTime) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -304,7 +311,7 @@
         }
     }
 
-    /// Keeps accelerators for a job until `pending` jobs have stopped.
+    /// Books accelerators for a job until the pending jobs have stopped.
     pub fn book(&mut self, id: &job::Id, booking: Booking) {
         let unstoppable = self.is_unstoppable(id);
         for piece in &booking.pieces {
@@ -320,7 +327,7 @@
         }
     }
 
-    /// Gives a booking up and returns it.
+    /// Cancels a job's booking and returns it.
     pub fn unbook(&mut self, id: &job::Id) -> Option<Booking> {
         let job = self.jobs.get_mut(id)?;
         let booking = job.booking.take()?;
@@ -337,7 +344,7 @@
         Some(booking)
     }
 
-    /// Forgets a job that has ended.
+    /// Removes a job that has ended.
     pub fn remove(&mut self, id: &job::Id, now: SystemTime) -> Option<Job> {
         self.unbook(id);
         self.release(id, now);
@@ -345,7 +352,7 @@
         self.jobs.remove(id)
     }
 
-    /// Counts a running borrower towards its owner's home block.
+    /// Charges a job's present run to `home`, or makes the job a borrower.
     pub fn set_home(&mut self, id: &job::Id, home: Option<HomeIndex>) {
         let Some(run) = self.jobs.get(id).and_then(Job::run).cloned() else {
             return;
@@ -357,8 +364,9 @@
         }
     }
 
-    /// Works out anew what cannot be stopped on the workers of `pieces`:
-    /// a job that ends and one that is booked there may both have been.
+    /// Recomputes the unstoppable accelerators on the workers of `pieces`: one
+    /// job's run and another's booking may overlap there, so neither can be
+    /// subtracted alone.
     fn refresh_unstoppable(&mut self, pieces: &[Piece]) {
         for piece in pieces {
             let worker = piece.worker;
@@ -442,12 +450,12 @@
     }
 }
 
-/// Returns how many accelerators `pieces` have together.
+/// Returns the number of accelerators in `pieces`.
 pub fn accelerator_count(pieces: &[Piece]) -> u32 {
     pieces.iter().map(Piece::len).sum()
 }
 
-/// Returns how long a job has been running in its present run.
+/// Returns how long a job's present run has lasted.
 pub fn run_time(job: &Job, now: SystemTime) -> Duration {
     job.run()
         .and_then(|run| now.duration_since(run.started).ok())
