--- a/src/plan/intake.rs
+++ b/src/plan/intake.rs
@@ -133,8 +133,8 @@
     }
 }
 
-/// Restores workers whose probe has lasted, and lets workers be probed again
-/// whose probe ended without a verdict.
+/// Restores workers whose probe has lasted, and lets a worker be probed again
+/// if its probe has left it.
 pub fn update_probes(
     state: &mut State,
     now: SystemTime,
--- a/src/planner/actor.rs
+++ b/src/planner/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns a cell's books and its decision core.
+//! The actor that owns a cell's jobs and its decision core.
 
 mod admission;
 mod adoption;
@@ -50,61 +50,63 @@
 use crate::wire::gang;
 use crate::wire::link;
 
-/// How often deadlines are looked at.
+/// The interval between checks of deadlines.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a takeover waits for agents that do not answer.
 const TAKEOVER_WAIT: Duration = Duration::from_millis(1500);
-/// How long an agent may be gone before its worker gets no new work.
+/// How long an agent may be unreachable before its worker gets no new work.
 const SILENT_AFTER: Duration = Duration::from_millis(2000);
-/// How long an agent may be gone before its worker's jobs are started
-/// elsewhere, while the platform still lists it.
+/// How long an agent may be unreachable before its worker's jobs are started
+/// elsewhere, while the platform still lists the worker.
 const LOST_AFTER: Duration = Duration::from_secs(30);
-/// How long a caller waits for a job to be accepted while the store is
-/// silent.
+/// How long a caller waits for a job to be accepted while the store does not
+/// answer.
 const ADMIT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// What a planner is told and asked.
+/// A message to the planner: a request of an entry, or a result of the
+/// planner's own tasks.
 pub enum Message {
-    /// An entry asks to take a job in.
+    /// An entry submits a job.
     Admit(Box<Admit>, Reply),
     /// An entry asks for a job's status.
     Status(Await, Reply),
-    /// An entry takes a job back.
+    /// An entry cancels a job.
     Cancel(job::Id, Reply),
-    /// An entry asks for the jobs of an account, or all.
+    /// An entry asks for the jobs of an account, or for all.
     List(Option<account::Id>, RpcReplyPort<Vec<Status>>),
-    /// An entry asks for the whole cell.
+    /// An entry asks for the state of the whole cell.
     Cell(RpcReplyPort<CellView>),
-    /// A link has learned something of its agent.
+    /// The link to a worker's agent reports an update.
     Agent(WorkerId, Update),
-    /// A start has come to something.
+    /// The launch of a gang has finished.
     Launched(gang::Id, launch::Outcome),
     /// Records have been written.
     RecordsWritten(Vec<Completion>),
-    /// A record was there already.
+    /// The record that a write should create exists already.
     RecordExists(Box<Record>),
     /// The store did not answer a write.
     StoreFailed,
-    /// Somebody else has the claim, or nobody.
+    /// The cell's claim is held by another planner or by none.
     ClaimLost,
     /// The records of the cell have been read.
     Records(Records),
-    /// The platform's list has been read.
+    /// The platform's list of VMs has been read.
     Vms(Vec<Vm>),
     /// The configuration has changed.
     Configuration(Arc<Document>),
-    /// Deadlines may have passed.
+    /// The interval between checks of deadlines has passed.
     Tick,
 }
 
-/// A worker as the planner hears of it.
+/// A worker as the planner tracks it.
 pub(super) struct Worker {
     link: Link,
-    /// Whether its agent has ever answered.
+    /// Whether the agent has ever answered.
     answered: bool,
-    /// The life of its agent that answered last.
+    /// The incarnation of the agent at its last answer; empty before the
+    /// first.
     incarnation: agent::Incarnation,
-    /// Since when its agent does not answer.
+    /// Since when the agent has not answered.
     unreachable_since: Option<Instant>,
     leaving: bool,
     endpoint_lost: bool,
@@ -135,8 +137,8 @@
         }
     }
 
-    /// Returns whether a gang can no longer run here, and whether that is
-    /// proven.
+    /// Returns whether a gang can no longer run on the worker, and whether
+    /// that is proven.
     fn gang_is_over(&self, gang: &gang::Id) -> (bool, bool) {
         let up = self.answered && self.unreachable_since.is_none();
         let ended = match self.entries.get(gang) {
@@ -152,25 +154,27 @@
     }
 }
 
-/// Whether the planner decides yet.
+/// The stage of a planner's life.
 enum Phase {
-    /// It reads records and ledgers, until the deadline at most.
+    /// The planner reads records and ledgers, until the deadline at the
+    /// latest.
     Reading {
         deadline: Instant,
         records: Option<Records>,
     },
-    /// It decides.
+    /// The planner makes decisions.
     Deciding,
 }
 
-/// The books of a cell.
+/// The state of a planner.
 pub struct State {
     config: Config,
     plan: Plan,
     jobs: Jobs,
     phase: Phase,
     workers: BTreeMap<WorkerId, Worker>,
-    /// Records whose start may have been decided, by an unread ledger.
+    /// Records whose gang may have been started, as a member's ledger is
+    /// unread.
     unresolved: BTreeMap<job::Id, Record>,
     heartbeat: watch::Sender<Heartbeat>,
     writer: Writer,
@@ -179,7 +183,7 @@
     started: (Instant, SystemTime),
 }
 
-/// The actor that owns a cell's books.
+/// The actor that owns a cell's jobs and its decision core.
 pub struct Planner;
 
 impl Actor for Planner {
@@ -250,7 +254,8 @@
 
 impl State {
     fn now(&self) -> SystemTime {
-        // The wall clock may be set; ages and deadlines must not jump.
+        // Derived from the monotonic clock: the wall clock may be set, and
+        // ages and deadlines must not jump.
         self.started.1 + self.started.0.elapsed()
     }
 
@@ -278,12 +283,15 @@
             Message::Launched(gang, outcome) => {
                 self.launched(myself, gang, outcome);
             }
-            Message::RecordsWritten(done) => {
-                self.records_written(myself, done)
+            Message::RecordsWritten(completions) => {
+                self.records_written(myself, completions)
             }
             Message::RecordExists(record) => self.record_exists(*record),
             Message::StoreFailed => {
-                slog::warn!(self.config.log, "planner: the store is silent");
+                slog::warn!(
+                    self.config.log,
+                    "planner: the store did not answer a write"
+                );
             }
             Message::ClaimLost => self.step_down(myself),
             Message::Records(read) => {
--- a/src/planner/actor/admission.rs
+++ b/src/planner/actor/admission.rs
@@ -1,4 +1,4 @@
-//! What callers ask of a planner: admit, status, cancel, list.
+//! Requests of callers: admit, status, cancel, list.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -97,8 +97,8 @@
         admitted.set("job", &id);
         let trace = admitted.trace().or(admit.trace);
         self.jobs.insert(Entry::new(record, false, trace));
-        // A caller that waits is told nothing before the end, and a job
-        // that may repeat does no harm without a record: it starts at once.
+        // A waiting caller gets no answer before the job's end, and a
+        // repeatable job does no harm without a record, so it starts at once.
         match admit.waits && spec.repeatable {
             true => {
                 self.step(myself, vec![Event::Submitted { spec }]);
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Goes on with a job whose record has been created.
+    /// Submits a job whose record has been created, and answers its callers.
     pub(super) fn record_created(
         &mut self,
         myself: &ActorRef<Message>,
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Takes in that a job's record was there before it was admitted here:
-    /// it has ended long ago, or is another request's.
+    /// Handles a record that existed before its job was admitted here: the job
+    /// ended long ago, or the record belongs to another request.
     pub(super) fn record_exists(&mut self, record: Record) {
         let id = record.spec.id.clone();
         let Some(entry) = self.jobs.get_mut(&id) else {
--- a/src/planner/actor/adoption.rs
+++ b/src/planner/actor/adoption.rs
@@ -1,4 +1,4 @@
-//! What a planner takes over from the one before it.
+//! Takes over the jobs of the previous planner.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -31,11 +31,11 @@
         let Phase::Reading { deadline, records } = &mut self.phase else {
             return;
         };
-        let all = self
+        let all_answered = self
             .workers
             .values()
             .all(|worker_state| worker_state.answered);
-        if !all && Instant::now() < *deadline {
+        if !all_answered && Instant::now() < *deadline {
             return;
         }
         let Some(records) = records.take() else {
@@ -117,14 +117,14 @@
         })
     }
 
-    /// Takes a job over that was found running.
+    /// Adds a job that was found running, and returns the event for it.
     pub(super) fn adopt(
         &mut self,
         record: Record,
         durable: bool,
-        found: &takeover::GangEvidence,
+        evidence: &takeover::GangEvidence,
     ) -> Event {
-        let gang = found.gang.clone();
+        let gang = evidence.gang.clone();
         let spec = record.spec.clone();
         let pieces = gang
             .members
@@ -147,11 +147,11 @@
             spec,
             attempt,
             pieces,
-            started: self.now() - found.begun_ago,
+            started: self.now() - evidence.begun_ago,
         }
     }
 
-    /// Looks again at records whose ledgers had not been read.
+    /// Resolves the records again that wait for unread ledgers.
     pub(super) fn resolve_pending(&mut self, myself: &ActorRef<Message>) {
         if self.unresolved.is_empty() {
             return;
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Ends a job of which nobody can say whether it ran.
+    /// Ends a job if it cannot be determined whether it ran.
     pub(super) fn give_up(
         &mut self,
         myself: &ActorRef<Message>,
--- a/src/planner/actor/agents.rs
+++ b/src/planner/actor/agents.rs
@@ -1,4 +1,4 @@
-//! What agents say to a planner: presence, outcomes, forgotten gangs.
+//! Updates from agents: presence, outcomes, forgotten gangs.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Returns what has changed of workers' presence.
+    /// Returns an event for each worker whose presence has changed.
     pub(super) fn presence_events(&mut self, now: Instant) -> Vec<Event> {
         if matches!(self.phase, actor::Phase::Reading { .. }) {
             return Vec::new();
@@ -79,7 +79,8 @@
             }
             worker_state.reported = presence;
             let worker = id.clone();
-            slog::info!(self.config.log, "planner: worker {worker} is now";
+            slog::info!(self.config.log,
+                "planner: presence of worker {worker} changed";
                 "presence" => ?presence);
             events.push(match presence {
                 Presence::Up => Event::WorkerUp { worker },
@@ -91,8 +92,9 @@
         events
     }
 
-    /// Returns how gangs ended that `worker` leads, and sees to gangs there
-    /// that nobody wants.
+    /// Applies the outcomes of gangs that `worker` leads, stops or forgets
+    /// gangs there that no job needs, and returns events for gangs that the
+    /// lead no longer knows.
     pub(super) fn outcome_events(
         &mut self,
         myself: &ActorRef<Message>,
@@ -123,18 +125,18 @@
         events
     }
 
-    /// Returns failures of gangs that their lead, which answers, does not
-    /// know any more.
+    /// Returns a failure for each running gang that its lead, which answers,
+    /// no longer knows.
     pub(super) fn lost_gang_failures(&self, worker: &WorkerId) -> Vec<Event> {
         let Some(worker_state) = self.workers.get(worker) else {
             return Vec::new();
         };
         let running = self.jobs.iter().filter_map(|(id, entry)| {
             let start = entry.start.as_ref()?;
-            let led = start.gang.lead().worker == *worker;
-            let runs = start.progress == Progress::Running;
-            let known = worker_state.entries.contains_key(&start.gang.id);
-            (led && runs && !known).then(|| Event::Failed {
+            let is_lead = start.gang.lead().worker == *worker;
+            let is_running = start.progress == Progress::Running;
+            let is_known = worker_state.entries.contains_key(&start.gang.id);
+            (is_lead && is_running && !is_known).then(|| Event::Failed {
                 job: id.clone(),
                 attempt: start.gang.id.attempt,
                 worker: worker.clone(),
@@ -159,8 +161,8 @@
         }
     }
 
-    /// Drops what a ledger said of a gang that has ended there, so that it
-    /// is not looked at again with every change.
+    /// Drops a ledger's entry of a gang that has ended there, so that it is
+    /// not examined again at every change.
     pub(super) fn drop_ended(&mut self, worker: &WorkerId, id: &gang::Id) {
         let Some(worker_state) = self.workers.get_mut(worker) else {
             return;
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Has an agent forget a gang that is over, or stop one that is not.
+    /// Makes an agent forget a gang that has ended, or stop one that has not.
     pub(super) fn forget_or_stop(
         &self,
         worker: &WorkerId,
@@ -218,7 +220,7 @@
         }
     }
 
-    /// Takes in how a whole gang ended.
+    /// Applies the outcome of a whole gang.
     pub(super) fn gang_ended(
         &mut self,
         myself: &ActorRef<Message>,
@@ -268,7 +270,8 @@
         Vec::new()
     }
 
-    /// Lets members forget a gang now, unless its job's end is not written.
+    /// Lets the members forget a job's ended gang, unless the job's end is
+    /// still unwritten.
     pub(super) fn forget_ended_gang(&mut self, job: &job::Id) {
         let Some(entry) = self.jobs.get_mut(job) else {
             return;
@@ -281,7 +284,8 @@
         }
     }
 
-    /// Returns the ends of gangs whose lead is lost, once no member runs on.
+    /// Returns the ends of gangs whose lead is lost, once no member runs any
+    /// more.
     pub(super) fn leaderless_events(&mut self) -> Vec<Event> {
         let leaderless: Vec<job::Id> = self
             .jobs
@@ -309,8 +313,9 @@
             std::mem::replace(&mut start.stop_requested, true);
         let gang = start.gang.clone();
         if !stop_was_requested {
-            // A worker that this planner never saw, or the core would have
-            // asked: the gang was taken over from the planner before.
+            // The decision core requests the stop itself, except for a lead
+            // that this planner never saw: the gang was then adopted from the
+            // previous planner.
             self.send_stop(&id);
         }
         let member_states: Vec<(bool, bool)> = gang
@@ -344,10 +349,11 @@
 }
 
 enum Relation {
-    /// It is its job's present start.
+    /// The gang is its job's present start.
     Current,
-    /// It has ended, and its job's end is not written yet.
+    /// The gang has ended, and its job's end is not written yet, or its job's
+    /// record is not resolved yet.
     EndUnwritten,
-    /// Nobody wants it.
+    /// No job needs the gang.
     Unwanted,
 }
--- a/src/planner/actor/commands.rs
+++ b/src/planner/actor/commands.rs
@@ -1,4 +1,4 @@
-//! Carrying the decision core's commands out.
+//! Carries out the commands of the decision core.
 
 use std::time::Instant;
 
@@ -34,7 +34,8 @@
         events: Vec<Event>,
     ) {
         if matches!(self.phase, Phase::Reading { .. }) {
-            // Only the configuration may change meanwhile: accounts.
+            // Until records are read only client accounts change, and there
+            // are no jobs that commands could concern.
             let now = self.now();
             self.plan.step(events, now);
             return;
@@ -219,8 +220,8 @@
                 if stop {
                     self.send_stop(&job);
                 }
-                let lead = id.clone();
-                return self.apply_early_outcome(myself, &lead);
+                let gang = id.clone();
+                return self.apply_early_outcome(myself, &gang);
             }
             launch::Outcome::NotStarted { unreached, .. } => {
                 entry.start = None;
@@ -250,7 +251,7 @@
         self.step(myself, vec![event]);
     }
 
-    /// Takes in an outcome that came before the launch's own answer.
+    /// Applies an outcome that arrived before the launch's own answer.
     pub(super) fn apply_early_outcome(
         &mut self,
         myself: &ActorRef<Message>,
@@ -278,7 +279,7 @@
         let attempt = start.gang.id.attempt;
         match start.progress {
             Progress::Running => self.send_stop(id),
-            // It is stopped once its launch has come to something.
+            // The stop is sent when the launch has finished.
             Progress::Launching => {}
             Progress::Marking => {
                 entry.start = None;
@@ -319,20 +320,21 @@
         let answer = Span::begin("answer", entry.trace.as_ref());
         answer.set("outcome", outcome);
         let gang = entry.ended_gang.as_ref();
-        let ran = gang.map_or(0, |gang| gang.id.attempt);
+        let attempt = gang.map_or(0, |gang| gang.id.attempt);
         let output = entry.output.take();
         let output = output.filter(|_| outcome == job::Outcome::Done);
-        let end = record::End::new(outcome, reason, ran, output);
+        let end = record::End::new(outcome, reason, attempt, output);
         entry.record.end = Some(end);
         slog::info!(self.config.log, "planner: job {id} has ended";
             "outcome" => %outcome);
-        // What ran may be told at once. That it never will run may be told
-        // only when no later planner can find its record open.
-        let proven =
+        // An end that a run decided may be shown at once. That a job will not
+        // run may be shown only when no later planner can find its record
+        // without an end.
+        let shown_at_once =
             !matches!(outcome, job::Outcome::NotRun | job::Outcome::Cancelled);
         self.write_record(id, Some(Completion::Ended(id.clone())));
         self.jobs.record_end(id, Instant::now());
-        if proven {
+        if shown_at_once {
             self.jobs.publish_end(id, &self.plan);
         }
     }
@@ -356,10 +358,10 @@
     pub(super) fn records_written(
         &mut self,
         myself: &ActorRef<Message>,
-        done: Vec<Completion>,
+        completions: Vec<Completion>,
     ) {
-        for done in done {
-            match done {
+        for completion in completions {
+            match completion {
                 Completion::Created(id) => self.record_created(myself, &id),
                 Completion::Marked(id) => self.mark_written(myself, &id),
                 Completion::Ended(id) => {
--- a/src/planner/actor/platform.rs
+++ b/src/planner/actor/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform and the operators say to a planner.
+//! Updates from the platform and the operators: VMs and configuration.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -74,8 +74,9 @@
             ),
             answered: false,
             incarnation: String::new(),
-            // Until it answers it counts as gone, or what a later planner
-            // took over from a worker that is lost would be waited for.
+            // Until the agent answers it counts as unreachable; otherwise a
+            // gang adopted from the previous planner would wait forever for a
+            // lost worker.
             unreachable_since: Some(Instant::now()),
             leaving: false,
             endpoint_lost: false,
--- a/src/planner/jobs.rs
+++ b/src/planner/jobs.rs
@@ -1,4 +1,5 @@
-//! What the planner keeps of each job beside the decision core.
+//! The jobs of a cell, with what the planner keeps of each in addition to the
+//! decision core.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -27,68 +28,70 @@
 /// How many ended jobs are kept in memory at most.
 const MAX_ENDED_JOBS: usize = 5_000;
 
-/// How many lines are kept of what happened to a job.
+/// How many log lines are kept for a job.
 const MAX_LOG_LINES: usize = 20;
 
-/// Where a status is sent.
+/// The reply port for a job's status.
 pub type Reply = RpcReplyPort<Result<Status, Refusal>>;
 
-/// Where a gang is, as far as its planner knows.
+/// The progress of a gang's start, as far as the planner knows.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Progress {
-    /// Its mark is being written.
+    /// The mark in the job's record is being written.
     Marking,
-    /// Its members are being asked to hold, and its lead to decide.
+    /// The members are being asked to hold accelerators, and the lead to
+    /// decide.
     Launching,
     /// All members have begun.
     Running,
 }
 
-/// A gang of a job.
+/// A start of a job.
 #[derive(Clone, Debug)]
 pub struct Start {
-    /// The gang.
+    /// The gang that is started.
     pub gang: Gang,
-    /// Where it is.
+    /// How far the start has come.
     pub progress: Progress,
-    /// Whether it is to be stopped as soon as it can be.
+    /// Whether the gang is to be stopped as soon as that is possible.
     pub stop_requested: bool,
 }
 
-/// A caller that waits for a job.
+/// A caller that waits for an answer about a job.
 pub struct Waiter {
-    /// Where its answer is sent.
+    /// The port to answer on.
     pub reply: Reply,
-    /// Until when it waits.
+    /// When the caller gets an answer at the latest.
     pub deadline: Instant,
 }
 
 /// A job as the planner keeps it.
 pub struct Entry {
-    /// Its record.
+    /// The job's record.
     pub record: Record,
-    /// Whether the store is known to hold its record.
+    /// Whether the store is known to hold the record.
     pub durable: bool,
-    /// Callers who wait for the job to be accepted.
+    /// Callers that wait for the job to be accepted.
     pub admission_waiters: Vec<Waiter>,
-    /// A gang whose members may forget it once the end is written.
+    /// A gang that has ended; its members forget it once the job's end is
+    /// written.
     pub ended_gang: Option<Gang>,
-    /// Its present start.
+    /// The job's present start.
     pub start: Option<Start>,
-    /// The checkpoint to go on from.
+    /// The checkpoint to resume from.
     pub checkpoint: Option<String>,
-    /// What its last task answered.
+    /// The output of the job's last task.
     pub output: Option<String>,
-    /// Whether its end may be told.
+    /// Whether callers may see the job's end.
     pub end_visible: bool,
-    /// Whether the store holds its end. Until then the agents' ledgers are
-    /// all that a later planner can learn it from.
+    /// Whether the store holds the job's end. Until then a later planner can
+    /// learn of the end only from the agents' ledgers.
     pub end_written: bool,
-    /// When it ended, if it has.
+    /// When the job ended, if it has.
     pub ended_at: Option<Instant>,
-    /// The span that made it.
+    /// The trace of the request that submitted the job.
     pub trace: Option<Trace>,
-    /// The span of its wait for accelerators.
+    /// The span of the job's wait for accelerators.
     pub wait_span: Option<Span>,
     log: VecDeque<Line>,
     end_waiters: Vec<Waiter>,
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Notes something that happened to the job.
+    /// Adds a line to the job's log.
     pub fn note(&mut self, at: SystemTime, text: impl Into<String>) {
         if self.log.len() == MAX_LOG_LINES {
             self.log.pop_front();
@@ -133,7 +136,7 @@
 }
 
 impl Jobs {
-    /// Takes a job in.
+    /// Adds a job.
     pub fn insert(&mut self, entry: Entry) {
         let spec = &entry.record.spec;
         if entry.record.end.is_none() {
@@ -142,17 +145,17 @@
         self.entries.insert(spec.id.clone(), entry);
     }
 
-    /// Returns a job.
+    /// Returns a job, or `None` if it is not known or was removed.
     pub fn get(&self, job: &str) -> Option<&Entry> {
         self.entries.get(job)
     }
 
-    /// Returns a job, to be changed.
+    /// Returns a job for changes.
     pub fn get_mut(&mut self, job: &str) -> Option<&mut Entry> {
         self.entries.get_mut(job)
     }
 
-    /// Returns all jobs.
+    /// Returns all jobs in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = (&job::Id, &Entry)> {
         self.entries.iter()
     }
@@ -162,7 +165,7 @@
         self.unfinished.get(account).copied().unwrap_or_default()
     }
 
-    /// Takes in that a job has ended.
+    /// Records when a job ended, and drops its start.
     pub fn record_end(&mut self, job: &job::Id, now: Instant) {
         if let Some(entry) = self.entries.get_mut(job) {
             entry.ended_at = Some(now);
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Returns what there is to say of a job.
+    /// Returns a job's status, or `None` if the job is not known.
     pub fn status(&self, job: &str, plan: &Plan) -> Option<Status> {
         let entry = self.entries.get(job)?;
         let spec = &entry.record.spec;
@@ -211,14 +214,14 @@
         })
     }
 
-    /// Keeps a caller waiting for a job's end.
+    /// Adds a caller that waits for a job's end.
     pub fn wait(&mut self, job: &str, reply: Reply, deadline: Instant) {
         if let Some(entry) = self.entries.get_mut(job) {
             entry.end_waiters.push(Waiter { reply, deadline });
         }
     }
 
-    /// Answers all who wait for a job, once its end may be told.
+    /// Makes a job's end visible and answers all callers that wait for it.
     pub fn publish_end(&mut self, job: &job::Id, plan: &Plan) {
         if let Some(entry) = self.entries.get_mut(job) {
             entry.end_visible = true;
@@ -235,7 +238,7 @@
         }
     }
 
-    /// Answers callers whose wait is over and forgets old jobs.
+    /// Answers callers whose wait is over, and removes old jobs.
     pub fn expire(&mut self, plan: &Plan, now: Instant) {
         let mut expired = Vec::new();
         for entry in self.entries.values_mut() {
--- a/src/planner/launch.rs
+++ b/src/planner/launch.rs
@@ -1,5 +1,5 @@
-//! Starting and stopping a gang: hold on all members, then let the lead
-//! decide.
+//! Starts and stops a gang: all members hold their accelerators, then the lead
+//! decides.
 
 use std::time::Duration;
 
@@ -24,37 +24,39 @@
 use crate::wire::link;
 use crate::wire::Trace;
 
-/// How long a launch may take besides the wait for members' leases, if it
-/// goes wrong.
+/// How long a launch may take in addition to twice the gang's lease, for which
+/// a failed one waits.
 const LAUNCH_TIMEOUT: Duration = Duration::from_secs(3);
-/// The wait between two tries to stop a gang.
+/// The wait between two attempts to stop a gang, or to learn its lead's
+/// decision.
 const RETRY_INTERVAL: Duration = Duration::from_millis(700);
 
-/// What came of a start.
+/// The outcome of a start.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// All members have begun.
     Started,
-    /// No member ever began, nor will.
+    /// No member has begun, and none will.
     NotStarted {
-        /// The member that could not be reached, if one could not.
+        /// The member that could not be reached, if any.
         unreached: Option<WorkerId>,
-        /// Whether the planner is behind on configuration.
+        /// Whether the planner's configuration is older than a member's.
         behind: bool,
     },
-    /// Members may have begun; whatever did has been stopped, or will be
+    /// Members may have begun; those that did have been stopped, or will be
     /// within the gang's lease.
     Broken {
-        /// The member in whose way it lay.
+        /// The member that prevented the start, or the lead if it did not
+        /// answer.
         worker: WorkerId,
-        /// Whether it is known that it did not run to its end.
+        /// Whether the gang is known not to have run to its end.
         known_unfinished: bool,
     },
-    /// A later planner has spoken.
+    /// A later planner is active.
     Fenced,
 }
 
-/// Starts a gang and returns what came of it.
+/// Starts a gang and returns the outcome.
 pub async fn start(
     pool: link::Pool,
     fence: Fence,
@@ -92,7 +94,8 @@
     }
 }
 
-/// Asks one member to hold; the error says why it does not, if it said.
+/// Asks one member to hold its accelerators. The error is the member's
+/// refusal, or `None` if the member did not answer.
 async fn hold(
     pool: &link::Pool,
     fence: Fence,
@@ -153,15 +156,15 @@
         },
         Ok(Err(Refusal::Epoch { .. })) => Outcome::Fenced,
         Ok(Err(refusal)) => {
-            // Asking settles it: a gang that is not decided by now is
+            // The request settles the question: a gang without a decision is
             // decided not to run.
             let behind = matches!(refusal, Refusal::Revision { .. });
-            let verdict = request_verdict(pool, gang).await;
-            if verdict == Some(Verdict::Run) {
+            let decision = request_decision(pool, gang).await;
+            if decision == Some(Verdict::Run) {
                 return Outcome::Started;
             }
             release(pool, fence, gang).await;
-            match verdict {
+            match decision {
                 Some(_) => Outcome::NotStarted {
                     unreached: None,
                     behind,
@@ -174,27 +177,27 @@
         }
         Err(_) => {
             pool.drop(&lead.address);
-            recover_verdict(pool, fence, gang).await
+            recover_decision(pool, fence, gang).await
         }
     }
 }
 
-/// Finds out what the lead decided when its answer was lost.
-async fn recover_verdict(
+/// Asks for the lead's decision after its answer to the launch was lost.
+async fn recover_decision(
     pool: &link::Pool,
     fence: Fence,
     gang: &Gang,
 ) -> Outcome {
     let deadline = Instant::now() + HOLD + 2 * gang_lease(gang.members.len());
     while Instant::now() < deadline {
-        match request_verdict(pool, gang).await {
+        match request_decision(pool, gang).await {
             Some(Verdict::Run) => return Outcome::Started,
             Some(Verdict::Halt) => break,
             None => tokio::time::sleep(RETRY_INTERVAL).await,
         }
     }
-    // A lead that halted may have run before, and one that is not reached
-    // may run yet: members stop by their lease.
+    // A lead that halted may have run before, and an unreachable one may still
+    // run: the members stop when their lease ends.
     release(pool, fence, gang).await;
     Outcome::Broken {
         worker: gang.lead().worker.clone(),
@@ -202,9 +205,9 @@
     }
 }
 
-/// Asks the lead for its verdict; who asks before there is one decides
-/// that the gang does not run.
-async fn request_verdict(pool: &link::Pool, gang: &Gang) -> Option<Verdict> {
+/// Asks the lead for its decision. If there is none yet, the request itself
+/// decides that the gang does not run.
+async fn request_decision(pool: &link::Pool, gang: &Gang) -> Option<Verdict> {
     let address = &gang.lead().address;
     let client = pool.get(address).await.ok()?;
     let report = Report {
@@ -216,7 +219,7 @@
     link::within(address, link::CALL, call).await.ok()
 }
 
-/// Tells every member to let go; one that is not reached asks its lead.
+/// Stops every member; one that is not reached asks its lead.
 pub async fn release(pool: &link::Pool, fence: Fence, gang: &Gang) {
     let stops = gang
         .members
@@ -249,8 +252,9 @@
     }
 }
 
-/// Stops a gang through its lead, and through its members while the lead
-/// is not reached. Returns once somebody has been told.
+/// Stops a gang through its lead, and through all members while the lead is
+/// not reached. Returns once the lead has answered, or after four times the
+/// gang's lease.
 pub async fn stop(pool: link::Pool, fence: Fence, gang: Gang) {
     let deadline = Instant::now() + 4 * gang_lease(gang.members.len());
     while Instant::now() < deadline {
--- a/src/planner/links.rs
+++ b/src/planner/links.rs
@@ -1,4 +1,5 @@
-//! One link to each agent: listens for changes, and notices silence.
+//! The links to the agents: each watches one agent for changes and reports
+//! when it stops answering.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,49 +19,49 @@
 use crate::wire::link;
 
 /// The shortest time that an agent waits for a change before it answers
-/// all the same.
+/// without one.
 const MIN_HEARTBEAT: Duration = Duration::from_secs(2);
-/// The longest such time.
+/// The longest time that an agent waits for a change.
 const MAX_HEARTBEAT: Duration = Duration::from_secs(9);
-/// How much longer it waits for each agent of the cell.
+/// How much longer agents wait for each worker of the cell.
 const HEARTBEAT_PER_WORKER: Duration = Duration::from_millis(30);
-/// The longest wait between two tries to connect.
+/// The longest wait between two attempts to connect.
 const MAX_RECONNECT_WAIT: Duration = Duration::from_millis(400);
 
-/// Returns how long agents wait in a cell of so many workers, so that the
-/// planner's traffic grows more slowly than the cell.
+/// Returns how long agents wait for a change in a cell of `workers` workers,
+/// chosen so that the planner's traffic grows more slowly than the cell.
 pub fn heartbeat_interval(workers: usize) -> Duration {
     let wanted = HEARTBEAT_PER_WORKER * workers as u32;
     wanted.clamp(MIN_HEARTBEAT, MAX_HEARTBEAT)
 }
 
-/// What a planner says with each heartbeat.
+/// What a planner sends with each watch request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Heartbeat {
-    /// Under whose authority.
+    /// The planner's epoch and configuration revision.
     pub fence: Fence,
-    /// How long the agent waits for a change.
+    /// How long the agent waits for a change before it answers.
     pub interval: Duration,
 }
 
-/// What a link has learned.
+/// An update from the link to an agent.
 pub enum Update {
-    /// The agent answered; `whole` if these are all its entries.
+    /// The agent answered.
     Changes {
-        /// What it answered.
+        /// The agent's answer.
         changes: Changes,
-        /// Whether these are all its entries.
+        /// Whether the answer holds all of the agent's entries.
         whole: bool,
     },
     /// The agent does not answer.
     Unreachable,
-    /// A later planner has spoken.
+    /// The agent has seen a later planner.
     Fenced,
 }
 
-/// A link to one agent; it ends when dropped.
+/// A link to one agent, closed when dropped.
 pub struct Link {
-    /// Where the agent listens.
+    /// The address of the agent.
     pub address: String,
     task: JoinHandle<()>,
 }
@@ -72,7 +73,7 @@
 }
 
 impl Link {
-    /// Starts to listen to an agent.
+    /// Starts to watch an agent.
     pub fn start(
         worker: WorkerId,
         address: String,
--- a/src/planner/mod.rs
+++ b/src/planner/mod.rs
@@ -1,10 +1,10 @@
-//! The planner of a cell: drives the decision core with what agents,
-//! callers and operators say, and carries its commands out.
+//! The planner of a cell: passes events from agents, callers and operators to
+//! the decision core, and carries out its commands.
 //!
-//! It is hosted by the entry that holds the cell's claim, under the claim's
-//! epoch. [`actor`] owns the books; [`links`] listen to agents, [`launch`]
+//! The entry that holds the cell's claim hosts the planner under the claim's
+//! epoch. [`actor`] owns the state; [`links`] watch the agents, [`launch`]
 //! starts and stops gangs, [`writer`] writes records in batches, and
-//! [`takeover`] finds out what goes on before anything is decided.
+//! [`takeover`] determines what already runs before any decision is made.
 
 pub mod actor;
 pub mod jobs;
@@ -22,27 +22,28 @@
 use crate::vms::Vm;
 use crate::wire::Epoch;
 
-/// What a planner has to know.
+/// The configuration of a planner.
 #[derive(Clone)]
 pub struct Config {
-    /// The cell.
+    /// The name of the cell.
     pub cell: String,
-    /// The key of its claim.
+    /// The store key of the cell's claim.
     pub claim: String,
-    /// The epoch: the revision at which the claim was written.
+    /// The planner's epoch: the revision at which the claim was written.
     pub epoch: Epoch,
-    /// Where the entry that hosts it listens for others of ours.
+    /// The address at which the hosting entry listens for other processes of
+    /// this system.
     pub address: String,
     /// How many accelerators each worker has.
     pub accelerators: u32,
-    /// What the operators weigh.
+    /// The weights that operators set.
     pub policy: Policy,
     /// The store.
     pub store: store::Client,
     /// The configuration in force.
     pub document: Arc<Document>,
-    /// The VMs, as last listed.
+    /// The VMs as last listed by the platform.
     pub vms: Vec<Vm>,
-    /// Where logs go.
+    /// The logger.
     pub log: slog::Logger,
 }
--- a/src/planner/takeover.rs
+++ b/src/planner/takeover.rs
@@ -1,4 +1,5 @@
-//! What a new planner finds: records in the store, gangs in the ledgers.
+//! Determines what a new planner takes over, from the records in the store and
+//! the gangs in the agents' ledgers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,10 +17,11 @@
 use crate::wire::gang::Ending;
 use crate::wire::gang::Gang;
 
-/// The wait between two tries to read records.
+/// The typical wait between two attempts to read records; each varies from
+/// half to twice as long.
 const RETRY_WAIT: Duration = Duration::from_millis(500);
 
-/// Records as they were read, and at which revision.
+/// Records, and the store's revision at which they were read.
 #[derive(Debug, Default)]
 pub struct Records {
     /// The records.
@@ -28,20 +30,21 @@
     pub revision: Revision,
 }
 
-/// Reads the records that were changed at or after `since`, trying until
-/// the store answers.
+/// Reads the records changed at or after `since`, and retries until the store
+/// answers.
 pub async fn read(store: &store::Client, since: Revision) -> Records {
     loop {
         if let Ok(records) = try_read(store, since).await {
             return records;
         }
-        let most = RETRY_WAIT.as_millis() as u64;
-        let wait = Duration::from_millis(fastrand::u64(most / 2..=most * 2));
+        let typical = RETRY_WAIT.as_millis() as u64;
+        let wait =
+            Duration::from_millis(fastrand::u64(typical / 2..=typical * 2));
         tokio::time::sleep(wait).await;
     }
 }
 
-/// Reads the records that were changed at or after `since`.
+/// Reads the records changed at or after `since`.
 ///
 /// # Errors
 ///
@@ -58,20 +61,20 @@
     })
 }
 
-/// A gang put together from its members' ledgers.
+/// A gang with the evidence of its members' ledgers.
 #[derive(Clone, Debug)]
 pub struct GangEvidence {
     /// The gang.
     pub gang: Gang,
-    /// Whether any member has begun, or had.
+    /// Whether any member has begun, even if it has ended since.
     pub begun: bool,
-    /// How long ago the first one did.
+    /// How long ago the first member began.
     pub begun_ago: Duration,
     /// Whether the lead's ledger was read.
     pub lead_read: bool,
 }
 
-/// Puts the gangs of all ledgers together.
+/// Combines the entries of all ledgers by gang.
 pub fn collect_gangs<'a>(
     entries: impl Iterator<Item = (&'a WorkerId, &'a Entry)>,
 ) -> BTreeMap<gang::Id, GangEvidence> {
@@ -102,33 +105,36 @@
     gangs
 }
 
-/// What is to be done about a record that has not ended.
+/// How a takeover deals with a record that has no end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Resolution {
-    /// It runs, or did: this gang is the one.
+    /// The gang runs or ran: the job continues with it.
     Adopt(gang::Id),
-    /// Nothing of it has ever run, or it may run again.
+    /// No start of the job has ever run, or the job may repeat: the job waits
+    /// for accelerators.
     Queue,
-    /// A start may have been decided, and a member's ledger is not read.
+    /// A start may have been decided, and a member's ledger is unread: the
+    /// record is examined again later.
     Defer,
-    /// A start may have been decided, and nobody knows of it.
+    /// A start may have been decided, and no ledger holds its outcome: the job
+    /// ends with an unknown outcome.
     GiveUp,
 }
 
-/// An agent as a takeover finds it.
+/// The ledger of a worker's agent, as a takeover finds it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ledger {
-    /// Its ledger was read, in this life of its process. It has seen the
-    /// epoch of this planner, so no earlier one is obeyed any more.
+    /// The ledger was read, in this incarnation of the agent. The agent has
+    /// seen the planner's epoch and obeys no earlier planner any more.
     Read(Incarnation),
-    /// Its ledger has not been read yet.
+    /// The ledger has not been read yet.
     Unread,
-    /// Its VM is gone.
+    /// The agent's VM is gone.
     Gone,
 }
 
-/// Returns what is to be done about a record, given the gangs found and
-/// what became of each worker's agent.
+/// Returns how to deal with a record, given the gangs found and the ledger of
+/// each worker.
 pub fn resolve(
     record: &Record,
     gangs: &BTreeMap<gang::Id, GangEvidence>,
@@ -147,20 +153,21 @@
     };
     let ledgers: Vec<Ledger> =
         mark.members.iter().map(|m| ledger(&m.worker)).collect();
-    let same_incarnations = ledgers.len() == mark.incarnations.len()
-        && ledgers
-            .iter()
-            .zip(&mark.incarnations)
-            .all(|(ledger, then)| *ledger == Ledger::Read(then.clone()));
+    let same_incarnations =
+        ledgers.len() == mark.incarnations.len()
+            && ledgers.iter().zip(&mark.incarnations).all(
+                |(ledger, recorded)| *ledger == Ledger::Read(recorded.clone()),
+            );
     match ledgers.contains(&Ledger::Unread) {
         true => Resolution::Defer,
-        // Every member's agent remembers, and none has begun it.
+        // Each member's agent has kept its memory since, and none began the
+        // gang.
         false if same_incarnations => Resolution::Queue,
         false => Resolution::GiveUp,
     }
 }
 
-/// Returns the jobs that gangs without a record belong to.
+/// Returns the latest gangs of jobs that have no record.
 pub fn unrecorded(
     gangs: &BTreeMap<gang::Id, GangEvidence>,
     records: &BTreeSet<job::Id>,
--- a/src/planner/view.rs
+++ b/src/planner/view.rs
@@ -1,4 +1,4 @@
-//! A cell as operators see it.
+//! A view of the cell for operators and metrics.
 
 use opentelemetry::KeyValue;
 
@@ -18,7 +18,7 @@
 use crate::wire::entry::WorkerView;
 use crate::wire::Epoch;
 
-/// Returns the cell as its planner sees it.
+/// Returns a view of the whole cell.
 pub fn cell(
     plan: &Plan,
     config: &Config,
@@ -42,7 +42,8 @@
     }
 }
 
-/// Returns the share of free accelerators that lie in no free whole worker.
+/// Returns the share of free accelerators on workers that are not entirely
+/// free.
 pub fn fragmentation(plan: &Plan) -> f64 {
     let state = plan.state();
     let whole = state.site.accelerators();
@@ -57,7 +58,7 @@
     }
 }
 
-/// Shows the state of the cell as metrics.
+/// Records the state of the cell as metrics.
 pub fn record_metrics(plan: &Plan, revision: Revision) {
     let state = plan.state();
     let metrics = metrics::get();
@@ -80,7 +81,7 @@
 fn worker(plan: &Plan, index: WorkerIndex) -> WorkerView {
     let state = plan.state();
     let worker = &state.workers[index];
-    let place = &state.site.workers()[index];
+    let site_worker = &state.site.workers()[index];
     let jobs = worker.jobs.iter().filter_map(|id| {
         let job = state.jobs.get(id)?;
         Some(Use {
@@ -105,9 +106,9 @@
         false => "quarantined",
     };
     WorkerView {
-        worker: place.id.clone(),
-        hall: state.site.halls()[place.hall].id.clone(),
-        rack: state.site.racks()[place.rack].id.clone(),
+        worker: site_worker.id.clone(),
+        hall: state.site.halls()[site_worker.hall].id.clone(),
+        rack: state.site.racks()[site_worker.rack].id.clone(),
         presence: presence.to_owned(),
         health: health.to_owned(),
         jobs: jobs.collect(),
--- a/src/planner/writer.rs
+++ b/src/planner/writer.rs
@@ -1,8 +1,8 @@
-//! Writes records in batches, each under the planner's claim.
+//! Writes records in batches, each on condition of the planner's claim.
 //!
-//! A batch is one transaction, so that a burst costs the store few calls.
-//! Writes are the latest state of a record and may be repeated; a batch
-//! whose answer is lost is simply written again.
+//! A batch is one transaction, so that a burst costs few store calls. Each
+//! write holds the latest state of a record and may be repeated, so a batch
+//! whose answer is lost is written again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,38 +21,40 @@
 
 /// How many records one transaction writes at most.
 const MAX_BATCH_RECORDS: usize = 64;
-/// How many bytes one transaction writes at most.
+/// How many bytes of values one transaction writes at most, unless its first
+/// record alone is larger.
 const MAX_BATCH_BYTES: usize = 700 * 1024;
-/// The least time between two transactions: ten a second at most.
+/// The least time between two transactions, which limits them to ten a second.
 const BATCH_INTERVAL: Duration = Duration::from_millis(100);
-/// The longest wait after a transaction that failed.
+/// The wait after a transaction that the claim refused; other failures wait an
+/// eighth to half of it.
 const MAX_RETRY_WAIT: Duration = Duration::from_secs(2);
 
-/// A record to be written.
+/// A record to write.
 #[derive(Clone, Debug)]
 pub struct Write {
-    /// Its key.
+    /// The record's key.
     pub key: String,
-    /// Its value.
+    /// The record's value.
     pub value: Vec<u8>,
-    /// Whether it must not be there yet.
+    /// Whether the write must create the key.
     pub create: bool,
-    /// What the planner is told once it is written.
+    /// What the planner is notified of once the record is written.
     pub completion: Option<Completion>,
 }
 
-/// What a write that is done means.
+/// What a finished write completes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Completion {
-    /// A job has been accepted.
+    /// The job is accepted.
     Created(crate::job::Id),
-    /// A job's end may be told to its callers.
+    /// The job's end may be shown to callers.
     Ended(crate::job::Id),
-    /// A start that may not repeat may be decided.
+    /// The start of a job that may not repeat may be decided.
     Marked(crate::wire::gang::Id),
 }
 
-/// A writer; it ends when dropped.
+/// A writer, stopped when dropped.
 pub struct Writer {
     sender: mpsc::UnboundedSender<Write>,
     task: JoinHandle<()>,
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Has a record written; a later write of it goes before an earlier.
+    /// Queues a record; a later write of the same key replaces a pending one.
     pub fn put(&self, write: Write) {
         let _ = self.sender.send(write);
     }
@@ -134,7 +136,8 @@
         pending.completions.extend(write.completion);
     }
 
-    /// Writes one batch, or tells why it could not, and waits as it must.
+    /// Writes one batch and waits before the next; on a failure, notifies the
+    /// planner and waits before a retry.
     async fn flush(&mut self) {
         let batch = self.batch();
         match self.write(&batch).await {
@@ -146,8 +149,8 @@
                 self.write_separately(batch).await;
             }
             Ok(Swap::Refused(_)) => {
-                // Another has claimed the cell, or nobody has yet: either
-                // way this planner may write nothing more.
+                // Another planner has claimed the cell, or the claim is gone:
+                // either way this planner may not write any more.
                 let _ = self.planner.cast(Message::ClaimLost);
                 tokio::time::sleep(MAX_RETRY_WAIT).await;
             }
@@ -198,16 +201,17 @@
             .any(|item| item.key == self.claim && item.created == self.epoch)
     }
 
-    /// Writes each of a batch by itself: a record was there already.
+    /// Writes each record of a batch separately, as one of them exists
+    /// already.
     async fn write_separately(&mut self, batch: Batch) {
-        for one in batch {
-            let single = vec![one];
+        for record in batch {
+            let single = vec![record];
             match self.write(&single).await {
                 Ok(Swap::Written(_)) => self.complete(single),
                 Ok(Swap::Refused(items)) if self.holds_claim(&items) => {
                     self.report_existing(&single[0].0, &items);
                 }
-                // The next flush meets it again.
+                // The next flush fails in the same way and handles it.
                 Ok(Swap::Refused(_)) | Err(_) => return,
             }
         }
@@ -246,8 +250,9 @@
         }
     }
 
-    /// Waits, and finds out which creations took effect though their answer
-    /// was lost, so that they are not taken for somebody else's.
+    /// Waits before a retry, and checks which records of a batch were created
+    /// although the answer was lost, so that they are not mistaken for another
+    /// planner's.
     async fn wait_to_retry(&mut self, batch: &Batch, may_be_written: bool) {
         let longest = MAX_RETRY_WAIT.as_millis() as u64;
         let wait = fastrand::u64(longest / 8..=longest / 2);
