--- a/src/plan/block.rs
+++ b/src/plan/block.rs
@@ -53,8 +53,8 @@
     /// it, or `None` if there are none.
     pub(super) fn find_place(&self, index: HomeIndex) -> Option<Vec<Piece>> {
         let home = &self.homes[index];
-        let open = |index: WorkerIndex| {
-            let worker = &self.workers[index];
+        let open = |worker_index: WorkerIndex| {
+            let worker = &self.workers[worker_index];
             match worker.is_open() {
                 true => self.site.whole() & !worker.home & !worker.unstoppable,
                 false => 0,
--- a/src/plan/health.rs
+++ b/src/plan/health.rs
@@ -73,23 +73,25 @@
         proven: bool,
         now: SystemTime,
     ) -> bool {
-        let was_good = self.is_in_service();
+        let was_in_service = self.is_in_service();
         let next = match self {
             Health::Quarantined { round, .. } => quarantine(*round + 1, now),
-            Health::Suspect { job } if job != job => quarantine(0, now),
+            Health::Suspect { job: suspect } if suspect != job => {
+                quarantine(0, now)
+            }
             _ if proven => quarantine(0, now),
             _ => Health::Suspect { job: job.clone() },
         };
         *self = next;
-        was_good && !self.is_in_service()
+        was_in_service && !self.is_in_service()
     }
 
     /// Records that a run here lasted. Returns whether the worker has just
     /// come back into service.
     pub fn record_success(&mut self) -> bool {
-        let was_good = self.is_in_service();
+        let was_in_service = self.is_in_service();
         *self = Health::Good;
-        !was_good
+        !was_in_service
     }
 }
 
