--- a/src/plan/compact.rs
+++ b/src/plan/compact.rs
@@ -47,11 +47,11 @@
     if active_moves(state) >= MAX_CONCURRENT_MOVES {
         return;
     }
-    let min_left = MIN_TIME_LEFT.div_f64(policy.weight_fragmentation);
+    let min_time_left = MIN_TIME_LEFT.div_f64(policy.weight_fragmentation);
     for source in sources(state) {
-        if let Some(moves) = moves(state, source, min_left, now) {
-            for step in &moves {
-                start_move(state, step, commands);
+        if let Some(moves) = moves(state, source, min_time_left, now) {
+            for planned_move in &moves {
+                start_move(state, planned_move, commands);
             }
             return;
         }
@@ -94,7 +94,7 @@
 fn moves(
     state: &State,
     source: WorkerIndex,
-    min_left: Duration,
+    min_time_left: Duration,
     now: SystemTime,
 ) -> Option<Vec<Move>> {
     let mut jobs: Vec<&Job> = state.workers[source]
@@ -102,7 +102,10 @@
         .iter()
         .filter_map(|id| state.jobs.get(id))
         .collect();
-    if !jobs.iter().all(|job| is_movable(state, job, min_left, now)) {
+    if !jobs
+        .iter()
+        .all(|job| is_movable(state, job, min_time_left, now))
+    {
         return None;
     }
     jobs.sort_by_key(|job| Reverse(job.spec.shape.accelerators));
@@ -148,8 +151,8 @@
     if free < job.spec.shape.accelerators {
         return false;
     }
-    let min_left = MIN_TIME_LEFT.div_f64(weight);
-    let Some(room) = find_room(state, job, region, min_left, now) else {
+    let min_time_left = MIN_TIME_LEFT.div_f64(weight);
+    let Some(room) = find_room(state, job, region, min_time_left, now) else {
         return false;
     };
     let pending = room.moves.iter().map(|m| m.id.clone()).collect();
@@ -161,8 +164,8 @@
     // The booking comes before the moves: otherwise a home block that moves
     // along could be placed where this job cannot be stopped.
     state.book(&job.spec.id, booking);
-    for step in &room.moves {
-        start_move(state, step, commands);
+    for planned_move in &room.moves {
+        start_move(state, planned_move, commands);
     }
     true
 }
@@ -177,7 +180,7 @@
     state: &State,
     job: &Job,
     region: &impl Fn(&State, WorkerIndex) -> Mask,
-    min_left: Duration,
+    min_time_left: Duration,
     now: SystemTime,
 ) -> Option<Room> {
     let shape = job.spec.shape;
@@ -189,7 +192,7 @@
         .site
         .domains(within)
         .filter_map(|domain| {
-            room_in_domain(state, shape, domain, region, min_left, now)
+            room_in_domain(state, shape, domain, region, min_time_left, now)
         })
         .min_by_key(|room| room.moves.len())
 }
@@ -199,7 +202,7 @@
     shape: Shape,
     domain: &[WorkerIndex],
     region: &impl Fn(&State, WorkerIndex) -> Mask,
-    min_left: Duration,
+    min_time_left: Duration,
     now: SystemTime,
 ) -> Option<Room> {
     let open = |w: WorkerIndex| state.free(w) & region(state, w);
@@ -210,7 +213,7 @@
         .filter(|&&w| state.workers[w].is_open())
         .flat_map(|&w| &state.workers[w].jobs)
         .filter_map(|id| state.jobs.get(id))
-        .filter(|job| is_movable(state, job, min_left, now))
+        .filter(|job| is_movable(state, job, min_time_left, now))
         .filter(|job| {
             let pieces = job.run().map(|run| &run.pieces);
             pieces
@@ -251,7 +254,7 @@
 fn is_movable(
     state: &State,
     job: &Job,
-    min_left: Duration,
+    min_time_left: Duration,
     now: SystemTime,
 ) -> bool {
     let single = job.run().is_some_and(|run| run.pieces.len() == 1);
@@ -261,7 +264,7 @@
         && job.spec.checkpoint
         && !job.spec.urgent
         && run_time(job, now) >= MIN_RUN_TIME
-        && state.time_left(job, now) >= min_left
+        && state.time_left(job, now) >= min_time_left
         && may_leave_home(state, job)
 }
 
@@ -293,16 +296,20 @@
 /// Returns whether a job may run as a borrower while it moves; a job that is
 /// charged to no home block does so already.
 fn may_leave_home(state: &State, job: &Job) -> bool {
-    let counts = job.run().is_some_and(|run| run.home.is_some());
+    let is_charged = job.run().is_some_and(|run| run.home.is_some());
     let may_borrow = state.accounts.get(&job.spec.account).is_some_and(|t| {
         t.borrowed + job.spec.shape.accelerators <= t.terms.borrow
     });
-    may_borrow || !counts
+    may_borrow || !is_charged
 }
 
 /// Books the destination for the job itself, and stops the job.
-fn start_move(state: &mut State, step: &Move, commands: &mut Vec<Command>) {
-    let Move { id, to } = step;
+fn start_move(
+    state: &mut State,
+    planned_move: &Move,
+    commands: &mut Vec<Command>,
+) {
+    let Move { id, to } = planned_move;
     let home = state
         .jobs
         .get(id)
--- a/src/plan/home.rs
+++ b/src/plan/home.rs
@@ -350,9 +350,9 @@
         }
     }
 
-    /// Moves the tightest home block of the job's account that has room and
-    /// can move there over `pieces`, which the job is about to use, and
-    /// returns the block.
+    /// Moves a home block of the job's account over `pieces`, which the job is
+    /// about to use, and returns the block: the tightest one that has room and
+    /// can move there.
     pub fn cover_any(
         &mut self,
         job: &Job,
--- a/src/plan/intake.rs
+++ b/src/plan/intake.rs
@@ -36,17 +36,21 @@
         Event::AccountChanged { account, terms } => {
             state.accounts.entry(account.clone()).or_default().terms = terms;
             state.sync_homes(&account);
-            refuse_impossible(state, now, commands);
+            refuse_unplaceable(state, now, commands);
         }
         Event::AccountRemoved { account } => {
             if let Some(account_state) = state.accounts.get_mut(&account) {
                 account_state.terms = Default::default();
             }
             state.sync_homes(&account);
-            refuse_impossible(state, now, commands);
+            refuse_unplaceable(state, now, commands);
+        }
+        Event::Submitted { spec } => {
+            apply_submitted(state, spec, now, commands)
+        }
+        Event::Cancelled { job } => {
+            apply_cancelled(state, &job, now, commands)
         }
-        Event::Submitted { spec } => submitted(state, spec, now, commands),
-        Event::Cancelled { job } => cancelled(state, &job, now, commands),
         Event::WorkerUp { worker } => {
             with_worker(state, &worker, |state, index| {
                 let worker = &mut state.workers[index];
@@ -98,7 +102,7 @@
             job,
             attempt,
             worker,
-        } => not_started(state, &job, attempt, worker, now, commands),
+        } => apply_not_started(state, &job, attempt, worker, now, commands),
         Event::StartUnknown { job, attempt } => {
             if is_current(state, &job, attempt) {
                 let reason = "whether the job ran cannot be determined";
@@ -107,7 +111,7 @@
         }
         Event::Completed { job, attempt } => {
             if is_current(state, &job, attempt) {
-                completed(state, &job, now, commands);
+                apply_completed(state, &job, now, commands);
             }
         }
         Event::Failed {
@@ -116,7 +120,7 @@
             worker,
         } => {
             if is_current(state, &job, attempt) {
-                failed(state, &job, &worker, now, commands);
+                apply_failed(state, &job, &worker, now, commands);
             }
         }
         Event::Stopped {
@@ -126,7 +130,7 @@
             proven,
         } => {
             if is_current(state, &job, attempt) {
-                stopped(state, &job, kept, proven, now, commands);
+                apply_stopped(state, &job, kept, proven, now, commands);
             }
         }
         Event::Tick => {}
@@ -148,12 +152,12 @@
             continue;
         };
         let is_here = state.workers[index].jobs.contains(probe);
-        let lasted = state
+        let has_lasted = state
             .jobs
             .get(probe)
             .is_some_and(|job| run_time(job, now) >= health::MIN_PROBE_RUN);
         match is_here {
-            true if lasted => restore(state, index, commands),
+            true if has_lasted => restore(state, index, commands),
             true => {}
             // The probe ended for a reason that is no evidence about the
             // worker.
@@ -172,11 +176,11 @@
 fn with_worker(
     state: &mut State,
     worker: &str,
-    then: impl FnOnce(&mut State, WorkerIndex),
+    update: impl FnOnce(&mut State, WorkerIndex),
 ) {
     if let Some(index) = state.site.index(worker) {
         state.homes_dirty = true;
-        then(state, index);
+        update(state, index);
     }
 }
 
@@ -188,7 +192,7 @@
         .is_some_and(|run| run.attempt == attempt)
 }
 
-fn submitted(
+fn apply_submitted(
     state: &mut State,
     spec: job::Spec,
     now: SystemTime,
@@ -206,7 +210,7 @@
     }
 }
 
-fn refuse_impossible(
+fn refuse_unplaceable(
     state: &mut State,
     now: SystemTime,
     commands: &mut Vec<Command>,
@@ -226,7 +230,7 @@
     }
 }
 
-fn cancelled(
+fn apply_cancelled(
     state: &mut State,
     id: &job::Id,
     now: SystemTime,
@@ -285,7 +289,7 @@
     }
 }
 
-fn not_started(
+fn apply_not_started(
     state: &mut State,
     id: &job::Id,
     attempt: job::Attempt,
@@ -315,7 +319,7 @@
     }
 }
 
-fn completed(
+fn apply_completed(
     state: &mut State,
     id: &job::Id,
     now: SystemTime,
@@ -346,7 +350,7 @@
     }
 }
 
-fn failed(
+fn apply_failed(
     state: &mut State,
     id: &job::Id,
     worker: &str,
@@ -357,7 +361,7 @@
         return;
     };
     if matches!(job.phase, Phase::Stopping(..)) {
-        return stopped(state, id, Duration::ZERO, true, now, commands);
+        return apply_stopped(state, id, Duration::ZERO, true, now, commands);
     }
     let spec = job.spec.clone();
     let proven = state.history.has_completed(&spec);
@@ -412,7 +416,7 @@
     job.failures.iter().filter(in_service).count()
 }
 
-fn stopped(
+fn apply_stopped(
     state: &mut State,
     id: &job::Id,
     kept: Duration,
--- a/src/plan/mask.rs
+++ b/src/plan/mask.rs
@@ -4,8 +4,8 @@
 
 /// Returns `count` accelerators of `free`, aligned where possible.
 ///
-/// The choice falls on the tightest aligned power-of-two window with `count`
-/// free accelerators, and among equals on the one whose surroundings are the
+/// They are taken from the tightest aligned power-of-two window with `count`
+/// free accelerators, and among equals from the one whose surroundings are the
 /// least free, so that larger windows stay whole.
 ///
 /// Returns `None` if fewer than `count` are free or `count` is 0.
--- a/src/plan/reserve.rs
+++ b/src/plan/reserve.rs
@@ -50,7 +50,7 @@
                 let Some(other) = state.jobs.get(id) else {
                     continue;
                 };
-                let ends = match other.is_reclaimable() {
+                let ends_at = match other.is_reclaimable() {
                     true => self.now,
                     false => self.now + state.time_left(other, self.now),
                 };
@@ -58,20 +58,20 @@
                 let held = held.into_iter().flatten();
                 for piece in held.filter(|piece| piece.worker == worker) {
                     let mask = piece.mask & allowed;
-                    pieces.push((ends, Piece { worker, mask }));
+                    pieces.push((ends_at, Piece { worker, mask }));
                 }
             }
         }
-        pieces.sort_by_key(|(ends, piece)| (*ends, piece.worker));
+        pieces.sort_by_key(|(ends_at, piece)| (*ends_at, piece.worker));
         let mut reserved = 0;
         let mut ready_at = self.now;
         let mut chosen = Vec::new();
-        for (ends, piece) in pieces {
+        for (ends_at, piece) in pieces {
             if reserved >= job.spec.shape.accelerators {
                 break;
             }
             reserved += piece.len();
-            ready_at = ends;
+            ready_at = ends_at;
             chosen.push(piece);
         }
         (reserved >= job.spec.shape.accelerators).then_some(Reservation {
@@ -85,12 +85,13 @@
     pub(super) fn reserved_mask(
         &self,
         job: &Job,
-        ends: SystemTime,
+        ends_at: SystemTime,
         worker: WorkerIndex,
     ) -> Mask {
         match &self.reservation {
             Some(reservation)
-                if !job.spec.reclaimable() && ends > reservation.ready_at =>
+                if !job.spec.reclaimable()
+                    && ends_at > reservation.ready_at =>
             {
                 mask_on(&reservation.pieces, worker)
             }
--- a/src/plan/schedule.rs
+++ b/src/plan/schedule.rs
@@ -105,7 +105,7 @@
     }
 
     fn place(&mut self, job: &Job, rank: Rank) -> bool {
-        self.start_over_moved_home(job)
+        self.start_and_move_home(job)
             || self.start_in_home(job)
             || self.start_as_borrower(job)
             || self.reclaim_home(job)
@@ -116,7 +116,7 @@
 
     /// Starts a job on any free accelerators to which a block of its account
     /// can move.
-    fn start_over_moved_home(&mut self, job: &Job) -> bool {
+    fn start_and_move_home(&mut self, job: &Job) -> bool {
         for home in self.own_homes(job) {
             if !self.state.has_room(home, job) {
                 continue;
@@ -164,28 +164,28 @@
             return false;
         }
         let state = &*self.state;
-        let ends = self.now + state.time_left(job, self.now);
+        let ends_at = self.now + state.time_left(job, self.now);
         let open = |w: WorkerIndex| {
             self.usable(job, w)
                 & state.free(w)
                 & self.region(job, w)
-                & !self.reserved_mask(job, ends, w)
+                & !self.reserved_mask(job, ends_at, w)
         };
         match self.find(job.spec.shape, open) {
             Some(pieces) => {
                 self.start(&job.spec.id, pieces, None);
                 true
             }
-            None => self.start_over_moved_blocks(job, ends),
+            None => self.start_and_move_blocks(job, ends_at),
         }
     }
 
     /// Starts a job that cannot be stopped on free accelerators that all home
     /// blocks can move off.
-    fn start_over_moved_blocks(
+    fn start_and_move_blocks(
         &mut self,
         job: &Job,
-        ends: SystemTime,
+        ends_at: SystemTime,
     ) -> bool {
         if job.spec.reclaimable() {
             return false;
@@ -194,7 +194,7 @@
         let open = |w: WorkerIndex| {
             self.usable(job, w)
                 & state.free(w)
-                & !self.reserved_mask(job, ends, w)
+                & !self.reserved_mask(job, ends_at, w)
         };
         match self.find(job.spec.shape, open) {
             Some(pieces) if self.state.move_blocks_off(&pieces) => {
@@ -245,9 +245,9 @@
         if !entitled.iter().any(|shape| shape.holds(&job.spec.shape)) {
             return;
         }
-        // Only a block of a shape that the account's jobs leave unused:
-        // releasing another would take the place of the job that needs it
-        // most.
+        // Candidates are blocks of shapes that the account's jobs leave
+        // unused: releasing another would take the place of the job that needs
+        // it most.
         let is_unused = |&home: &HomeIndex| {
             let shape = &self.state.homes[home].shape;
             shape.holds(&job.spec.shape) && entitled.contains(shape)
@@ -325,12 +325,12 @@
             return false;
         }
         let state = &*self.state;
-        let due = |w: WorkerIndex| {
+        let probe_due = |w: WorkerIndex| {
             let worker = &state.workers[w];
             worker.presence == crate::plan::state::Presence::Up
                 && worker.health.is_probe_due(self.now)
         };
-        let open = |w: WorkerIndex| match due(w) {
+        let open = |w: WorkerIndex| match probe_due(w) {
             true => state.vacant(w),
             false => state.free(w),
         };
@@ -340,7 +340,7 @@
         let workers: Vec<WorkerIndex> = pieces
             .iter()
             .map(|piece| piece.worker)
-            .filter(|&w| due(w))
+            .filter(|&w| probe_due(w))
             .collect();
         for worker in workers {
             let health = &mut self.state.workers[worker].health;
--- a/src/plan/state.rs
+++ b/src/plan/state.rs
@@ -22,7 +22,7 @@
 use crate::site::Site;
 use crate::site::WorkerIndex;
 
-/// The least time that a run is predicted to need still.
+/// The shortest predicted time until a run ends.
 const MIN_TIME_LEFT: Duration = Duration::from_secs(1);
 
 /// Whether a worker's agent and VM allow new work. The variant's name is
@@ -262,16 +262,16 @@
     /// Returns the predicted time until a job ends.
     pub fn time_left(&self, job: &Job, now: SystemTime) -> Duration {
         let predicted = self.history.predict(&job.spec);
-        let ran = job.checkpointed + run_time(job, now);
-        match predicted > ran {
-            true => (predicted - ran).max(MIN_TIME_LEFT),
+        let elapsed = job.checkpointed + run_time(job, now);
+        match predicted > elapsed {
+            true => (predicted - elapsed).max(MIN_TIME_LEFT),
             // Run times have a long tail: a run that exceeds its prediction is
             // predicted to need half of its time so far again.
-            false => (ran / 2).max(MIN_TIME_LEFT),
+            false => (elapsed / 2).max(MIN_TIME_LEFT),
         }
     }
 
-    /// Starts `run` of a job: it occupies the run's accelerators.
+    /// Starts a run of a job on the run's accelerators.
     pub fn occupy(&mut self, id: &job::Id, run: Run) {
         let unstoppable = self.is_unstoppable(id);
         for piece in &run.pieces {
@@ -331,14 +331,14 @@
     pub fn unbook(&mut self, id: &job::Id) -> Option<Booking> {
         let job = self.jobs.get_mut(id)?;
         let booking = job.booking.take()?;
-        let waits = matches!(job.phase, Phase::Waiting);
+        let is_waiting = matches!(job.phase, Phase::Waiting);
         for piece in &booking.pieces {
             self.workers[piece.worker].booked &= !piece.mask;
         }
         self.refresh_unstoppable(&booking.pieces);
         self.discharge(id, booking.home, &booking.pieces);
         self.booked.remove(id);
-        if waits {
+        if is_waiting {
             self.waiting.insert(id.clone());
         }
         Some(booking)
@@ -405,8 +405,8 @@
             Some(home) => {
                 self.homes[home].charge(pieces);
                 let account = self.account_of(id);
-                let counted = self.guaranteed.entry(account).or_default();
-                counted.insert(id.clone());
+                let charged = self.guaranteed.entry(account).or_default();
+                charged.insert(id.clone());
             }
             None => {
                 self.account_state_mut(id).borrowed +=
@@ -425,8 +425,8 @@
             Some(home) => {
                 self.homes[home].discharge(pieces);
                 let account = self.account_of(id);
-                if let Some(counted) = self.guaranteed.get_mut(&account) {
-                    counted.remove(id);
+                if let Some(charged) = self.guaranteed.get_mut(&account) {
+                    charged.remove(id);
                 }
             }
             None => {
--- a/src/planner/actor.rs
+++ b/src/planner/actor.rs
@@ -108,11 +108,17 @@
     incarnation: agent::Incarnation,
     /// Since when the agent has not answered.
     unreachable_since: Option<Instant>,
+    /// Whether the agent reports that its worker is leaving.
     leaving: bool,
+    /// Whether the agent reports that its endpoint has stopped answering.
     endpoint_lost: bool,
+    /// Whether the platform's last list holds the worker.
     listed: bool,
+    /// Whether the platform's last list marks the worker as leaving.
     listed_leaving: bool,
+    /// The presence last passed to the decision core.
     reported: Presence,
+    /// The entries of the agent's ledger.
     entries: BTreeMap<gang::Id, agent::Entry>,
 }
 
@@ -154,7 +160,7 @@
     }
 }
 
-/// The stage of a planner's life.
+/// Whether the planner has taken over yet.
 enum Phase {
     /// The planner reads records and ledgers, until the deadline at the
     /// latest.
@@ -180,6 +186,7 @@
     writer: Writer,
     pool: link::Pool,
     document: Arc<Document>,
+    /// When the planner started, on both clocks.
     started: (Instant, SystemTime),
 }
 
@@ -281,7 +288,7 @@
                 self.agent_update(myself, worker, update)
             }
             Message::Launched(gang, outcome) => {
-                self.launched(myself, gang, outcome);
+                self.launch_finished(myself, gang, outcome);
             }
             Message::RecordsWritten(completions) => {
                 self.records_written(myself, completions)
@@ -320,8 +327,8 @@
         let changed = self.presence_events(now);
         let stopped = self.leaderless_events();
         self.resolve_pending(myself);
-        let waits = !self.plan.state().waiting.is_empty();
-        if waits || !changed.is_empty() || !stopped.is_empty() {
+        let has_waiting = !self.plan.state().waiting.is_empty();
+        if has_waiting || !changed.is_empty() || !stopped.is_empty() {
             let events = changed.into_iter().chain(stopped);
             let events = events.chain([Event::Tick]).collect();
             self.step(myself, events);
--- a/src/planner/actor/adoption.rs
+++ b/src/planner/actor/adoption.rs
@@ -48,20 +48,20 @@
     pub(super) fn take_over(
         &mut self,
         myself: &ActorRef<Message>,
-        read: Records,
+        found: Records,
     ) {
         let entries = self.workers.iter().flat_map(|(w, worker_state)| {
             worker_state.entries.values().map(move |e| (w, e))
         });
         let gangs = takeover::collect_gangs(entries);
         let mut events = self.presence_events(Instant::now());
-        let mut known: BTreeSet<job::Id> = BTreeSet::new();
-        let mut unknown = Vec::new();
+        let mut recorded: BTreeSet<job::Id> = BTreeSet::new();
+        let mut given_up = Vec::new();
         let mut cancelled = Vec::new();
-        let open = read.records.into_iter().filter(|r| r.end.is_none());
-        for record in open {
+        let unfinished = found.records.into_iter().filter(|r| r.end.is_none());
+        for record in unfinished {
             let id = record.spec.id.clone();
-            known.insert(id.clone());
+            recorded.insert(id.clone());
             if record.cancelled {
                 cancelled.push(Event::Cancelled { job: id.clone() });
             }
@@ -77,10 +77,10 @@
                 Resolution::Defer => {
                     self.unresolved.insert(id, record);
                 }
-                Resolution::GiveUp => unknown.push(record),
+                Resolution::GiveUp => given_up.push(record),
             }
         }
-        for gang in takeover::unrecorded(&gangs, &known) {
+        for gang in takeover::unrecorded(&gangs, &recorded) {
             let record = unrecorded(&gang);
             events.push(self.adopt(record, false, &gangs[&gang.id]));
         }
@@ -88,10 +88,10 @@
         metrics::get().takeover.record(took, &[]);
         slog::info!(self.config.log, "planner: takes over";
             "cell" => &self.config.cell, "epoch" => self.config.epoch,
-            "records" => known.len(), "gangs" => gangs.len());
+            "records" => recorded.len(), "gangs" => gangs.len());
         events.extend(cancelled);
         self.step(myself, events);
-        for record in unknown {
+        for record in given_up {
             self.give_up(myself, record);
         }
         let workers: Vec<WorkerId> = self.workers.keys().cloned().collect();
--- a/src/planner/actor/commands.rs
+++ b/src/planner/actor/commands.rs
@@ -163,11 +163,12 @@
         &self,
         members: &[Member],
     ) -> Vec<agent::Incarnation> {
-        let worker_state = |member: &Member| self.workers.get(&member.worker);
+        let tracked = |member: &Member| self.workers.get(&member.worker);
         members
             .iter()
             .map(|member| {
-                let incarnation = worker_state(member).map(|h| &h.incarnation);
+                let incarnation =
+                    tracked(member).map(|worker| &worker.incarnation);
                 incarnation.cloned().unwrap_or_default()
             })
             .collect()
@@ -188,7 +189,7 @@
         });
     }
 
-    pub(super) fn launched(
+    pub(super) fn launch_finished(
         &mut self,
         myself: &ActorRef<Message>,
         id: gang::Id,
--- a/src/planner/links.rs
+++ b/src/planner/links.rs
@@ -23,7 +23,8 @@
 const MIN_HEARTBEAT: Duration = Duration::from_secs(2);
 /// The longest time that an agent waits for a change.
 const MAX_HEARTBEAT: Duration = Duration::from_secs(9);
-/// How much longer agents wait for each worker of the cell.
+/// What each worker of the cell adds to the time that an agent waits for a
+/// change.
 const HEARTBEAT_PER_WORKER: Duration = Duration::from_millis(30);
 /// The longest wait between two attempts to connect.
 const MAX_RECONNECT_WAIT: Duration = Duration::from_millis(400);
@@ -104,7 +105,7 @@
     async fn run(self) {
         loop {
             if let Ok(client) = link::connect(&self.address).await {
-                self.listen(&client).await;
+                self.watch_agent(&client).await;
             }
             if self.send(Update::Unreachable).is_err() {
                 return;
@@ -115,7 +116,7 @@
         }
     }
 
-    async fn listen(&self, client: &Arc<WsClient>) {
+    async fn watch_agent(&self, client: &Arc<WsClient>) {
         let mut since = 0;
         loop {
             let heartbeat = *self.heartbeat.borrow();
--- a/src/planner/writer.rs
+++ b/src/planner/writer.rs
@@ -219,11 +219,11 @@
 
     fn complete(&mut self, batch: Batch) {
         for (key, written) in &batch {
-            let newer = self
+            let has_newer = self
                 .pending
                 .get(key)
                 .is_some_and(|pending| pending.value != written.value);
-            match newer {
+            match has_newer {
                 true => {
                     if let Some(pending) = self.pending.get_mut(key) {
                         pending.create = false;
@@ -234,9 +234,9 @@
                 }
             }
         }
-        let done =
+        let completions =
             batch.into_iter().flat_map(|(_, p)| p.completions).collect();
-        let _ = self.planner.cast(Message::RecordsWritten(done));
+        let _ = self.planner.cast(Message::RecordsWritten(completions));
     }
 
     fn report_existing(&mut self, key: &str, items: &[store::Item]) {
