--- a/src/plan/event.rs
+++ b/src/plan/event.rs
@@ -19,7 +19,8 @@
         /// The account's present guarantee and limits.
         terms: Account,
     },
-    /// A client account was removed; its jobs run to their end.
+    /// A client account was removed: its running jobs run on, and those that
+    /// were never started are refused.
     AccountRemoved {
         /// The account's name.
         account: account::Id,
--- a/src/plan/mask.rs
+++ b/src/plan/mask.rs
@@ -4,9 +4,9 @@
 
 /// Returns `count` accelerators of `free`, aligned where possible.
 ///
-/// They are taken from the tightest aligned power-of-two window with `count`
-/// free accelerators, and among equals from the one whose surroundings are the
-/// least free, so that larger windows stay whole.
+/// The accelerators are chosen from the tightest aligned power-of-two window
+/// with `count` free ones, and among equals from the one whose surroundings
+/// are the least free, so that larger windows stay whole.
 ///
 /// Returns `None` if fewer than `count` are free or `count` is 0.
 pub fn choose(free: Mask, count: u32) -> Option<Mask> {
--- a/src/planner/actor/admission.rs
+++ b/src/planner/actor/admission.rs
@@ -162,8 +162,9 @@
     }
 
     pub(super) fn status(&mut self, wait: Await, reply: Reply) {
-        let told = self.jobs.get(&wait.job).map(|entry| entry.end_visible);
-        match told {
+        let end_visible =
+            self.jobs.get(&wait.job).map(|entry| entry.end_visible);
+        match end_visible {
             Some(false) if wait.within_ms > 0 => {
                 let within = Duration::from_millis(wait.within_ms);
                 let deadline = Instant::now() + within;
--- a/src/planner/links.rs
+++ b/src/planner/links.rs
@@ -23,8 +23,7 @@
 const MIN_HEARTBEAT: Duration = Duration::from_secs(2);
 /// The longest time that an agent waits for a change.
 const MAX_HEARTBEAT: Duration = Duration::from_secs(9);
-/// What each worker of the cell adds to the time that an agent waits for a
-/// change.
+/// The part of an agent's wait for a change that each worker of the cell adds.
 const HEARTBEAT_PER_WORKER: Duration = Duration::from_millis(30);
 /// The longest wait between two attempts to connect.
 const MAX_RECONNECT_WAIT: Duration = Duration::from_millis(400);
@@ -36,7 +35,7 @@
     wanted.clamp(MIN_HEARTBEAT, MAX_HEARTBEAT)
 }
 
-/// What a planner sends with each watch request.
+/// The planner's part of a watch request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Heartbeat {
     /// The planner's epoch and configuration revision.
--- a/src/planner/writer.rs
+++ b/src/planner/writer.rs
@@ -39,11 +39,12 @@
     pub value: Vec<u8>,
     /// Whether the write must create the key.
     pub create: bool,
-    /// What the planner is notified of once the record is written.
+    /// The completion that the planner is notified of once the record is
+    /// written.
     pub completion: Option<Completion>,
 }
 
-/// What a finished write completes.
+/// The step of a job that a finished write completes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Completion {
     /// The job is accepted.
