--- a/src/plan/block.rs
+++ b/src/plan/block.rs
@@ -1,6 +1,7 @@
-//! Moving home blocks: onto what their owner uses, and out of the way.
+//! Moves home blocks: onto the accelerators that their owner uses, and away
+//! from accelerators that others need.
 //!
-//! Every move is made as a whole or not at all.
+//! A move is made completely or not at all.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,7 +14,7 @@
 use crate::plan::home::HomeIndex;
 use crate::plan::place;
 use crate::plan::place::Spread;
-use crate::plan::state::count;
+use crate::plan::state::accelerator_count;
 use crate::plan::state::Job;
 use crate::plan::state::State;
 use crate::site::Mask;
@@ -21,21 +22,21 @@
 use crate::site::Shape;
 use crate::site::WorkerIndex;
 
-/// Where all blocks are, to go back to.
+/// The positions of all home blocks, for rollback.
 pub(super) struct Snapshot {
     homes: Vec<Home>,
     masks: Vec<Mask>,
 }
 
-/// What counts towards which block, to go back to.
-pub(super) struct Counts {
+/// The positions of all home blocks and what is charged to them, for rollback.
+pub(super) struct UsageSnapshot {
     snapshot: Snapshot,
     borrowed: Vec<(account::Id, u32)>,
     homes: Vec<(job::Id, HomeIndex)>,
     guaranteed: BTreeMap<account::Id, BTreeSet<job::Id>>,
 }
 
-/// Returns pieces with those of one worker put together.
+/// Returns `pieces` with one piece per worker.
 fn merged<'a>(pieces: impl Iterator<Item = &'a Piece>) -> Vec<Piece> {
     let mut masks: BTreeMap<WorkerIndex, Mask> = BTreeMap::new();
     for piece in pieces {
@@ -48,13 +49,14 @@
 }
 
 impl State {
-    /// Returns a place for a block that covers what its owner uses of it.
-    pub(super) fn block(&self, index: HomeIndex) -> Option<Vec<Piece>> {
+    /// Returns accelerators for a block that include all that is charged to
+    /// it, or `None` if there are none.
+    pub(super) fn find_place(&self, index: HomeIndex) -> Option<Vec<Piece>> {
         let home = &self.homes[index];
-        let open = |worker: WorkerIndex| {
-            let books = &self.workers[worker];
-            match books.is_open() {
-                true => self.site.whole() & !books.home & !books.stuck,
+        let open = |worker_index: WorkerIndex| {
+            let worker = &self.workers[worker_index];
+            match worker.is_open() {
+                true => self.site.whole() & !worker.home & !worker.unstoppable,
                 false => 0,
             }
         };
@@ -65,10 +67,12 @@
                     place::find(&self.site, home.shape, spread, open)
                 });
         };
-        // A job about to take another's place is counted beside it.
+        // The booking of a job that displaces another overlaps the other's run
+        // while both are charged, so their pieces are merged.
         let used = merged(home.used.iter());
         let within = home.shape.within;
-        // What is about to be displaced may still count towards another.
+        // Accelerators of a run that is about to be displaced may still be
+        // charged to another block.
         let contested =
             |piece: &Piece| self.workers[piece.worker].home & piece.mask != 0;
         if used.iter().any(contested) {
@@ -78,32 +82,36 @@
             return None;
         }
         let missing = Shape {
-            accelerators: home.shape.accelerators.checked_sub(count(&used))?,
+            accelerators: home
+                .shape
+                .accelerators
+                .checked_sub(accelerator_count(&used))?,
             within,
         };
-        let rest = |w: WorkerIndex| open(w) & !mask_on(&used, w);
+        let remaining = |w: WorkerIndex| open(w) & !mask_on(&used, w);
         let domain = self
             .site
             .domains(within)
             .find(|domain| domain.contains(&first.worker))?;
         let spread = Spread::Remainders;
-        let more = place::gather(&self.site, domain, missing, spread, &rest)?;
-        Some(merged(used.iter().chain(&more)))
+        let added =
+            place::gather(&self.site, domain, missing, spread, &remaining)?;
+        Some(merged(used.iter().chain(&added)))
     }
 
-    /// Counts `pieces`, which the owner is about to use, towards a block,
-    /// and moves it and all blocks in the way. Changes nothing and returns
-    /// false if one would have no place.
+    /// Moves a block over `pieces`, which its owner is about to use, and moves
+    /// all other blocks off them. Returns whether every block has a place; if
+    /// one would have none, nothing changes.
     pub fn cover(&mut self, index: HomeIndex, pieces: &[Piece]) -> bool {
-        // A block on a worker that takes no work would be no promise.
+        // A block on a worker that takes no new work could not be handed out.
         if !pieces.iter().all(|p| self.workers[p.worker].is_open()) {
             return false;
         }
         let before = self.snapshot();
         self.homes[index].charge(pieces);
-        self.lift_block(index);
-        let moved = self.lift_overlapping(pieces);
-        let placed = self.place_home(index) && self.place_all(&moved);
+        self.clear_place(index);
+        let moved = self.clear_overlapping(pieces);
+        let placed = self.place_home(index) && self.place_listed(&moved);
         self.homes[index].discharge(pieces);
         if !placed {
             self.restore(before);
@@ -111,20 +119,23 @@
         placed
     }
 
-    /// Moves all blocks off `pieces`, which somebody is about to use who
-    /// cannot be stopped. Changes nothing and returns false if one would
-    /// have no place.
-    pub fn make_way(&mut self, pieces: &[Piece]) -> bool {
+    /// Moves all blocks off `pieces`, which a job that cannot be stopped is
+    /// about to use. Returns whether every block has a place; if one would
+    /// have none, nothing changes.
+    pub fn move_blocks_off(&mut self, pieces: &[Piece]) -> bool {
         let before = self.snapshot();
-        let moved = self.lift_overlapping(pieces);
-        let stuck: Vec<Mask> =
-            self.workers.iter().map(|books| books.stuck).collect();
+        let moved = self.clear_overlapping(pieces);
+        let unstoppable: Vec<Mask> = self
+            .workers
+            .iter()
+            .map(|worker| worker.unstoppable)
+            .collect();
         for piece in pieces {
-            self.workers[piece.worker].stuck |= piece.mask;
+            self.workers[piece.worker].unstoppable |= piece.mask;
         }
-        let placed = self.place_all(&moved);
-        for (books, stuck) in self.workers.iter_mut().zip(stuck) {
-            books.stuck = stuck;
+        let placed = self.place_listed(&moved);
+        for (worker, unstoppable) in self.workers.iter_mut().zip(unstoppable) {
+            worker.unstoppable = unstoppable;
         }
         if !placed {
             self.restore(before);
@@ -132,30 +143,32 @@
         placed
     }
 
-    /// Empties a block of its owner's jobs, so that one that needs all of
-    /// it can have it: they count towards other shapes, or as borrowers.
-    /// Changes nothing and returns false if one can be neither.
-    pub fn vacate(&mut self, index: HomeIndex) -> bool {
-        let before = self.clone_counts();
-        let runs = self
-            .ids(|job| job.run().is_some_and(|run| run.home == Some(index)));
-        let booked = self.ids(|job| {
+    /// Releases a block from its owner's jobs, so that a job that needs all of
+    /// it can use it. The jobs are charged to other blocks of the account or
+    /// count as borrowers. If one can do neither, nothing changes and `false`
+    /// is returned.
+    pub fn vacate_home(&mut self, index: HomeIndex) -> bool {
+        let before = self.usage_snapshot();
+        let runs = self.job_ids(|job| {
+            job.run().is_some_and(|run| run.home == Some(index))
+        });
+        let booked = self.job_ids(|job| {
             let booking = job.booking.as_ref();
             booking.is_some_and(|booking| booking.home == Some(index))
         });
-        let gone = booked.is_empty()
-            && runs.iter().all(|id| self.count_elsewhere(id, index));
-        let placed = gone && {
-            self.lift_block(index);
+        let all_recharged = booked.is_empty()
+            && runs.iter().all(|id| self.charge_elsewhere(id, index));
+        let placed = all_recharged && {
+            self.clear_place(index);
             self.place_home(index)
         };
         if !placed {
-            self.restore_counts(before);
+            self.restore_usage(before);
         }
         placed
     }
 
-    pub(super) fn count_elsewhere(
+    pub(super) fn charge_elsewhere(
         &mut self,
         id: &job::Id,
         from: HomeIndex,
@@ -167,22 +180,23 @@
             return false;
         };
         let mut others: Vec<HomeIndex> = (0..self.homes.len())
-            .filter(|&at| at != from && self.has_room(at, &job))
+            .filter(|&other| other != from && self.has_room(other, &job))
             .collect();
-        others.sort_by_key(|&at| self.homes[at].shape.accelerators);
-        // The job must not count twice while its new block is sought.
-        self.adopt_home(id, None);
+        others.sort_by_key(|&index| self.homes[index].shape.accelerators);
+        // The job must not be charged twice while a new block is sought.
+        self.set_home(id, None);
         for other in others {
             if self.cover(other, &run.pieces) {
-                self.adopt_home(id, Some(other));
+                self.set_home(id, Some(other));
                 return true;
             }
         }
-        let tenant = &self.tenants[&job.spec.account];
-        tenant.borrowed <= tenant.terms.borrow
+        let account_state = &self.accounts[&job.spec.account];
+        account_state.borrowed <= account_state.terms.borrow
     }
 
-    /// Returns whether a block of the job's account has room for it.
+    /// Returns whether the block belongs to the job's account and has enough
+    /// uncharged accelerators for the job.
     pub fn has_room(&self, index: HomeIndex, job: &Job) -> bool {
         let home = &self.homes[index];
         let used: u32 = home.used.iter().map(Piece::len).sum();
@@ -192,67 +206,71 @@
                 >= job.spec.shape.accelerators
     }
 
-    pub(super) fn lift_overlapping(
+    pub(super) fn clear_overlapping(
         &mut self,
         pieces: &[Piece],
     ) -> Vec<HomeIndex> {
         let overlaps = |home: &Home| {
-            let hit = |p: &Piece| mask_on(&home.pieces, p.worker) & p.mask;
-            pieces.iter().any(|piece| hit(piece) != 0)
+            let overlap = |p: &Piece| mask_on(&home.pieces, p.worker) & p.mask;
+            pieces.iter().any(|piece| overlap(piece) != 0)
         };
-        let lifted: Vec<HomeIndex> = (0..self.homes.len())
-            .filter(|&at| overlaps(&self.homes[at]))
+        let cleared: Vec<HomeIndex> = (0..self.homes.len())
+            .filter(|&index| overlaps(&self.homes[index]))
             .collect();
-        for index in &lifted {
-            self.lift_block(*index);
+        for index in &cleared {
+            self.clear_place(*index);
         }
-        lifted
+        cleared
     }
 
-    pub(super) fn place_all(&mut self, indices: &[HomeIndex]) -> bool {
-        let shapes: Vec<Shape> =
-            indices.iter().map(|&at| self.homes[at].shape).collect();
+    pub(super) fn place_listed(&mut self, indices: &[HomeIndex]) -> bool {
+        let shapes: Vec<Shape> = indices
+            .iter()
+            .map(|&index| self.homes[index].shape)
+            .collect();
         largest_first(&shapes)
             .into_iter()
-            .all(|at| self.place_home(indices[at]))
+            .all(|index| self.place_home(indices[index]))
     }
 
     pub(super) fn snapshot(&self) -> Snapshot {
         Snapshot {
             homes: self.homes.clone(),
-            masks: self.workers.iter().map(|books| books.home).collect(),
+            masks: self.workers.iter().map(|worker| worker.home).collect(),
         }
     }
 
     pub(super) fn restore(&mut self, before: Snapshot) {
         self.homes = before.homes;
-        for (books, mask) in self.workers.iter_mut().zip(before.masks) {
-            books.home = mask;
+        for (worker, mask) in self.workers.iter_mut().zip(before.masks) {
+            worker.home = mask;
         }
     }
 
-    pub(super) fn clone_counts(&self) -> Counts {
-        let borrowed = self.tenants.iter();
+    pub(super) fn usage_snapshot(&self) -> UsageSnapshot {
+        let borrowed = self.accounts.iter();
         let homes = self.jobs.iter().filter_map(|(id, job)| {
             let home = job.run()?.home?;
             Some((id.clone(), home))
         });
-        Counts {
+        UsageSnapshot {
             snapshot: self.snapshot(),
             borrowed: borrowed
-                .map(|(id, tenant)| (id.clone(), tenant.borrowed))
+                .map(|(id, account_state)| {
+                    (id.clone(), account_state.borrowed)
+                })
                 .collect(),
             homes: homes.collect(),
             guaranteed: self.guaranteed.clone(),
         }
     }
 
-    pub(super) fn restore_counts(&mut self, before: Counts) {
+    pub(super) fn restore_usage(&mut self, before: UsageSnapshot) {
         self.restore(before.snapshot);
         self.guaranteed = before.guaranteed;
         for (id, borrowed) in before.borrowed {
-            if let Some(tenant) = self.tenants.get_mut(&id) {
-                tenant.borrowed = borrowed;
+            if let Some(account_state) = self.accounts.get_mut(&id) {
+                account_state.borrowed = borrowed;
             }
         }
         for (id, home) in before.homes {
--- a/src/plan/compact.rs
+++ b/src/plan/compact.rs
@@ -1,4 +1,4 @@
-//! Moving small jobs together, so that whole workers become free.
+//! Moves small jobs together, so that whole workers become free.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 use crate::plan::place;
 use crate::plan::place::Spread;
 use crate::plan::schedule;
-use crate::plan::state::ran;
+use crate::plan::state::run_time;
 use crate::plan::state::Booking;
 use crate::plan::state::Job;
 use crate::plan::state::Phase;
@@ -25,48 +25,48 @@
 use crate::site::Within;
 use crate::site::WorkerIndex;
 
-/// How long a job must still run, at least, for a move to pay. It is
-/// divided by the weight of fragmentation.
-const WORTH: Duration = Duration::from_secs(10);
-/// How long a job stays where it is after a start.
-const REST: Duration = Duration::from_secs(15);
-/// How many moves may be under way at once.
-const MAX_MOVES: usize = 4;
+/// The shortest remaining run time for which a move pays, divided by the
+/// weight of fragmentation.
+const MIN_TIME_LEFT: Duration = Duration::from_secs(10);
+/// How long a job has to run after a start before it may be moved.
+const MIN_RUN_TIME: Duration = Duration::from_secs(15);
+/// How many moves may be in progress at once.
+const MAX_CONCURRENT_MOVES: usize = 4;
 
-/// Empties one worker into the free remainders of others, if that makes a
-/// whole worker free that need not be in use.
+/// Moves all jobs of one worker to free remainders of others, if fewer workers
+/// are entirely free than the free accelerators could make up.
 pub fn run(
     state: &mut State,
     policy: &Policy,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
-    if policy.weight_fragmentation <= 0.0 || !is_scattered(state) {
+    if policy.weight_fragmentation <= 0.0 || !is_fragmented(state) {
         return;
     }
-    if moves_under_way(state) >= MAX_MOVES {
+    if active_moves(state) >= MAX_CONCURRENT_MOVES {
         return;
     }
-    let worth = WORTH.div_f64(policy.weight_fragmentation);
+    let min_time_left = MIN_TIME_LEFT.div_f64(policy.weight_fragmentation);
     for source in sources(state) {
-        if let Some(moves) = moves(state, source, worth, now) {
-            for one in &moves {
-                shift(state, one, out);
+        if let Some(moves) = moves(state, source, min_time_left, now) {
+            for planned_move in &moves {
+                start_move(state, planned_move, commands);
             }
             return;
         }
     }
 }
 
-fn is_scattered(state: &State) -> bool {
+fn is_fragmented(state: &State) -> bool {
     let whole = state.site.accelerators();
-    let frees = || (0..state.workers.len()).map(|w| state.free(w));
-    let free: u32 = frees().map(Mask::count_ones).sum();
-    let wholes = frees().filter(|f| f.count_ones() == whole).count();
-    (wholes as u32) < free / whole
+    let free_masks = || (0..state.workers.len()).map(|w| state.free(w));
+    let free: u32 = free_masks().map(Mask::count_ones).sum();
+    let whole_count = free_masks().filter(|f| f.count_ones() == whole).count();
+    (whole_count as u32) < free / whole
 }
 
-fn moves_under_way(state: &State) -> usize {
+fn active_moves(state: &State) -> usize {
     state
         .booked
         .iter()
@@ -75,12 +75,12 @@
         .count()
 }
 
-/// Returns the workers in part use, the least used first.
+/// Returns the partly used workers without bookings, the least used first.
 fn sources(state: &State) -> Vec<WorkerIndex> {
     let mut sources: Vec<(u32, WorkerIndex)> = (0..state.workers.len())
         .filter(|&w| {
-            let books = &state.workers[w];
-            books.is_open() && books.used != 0 && books.booked == 0
+            let worker = &state.workers[w];
+            worker.is_open() && worker.used != 0 && worker.booked == 0
         })
         .map(|w| (state.workers[w].used.count_ones(), w))
         .filter(|(used, _)| *used < state.site.accelerators())
@@ -89,11 +89,12 @@
     sources.into_iter().map(|(_, w)| w).collect()
 }
 
-/// Returns where each job of `source` can go, if all can go.
+/// Returns a destination for each job of `source`, or `None` if one cannot
+/// move.
 fn moves(
     state: &State,
     source: WorkerIndex,
-    worth: Duration,
+    min_time_left: Duration,
     now: SystemTime,
 ) -> Option<Vec<Move>> {
     let mut jobs: Vec<&Job> = state.workers[source]
@@ -101,7 +102,10 @@
         .iter()
         .filter_map(|id| state.jobs.get(id))
         .collect();
-    if !jobs.iter().all(|job| is_movable(state, job, worth, now)) {
+    if !jobs
+        .iter()
+        .all(|job| is_movable(state, job, min_time_left, now))
+    {
         return None;
     }
     jobs.sort_by_key(|job| Reverse(job.spec.shape.accelerators));
@@ -113,7 +117,7 @@
     Some(moves)
 }
 
-/// A job and where it goes.
+/// A job and its destination.
 #[derive(Clone, Debug)]
 struct Move {
     id: job::Id,
@@ -127,18 +131,18 @@
     }
 }
 
-/// Makes room for a job that waits, by moving others into free remainders
-/// elsewhere. Returns whether it did; the job is booked then.
+/// Makes room for a waiting job by moving others to free remainders elsewhere.
+/// Returns whether room was found; the job is then booked.
 pub fn make_room(
     state: &mut State,
     policy: &Policy,
     job: &Job,
     region: &impl Fn(&State, WorkerIndex) -> Mask,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) -> bool {
     let weight = policy.weight_fragmentation;
-    if weight <= 0.0 || moves_under_way(state) >= MAX_MOVES {
+    if weight <= 0.0 || active_moves(state) >= MAX_CONCURRENT_MOVES {
         return false;
     }
     let free: u32 = (0..state.workers.len())
@@ -147,8 +151,8 @@
     if free < job.spec.shape.accelerators {
         return false;
     }
-    let worth = WORTH.div_f64(weight);
-    let Some(room) = find_room(state, job, region, worth, now) else {
+    let min_time_left = MIN_TIME_LEFT.div_f64(weight);
+    let Some(room) = find_room(state, job, region, min_time_left, now) else {
         return false;
     };
     let pending = room.moves.iter().map(|m| m.id.clone()).collect();
@@ -157,16 +161,16 @@
         home: None,
         pending,
     };
-    // Booked before anything moves: a block that moves along must not come
-    // to lie where this job cannot be stopped.
+    // The booking comes before the moves: otherwise a home block that moves
+    // along could be placed where this job cannot be stopped.
     state.book(&job.spec.id, booking);
-    for one in &room.moves {
-        shift(state, one, out);
+    for planned_move in &room.moves {
+        start_move(state, planned_move, commands);
     }
     true
 }
 
-/// Accelerators for a job, and who has to move away first.
+/// Accelerators for a job, and the moves that free them.
 struct Room {
     pieces: Vec<Piece>,
     moves: Vec<Move>,
@@ -176,7 +180,7 @@
     state: &State,
     job: &Job,
     region: &impl Fn(&State, WorkerIndex) -> Mask,
-    worth: Duration,
+    min_time_left: Duration,
     now: SystemTime,
 ) -> Option<Room> {
     let shape = job.spec.shape;
@@ -187,16 +191,18 @@
     state
         .site
         .domains(within)
-        .filter_map(|domain| room_in(state, shape, domain, region, worth, now))
+        .filter_map(|domain| {
+            room_in_domain(state, shape, domain, region, min_time_left, now)
+        })
         .min_by_key(|room| room.moves.len())
 }
 
-fn room_in(
+fn room_in_domain(
     state: &State,
     shape: Shape,
     domain: &[WorkerIndex],
     region: &impl Fn(&State, WorkerIndex) -> Mask,
-    worth: Duration,
+    min_time_left: Duration,
     now: SystemTime,
 ) -> Option<Room> {
     let open = |w: WorkerIndex| state.free(w) & region(state, w);
@@ -207,7 +213,7 @@
         .filter(|&&w| state.workers[w].is_open())
         .flat_map(|&w| &state.workers[w].jobs)
         .filter_map(|id| state.jobs.get(id))
-        .filter(|job| is_movable(state, job, worth, now))
+        .filter(|job| is_movable(state, job, min_time_left, now))
         .filter(|job| {
             let pieces = job.run().map(|run| &run.pieces);
             pieces
@@ -216,7 +222,8 @@
                 .all(|piece| piece.mask & !region(state, piece.worker) == 0)
         })
         .collect();
-    // The smallest that is enough goes, else the largest: few moves.
+    // To keep moves few, the smallest sufficient job is moved, or the largest
+    // if none suffices.
     jobs.sort_by_key(|job| Reverse(job.spec.shape.accelerators));
     let mut moves: Vec<Move> = Vec::new();
     let mut freed: Vec<Piece> = Vec::new();
@@ -225,8 +232,10 @@
             .iter()
             .rposition(|job| job.spec.shape.accelerators >= missing);
         let job = match enough {
-            _ if jobs.is_empty() || moves.len() >= MAX_MOVES => return None,
-            Some(at) => jobs.remove(at),
+            _ if jobs.is_empty() || moves.len() >= MAX_CONCURRENT_MOVES => {
+                return None
+            }
+            Some(index) => jobs.remove(index),
             None => jobs.remove(0),
         };
         let Some(to) = destination(state, domain, job, &moves, false) else {
@@ -245,7 +254,7 @@
 fn is_movable(
     state: &State,
     job: &Job,
-    worth: Duration,
+    min_time_left: Duration,
     now: SystemTime,
 ) -> bool {
     let single = job.run().is_some_and(|run| run.pieces.len() == 1);
@@ -254,13 +263,13 @@
         && job.booking.is_none()
         && job.spec.checkpoint
         && !job.spec.urgent
-        && ran(job, now) >= REST
-        && state.time_left(job, now) >= worth
-        && may_go(state, job)
+        && run_time(job, now) >= MIN_RUN_TIME
+        && state.time_left(job, now) >= min_time_left
+        && may_leave_home(state, job)
 }
 
-/// Returns the tightest remainder outside `sources` that holds the job, on
-/// a worker in use unless `anywhere`.
+/// Returns the tightest free remainder outside `sources` that holds the job,
+/// on a worker in use unless `anywhere`.
 fn destination(
     state: &State,
     sources: &[WorkerIndex],
@@ -280,29 +289,33 @@
         })
         .filter(|(room, _, _)| *room >= needed)
         .min_by_key(|(room, w, _)| (*room, *w))?;
-    let mask = mask::take(open, needed)?;
+    let mask = mask::choose(open, needed)?;
     Some(Piece { worker, mask })
 }
 
-/// Returns whether a job that counts towards a shape may become a borrower
-/// while it moves.
-fn may_go(state: &State, job: &Job) -> bool {
-    let counts = job.run().is_some_and(|run| run.home.is_some());
-    let may_borrow = state.tenants.get(&job.spec.account).is_some_and(|t| {
+/// Returns whether a job may run as a borrower while it moves; a job that is
+/// charged to no home block does so already.
+fn may_leave_home(state: &State, job: &Job) -> bool {
+    let is_charged = job.run().is_some_and(|run| run.home.is_some());
+    let may_borrow = state.accounts.get(&job.spec.account).is_some_and(|t| {
         t.borrowed + job.spec.shape.accelerators <= t.terms.borrow
     });
-    may_borrow || !counts
+    may_borrow || !is_charged
 }
 
-/// Books the destination for the job itself, and tells it to stop.
-fn shift(state: &mut State, one: &Move, out: &mut Vec<Command>) {
-    let Move { id, to } = one;
+/// Books the destination for the job itself, and stops the job.
+fn start_move(
+    state: &mut State,
+    planned_move: &Move,
+    commands: &mut Vec<Command>,
+) {
+    let Move { id, to } = planned_move;
     let home = state
         .jobs
         .get(id)
         .cloned()
         .and_then(|job| state.cover_any(&job, &[*to]));
-    schedule::stop(state, id, Reason::Compact, out);
+    schedule::stop(state, id, Reason::Compact, commands);
     let booking = Booking {
         pieces: vec![*to],
         home,
--- a/src/plan/home.rs
+++ b/src/plan/home.rs
@@ -1,15 +1,15 @@
-//! Home blocks: the concrete accelerators behind each guaranteed shape.
+//! Home blocks: the concrete accelerators that are reserved for each
+//! guaranteed shape.
 //!
-//! Home blocks are disjoint, and nobody but the owner runs a job there that
-//! cannot be stopped. So that every unused guaranteed shape can be had
-//! within the reclaim time, by all client accounts at once, is seen by
-//! looking at one block at a time.
+//! Home blocks are disjoint, and no job that cannot be stopped runs in one
+//! unless it belongs to the owner. Each block can therefore be checked by
+//! itself to show that all client accounts together can have their unused
+//! guaranteed shapes within the reclaim time.
 //!
-//! A block is a promise, not a place: it moves for free. A job that counts
-//! towards a shape may run anywhere that the shape's block can move to, and
-//! a job that cannot be stopped may borrow anywhere that all blocks in its
-//! way can move from. A move that leaves any block without a place is not
-//! made.
+//! Moving an unused block costs nothing. A job that is charged to a block may
+//! run anywhere that the block can move to, and a job that cannot be stopped
+//! may borrow anywhere that all blocks in its way can move away from. A move
+//! that leaves any block without a place is not made.
 
 use crate::account;
 use crate::job;
@@ -24,19 +24,21 @@
 use crate::site::Site;
 use crate::site::WorkerIndex;
 
-/// The position of a home block.
+/// The position of a home block in the state's list.
 pub type HomeIndex = usize;
 
-/// The accelerators behind one guaranteed shape.
+/// The accelerators reserved for one guaranteed shape.
 #[derive(Clone, Debug)]
 pub struct Home {
-    /// Its owner; `None` once the guarantee is gone.
+    /// The account that the block belongs to; `None` once the guarantee is
+    /// removed.
     pub owner: Option<account::Id>,
     /// The guaranteed shape.
     pub shape: Shape,
-    /// Where it is; empty while there is no place for it.
+    /// Where the block is; empty while there is no place for it.
     pub pieces: Vec<Piece>,
-    /// What the owner's jobs and bookings have of it.
+    /// The accelerators of the owner's jobs and bookings that are charged to
+    /// the block.
     pub used: Vec<Piece>,
 }
 
@@ -46,12 +48,14 @@
         !self.pieces.is_empty()
     }
 
-    /// Returns whether the owner uses any of it.
+    /// Returns whether any job or booking of the owner is charged to the
+    /// block.
     pub fn is_used(&self) -> bool {
         !self.used.is_empty()
     }
 
-    /// Returns the accelerators on `worker` that the owner does not use.
+    /// Returns the block's accelerators on `worker` that the owner does not
+    /// use.
     pub fn unused(&self, worker: WorkerIndex) -> Mask {
         mask_on(&self.pieces, worker) & !mask_on(&self.used, worker)
     }
@@ -63,16 +67,16 @@
         })
     }
 
-    /// Counts `pieces` as used by the owner.
+    /// Charges `pieces` to the block.
     pub fn charge(&mut self, pieces: &[Piece]) {
         self.used.extend_from_slice(pieces);
     }
 
-    /// Counts `pieces` as no longer used by the owner.
+    /// Removes `pieces` from what is charged to the block.
     pub fn discharge(&mut self, pieces: &[Piece]) {
         for piece in pieces {
-            if let Some(at) = self.used.iter().position(|x| x == piece) {
-                self.used.swap_remove(at);
+            if let Some(index) = self.used.iter().position(|x| x == piece) {
+                self.used.swap_remove(index);
             }
         }
     }
@@ -86,22 +90,22 @@
         .fold(0, |mask, piece| mask | piece.mask)
 }
 
-/// Returns places for `shapes` on an otherwise empty site in full health,
-/// in their order, `None` for each that does not fit.
+/// Returns places for `shapes` on an empty site in full health, in the order
+/// of `shapes`; `None` for each that does not fit.
 pub fn pack(site: &Site, shapes: &[Shape]) -> Vec<Option<Vec<Piece>>> {
     let mut open = vec![site.whole(); site.workers().len()];
     let mut places = vec![None; shapes.len()];
-    for at in largest_first(shapes) {
+    for index in largest_first(shapes) {
         let spread = Spread::Whole;
-        let found = place::find(site, shapes[at], spread, |w| open[w])
+        let found = place::find(site, shapes[index], spread, |w| open[w])
             .or_else(|| {
                 let spread = Spread::Remainders;
-                place::find(site, shapes[at], spread, |w| open[w])
+                place::find(site, shapes[index], spread, |w| open[w])
             });
         for piece in found.iter().flatten() {
             open[piece.worker] &= !piece.mask;
         }
-        places[at] = found;
+        places[index] = found;
     }
     places
 }
@@ -109,18 +113,19 @@
 /// Returns positions of `shapes`, the hardest to place first.
 pub(super) fn largest_first(shapes: &[Shape]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..shapes.len()).collect();
-    order.sort_by_key(|&at| {
-        let shape = shapes[at];
-        (std::cmp::Reverse(shape.accelerators), shape.within, at)
+    order.sort_by_key(|&index| {
+        let shape = shapes[index];
+        (std::cmp::Reverse(shape.accelerators), shape.within, index)
     });
     order
 }
 
 impl State {
-    /// Brings home blocks in line with the client accounts' guarantees.
+    /// Adds and removes home blocks so that they match the account's
+    /// guarantee.
     pub fn sync_homes(&mut self, account: &account::Id) {
-        let wanted = match self.tenants.get(account) {
-            Some(tenant) => tenant.terms.guarantee.clone(),
+        let wanted = match self.accounts.get(account) {
+            Some(account_state) => account_state.terms.guarantee.clone(),
             None => Vec::new(),
         };
         let mut missing = wanted;
@@ -130,11 +135,11 @@
             }
             let shape = self.homes[index].shape;
             match missing.iter().position(|x| *x == shape) {
-                Some(at) => {
-                    missing.swap_remove(at);
+                Some(position) => {
+                    missing.swap_remove(position);
                 }
                 None => {
-                    let demoted = self.unplace(index);
+                    let demoted = self.unplace_home(index);
                     self.homes[index].owner = None;
                     self.promote(&demoted);
                 }
@@ -149,11 +154,12 @@
             });
         }
         self.homes_dirty = true;
-        self.sync_nominal();
+        self.update_nominal();
     }
 
-    /// Works out anew what no guarantee needs on the whole site in health.
-    pub fn sync_nominal(&mut self) {
+    /// Recomputes the accelerators that no guarantee needs on a site in full
+    /// health.
+    pub fn update_nominal(&mut self) {
         let shapes: Vec<Shape> = self
             .homes
             .iter()
@@ -161,79 +167,80 @@
             .map(|home| home.shape)
             .collect();
         let whole = self.site.whole();
-        self.open_nominal = vec![whole; self.workers.len()];
+        self.nominal_unguaranteed = vec![whole; self.workers.len()];
         let places = pack(&self.site, &shapes);
         for piece in places.iter().flatten().flatten() {
-            self.open_nominal[piece.worker] &= !piece.mask;
+            self.nominal_unguaranteed[piece.worker] &= !piece.mask;
         }
     }
 
-    /// Gives every home block a place on workers that take work, as far as
-    /// there is one, and moves as few as it can.
-    pub fn settle_homes(&mut self) {
+    /// Places every home block on workers that take work, as far as there is
+    /// room, and moves as few blocks as possible.
+    pub fn place_homes(&mut self) {
         if !std::mem::take(&mut self.homes_dirty) {
             return;
         }
         let mut demoted = Vec::new();
         for index in 0..self.homes.len() {
             let home = &self.homes[index];
-            let stands = home
+            let is_usable = home
                 .pieces
                 .iter()
                 .all(|piece| self.workers[piece.worker].is_open());
-            if !stands {
-                demoted.extend(self.unplace(index));
+            if !is_usable {
+                demoted.extend(self.unplace_home(index));
             }
         }
-        self.place_missing();
-        if self.missing().next().is_some() {
+        self.place_unplaced();
+        if self.unplaced().next().is_some() {
             demoted.extend(self.repack());
         }
         self.promote(&demoted);
     }
 
     /// Returns the home blocks that have no place.
-    pub fn missing(&self) -> impl Iterator<Item = HomeIndex> + '_ {
+    pub fn unplaced(&self) -> impl Iterator<Item = HomeIndex> + '_ {
         (0..self.homes.len()).filter(|&index| {
             let home = &self.homes[index];
             home.owner.is_some() && !home.is_placed()
         })
     }
 
-    /// Moves every block that can move, if that finds places for more of
-    /// them. Jobs that count towards a block and can be stopped count as
-    /// borrowers then, and their shape is to be had elsewhere.
+    /// Moves every block that can move, if more of them then have a place.
+    /// Jobs charged to such a block that can be stopped become borrowers, and
+    /// their guaranteed shape is reserved elsewhere.
     fn repack(&mut self) -> Vec<job::Id> {
-        let before = self.placed();
-        let old = self.clone_counts();
+        let before = self.placed_count();
+        let old = self.usage_snapshot();
         let mut demoted = Vec::new();
         for index in 0..self.homes.len() {
             if !self.homes[index].is_used() {
-                self.lift_block(index);
-            } else if let Some(users) = self.movable_users(index) {
+                self.clear_place(index);
+            } else if let Some(users) = self.stoppable_users(index) {
                 demoted.extend(users);
-                self.lift_block(index);
+                self.clear_place(index);
             }
         }
         for id in &demoted {
-            self.adopt_home(id, None);
+            self.set_home(id, None);
         }
-        self.place_missing();
-        if self.placed() <= before {
-            self.restore_counts(old);
+        self.place_unplaced();
+        if self.placed_count() <= before {
+            self.restore_usage(old);
             demoted.clear();
         }
         demoted
     }
 
-    /// Returns the jobs that count towards a block, if all can be stopped.
-    fn movable_users(&self, index: HomeIndex) -> Option<Vec<job::Id>> {
+    /// Returns the jobs charged to a block, if all can be stopped.
+    fn stoppable_users(&self, index: HomeIndex) -> Option<Vec<job::Id>> {
         let booked = self.booked.iter().filter_map(|id| self.jobs.get(id));
         let has_booking = booked
             .filter_map(|job| job.booking.as_ref())
             .any(|booking| booking.home == Some(index));
-        let runs = self
-            .ids(|job| job.run().is_some_and(|run| run.home == Some(index)));
+        let runs = self.job_ids(|job| {
+            job.run().is_some_and(|run| run.home == Some(index))
+        });
         let movable = runs.iter().all(|id| {
             let job = self.jobs.get(id);
             job.is_some_and(|job| job.spec.reclaimable())
@@ -241,7 +248,7 @@
         (movable && !has_booking).then_some(runs)
     }
 
-    fn placed(&self) -> u32 {
+    fn placed_count(&self) -> u32 {
         self.homes
             .iter()
             .filter(|home| home.is_placed())
@@ -249,52 +256,54 @@
             .sum()
     }
 
-    fn place_missing(&mut self) {
-        let missing: Vec<HomeIndex> = self.missing().collect();
-        let shapes: Vec<Shape> =
-            missing.iter().map(|&at| self.homes[at].shape).collect();
-        for at in largest_first(&shapes) {
-            self.place_home(missing[at]);
+    fn place_unplaced(&mut self) {
+        let missing: Vec<HomeIndex> = self.unplaced().collect();
+        let shapes: Vec<Shape> = missing
+            .iter()
+            .map(|&index| self.homes[index].shape)
+            .collect();
+        for index in largest_first(&shapes) {
+            self.place_home(missing[index]);
         }
     }
 
     pub(super) fn place_home(&mut self, index: HomeIndex) -> bool {
-        match self.block(index) {
+        match self.find_place(index) {
             Some(pieces) => {
-                self.put_block(index, pieces);
+                self.set_place(index, pieces);
                 true
             }
             None => false,
         }
     }
 
-    fn put_block(&mut self, index: HomeIndex, pieces: Vec<Piece>) {
+    fn set_place(&mut self, index: HomeIndex, pieces: Vec<Piece>) {
         for piece in &pieces {
             self.workers[piece.worker].home |= piece.mask;
         }
         self.homes[index].pieces = pieces;
     }
 
-    pub(super) fn lift_block(&mut self, index: HomeIndex) {
+    pub(super) fn clear_place(&mut self, index: HomeIndex) {
         for piece in std::mem::take(&mut self.homes[index].pieces) {
             self.workers[piece.worker].home &= !piece.mask;
         }
     }
 
-    /// Takes a home block's place away; the owner's jobs that count towards
-    /// it become borrowers, and are returned.
-    fn unplace(&mut self, index: HomeIndex) -> Vec<job::Id> {
-        self.lift_block(index);
+    /// Removes a home block from its place. The owner's jobs charged to it
+    /// become borrowers and are returned.
+    fn unplace_home(&mut self, index: HomeIndex) -> Vec<job::Id> {
+        self.clear_place(index);
         let in_run =
             |job: &Job| job.run().is_some_and(|run| run.home == Some(index));
         let in_booking = |job: &Job| {
             let booking = job.booking.as_ref();
             booking.is_some_and(|booking| booking.home == Some(index))
         };
-        let runs = self.ids(in_run);
-        let bookings = self.ids(in_booking);
+        let runs = self.job_ids(in_run);
+        let bookings = self.job_ids(in_booking);
         for id in &runs {
-            self.adopt_home(id, None);
+            self.set_home(id, None);
         }
         for id in bookings {
             self.unbook(&id);
@@ -302,7 +311,10 @@
         runs
     }
 
-    pub(super) fn ids(&self, wanted: impl Fn(&Job) -> bool) -> Vec<job::Id> {
+    pub(super) fn job_ids(
+        &self,
+        wanted: impl Fn(&Job) -> bool,
+    ) -> Vec<job::Id> {
         self.jobs
             .iter()
             .filter(|(_, job)| wanted(job))
@@ -312,7 +324,7 @@
 
     /// Returns the running borrowers of an account, the largest first.
     pub fn borrowers(&self, account: &account::Id) -> Vec<job::Id> {
-        let mut borrowers = self.ids(|job| {
+        let mut borrowers = self.job_ids(|job| {
             job.spec.account == *account
                 && matches!(job.phase, Phase::Running(_))
                 && job.run().is_some_and(|run| run.home.is_none())
@@ -324,7 +336,7 @@
         borrowers
     }
 
-    /// Counts borrowers towards shapes of their account that have room.
+    /// Charges borrowers to home blocks of their account that have room.
     pub fn promote(&mut self, borrowers: &[job::Id]) {
         for id in borrowers {
             let Some(job) = self.jobs.get(id).cloned() else {
@@ -333,22 +345,25 @@
             let pieces = job.run().map(|run| run.pieces.clone());
             let home = self.cover_any(&job, &pieces.unwrap_or_default());
             if home.is_some() {
-                self.adopt_home(id, home);
+                self.set_home(id, home);
             }
         }
     }
 
-    /// Counts `pieces`, which a job is about to use, towards the tightest
-    /// shape of its account that can be moved there.
+    /// Moves a home block of the job's account over `pieces`, which the job is
+    /// about to use, and returns the block: the tightest one that has room and
+    /// can move there.
     pub fn cover_any(
         &mut self,
         job: &Job,
         pieces: &[Piece],
     ) -> Option<HomeIndex> {
         let mut own: Vec<HomeIndex> = (0..self.homes.len())
-            .filter(|&at| self.has_room(at, job))
+            .filter(|&index| self.has_room(index, job))
             .collect();
-        own.sort_by_key(|&at| (self.homes[at].shape.accelerators, at));
+        own.sort_by_key(|&index| {
+            (self.homes[index].shape.accelerators, index)
+        });
         own.into_iter().find(|&home| self.cover(home, pieces))
     }
 }
--- a/src/plan/intake.rs
+++ b/src/plan/intake.rs
@@ -1,4 +1,4 @@
-//! Taking events into the books.
+//! Applies events to the state.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -12,7 +12,7 @@
 use crate::plan::health;
 use crate::plan::health::Health;
 use crate::plan::schedule;
-use crate::plan::state::ran;
+use crate::plan::state::run_time;
 use crate::plan::state::Job;
 use crate::plan::state::Phase;
 use crate::plan::state::Presence;
@@ -20,59 +20,63 @@
 use crate::plan::state::State;
 use crate::site::WorkerIndex;
 
-/// The wait before the second retry; each later one doubles it.
-const BACKOFF: Duration = Duration::from_secs(1);
-/// How many doublings the wait between retries may see.
-const MAX_DOUBLINGS: usize = 8;
+/// The wait before the second retry, doubled for each later one.
+const RETRY_BACKOFF: Duration = Duration::from_secs(1);
+/// The largest number of doublings of the wait between retries.
+const MAX_BACKOFF_DOUBLINGS: usize = 8;
 
-/// Takes one event into the books.
-pub fn take(
+/// Applies one event to the state.
+pub fn apply(
     state: &mut State,
     event: Event,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     match event {
-        Event::Account { account, terms } => {
-            state.tenants.entry(account.clone()).or_default().terms = terms;
+        Event::AccountChanged { account, terms } => {
+            state.accounts.entry(account.clone()).or_default().terms = terms;
             state.sync_homes(&account);
-            refuse_impossible(state, now, out);
+            refuse_unplaceable(state, now, commands);
         }
-        Event::AccountGone { account } => {
-            if let Some(tenant) = state.tenants.get_mut(&account) {
-                tenant.terms = Default::default();
+        Event::AccountRemoved { account } => {
+            if let Some(account_state) = state.accounts.get_mut(&account) {
+                account_state.terms = Default::default();
             }
             state.sync_homes(&account);
-            refuse_impossible(state, now, out);
+            refuse_unplaceable(state, now, commands);
+        }
+        Event::Submitted { spec } => {
+            apply_submitted(state, spec, now, commands)
+        }
+        Event::Cancelled { job } => {
+            apply_cancelled(state, &job, now, commands)
         }
-        Event::Submitted { spec } => submitted(state, spec, now, out),
-        Event::Cancelled { job } => cancelled(state, &job, now, out),
         Event::WorkerUp { worker } => {
-            with(state, &worker, |state, index| {
-                let books = &mut state.workers[index];
-                if books.presence == Presence::Lost {
-                    books.health = Health::Good;
+            with_worker(state, &worker, |state, index| {
+                let worker = &mut state.workers[index];
+                if worker.presence == Presence::Lost {
+                    worker.health = Health::Good;
                 }
-                books.presence = Presence::Up;
+                worker.presence = Presence::Up;
             });
         }
         Event::WorkerLeaving { worker } => {
-            with(state, &worker, |state, index| {
+            with_worker(state, &worker, |state, index| {
                 state.workers[index].presence = Presence::Leaving;
                 drop_bookings(state, index);
             });
         }
         Event::WorkerSilent { worker } => {
-            with(state, &worker, |state, index| {
+            with_worker(state, &worker, |state, index| {
                 state.workers[index].presence = Presence::Silent;
                 drop_bookings(state, index);
             });
         }
         Event::WorkerLost { worker } => {
-            with(state, &worker, |state, index| {
+            with_worker(state, &worker, |state, index| {
                 state.workers[index].presence = Presence::Lost;
                 drop_bookings(state, index);
-                break_jobs(state, index, out);
+                stop_broken_jobs(state, index, commands);
             });
         }
         Event::Adopted {
@@ -98,16 +102,16 @@
             job,
             attempt,
             worker,
-        } => not_started(state, &job, attempt, worker, now, out),
+        } => apply_not_started(state, &job, attempt, worker, now, commands),
         Event::StartUnknown { job, attempt } => {
             if is_current(state, &job, attempt) {
-                let reason = "it cannot be known whether it ran";
-                finish(state, &job, Outcome::Unknown, reason, now, out);
+                let reason = "whether the job ran cannot be determined";
+                finish(state, &job, Outcome::Unknown, reason, now, commands);
             }
         }
         Event::Completed { job, attempt } => {
             if is_current(state, &job, attempt) {
-                completed(state, &job, now, out);
+                apply_completed(state, &job, now, commands);
             }
         }
         Event::Failed {
@@ -116,7 +120,7 @@
             worker,
         } => {
             if is_current(state, &job, attempt) {
-                failed(state, &job, &worker, now, out);
+                apply_failed(state, &job, &worker, now, commands);
             }
         }
         Event::Stopped {
@@ -126,18 +130,19 @@
             proven,
         } => {
             if is_current(state, &job, attempt) {
-                stopped(state, &job, kept, proven, now, out);
+                apply_stopped(state, &job, kept, proven, now, commands);
             }
         }
         Event::Tick => {}
     }
 }
 
-/// Takes workers back into service on which a probe has lasted.
-pub fn clear_probes(
+/// Restores workers whose probe has lasted, and lets a worker be probed again
+/// if its probe has left it.
+pub fn update_probes(
     state: &mut State,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     for index in 0..state.workers.len() {
         let Health::Quarantined {
@@ -146,15 +151,16 @@
         else {
             continue;
         };
-        let on_it = state.workers[index].jobs.contains(probe);
-        let lasted = state
+        let is_here = state.workers[index].jobs.contains(probe);
+        let has_lasted = state
             .jobs
             .get(probe)
-            .is_some_and(|job| ran(job, now) >= health::CLEARED_AFTER);
-        match on_it {
-            true if lasted => restore(state, index, out),
+            .is_some_and(|job| run_time(job, now) >= health::MIN_PROBE_RUN);
+        match is_here {
+            true if has_lasted => restore(state, index, commands),
             true => {}
-            // The probe left for a reason that says nothing of the worker.
+            // The probe ended for a reason that is no evidence about the
+            // worker.
             false => reopen_probe(state, index),
         }
     }
@@ -167,14 +173,14 @@
     }
 }
 
-fn with(
+fn with_worker(
     state: &mut State,
     worker: &str,
-    then: impl FnOnce(&mut State, WorkerIndex),
+    update: impl FnOnce(&mut State, WorkerIndex),
 ) {
     if let Some(index) = state.site.index(worker) {
         state.homes_dirty = true;
-        then(state, index);
+        update(state, index);
     }
 }
 
@@ -186,28 +192,28 @@
         .is_some_and(|run| run.attempt == attempt)
 }
 
-fn submitted(
+fn apply_submitted(
     state: &mut State,
     spec: job::Spec,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     let id = spec.id.clone();
     if state.jobs.contains_key(&id) {
         return;
     }
-    let refusal = admit::impossible(state, &spec);
+    let refusal = admit::unplaceable_reason(state, &spec);
     state.jobs.insert(id.clone(), Job::new(spec));
     state.waiting.insert(id.clone());
     if let Some(reason) = refusal {
-        finish(state, &id, Outcome::NotRun, &reason, now, out);
+        finish(state, &id, Outcome::NotRun, &reason, now, commands);
     }
 }
 
-fn refuse_impossible(
+fn refuse_unplaceable(
     state: &mut State,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     let refused: Vec<(job::Id, String)> = state
         .waiting
@@ -215,20 +221,20 @@
         .filter_map(|id| state.jobs.get(id))
         .filter(|job| job.attempts == 0)
         .filter_map(|job| {
-            let reason = admit::impossible(state, &job.spec)?;
+            let reason = admit::unplaceable_reason(state, &job.spec)?;
             Some((job.spec.id.clone(), reason))
         })
         .collect();
     for (id, reason) in refused {
-        finish(state, &id, Outcome::NotRun, &reason, now, out);
+        finish(state, &id, Outcome::NotRun, &reason, now, commands);
     }
 }
 
-fn cancelled(
+fn apply_cancelled(
     state: &mut State,
     id: &job::Id,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     let Some(job) = state.jobs.get_mut(id) else {
         return;
@@ -236,11 +242,11 @@
     match &mut job.phase {
         Phase::Waiting => {
             let reason = "cancelled by its caller";
-            finish(state, id, Outcome::Cancelled, reason, now, out);
+            finish(state, id, Outcome::Cancelled, reason, now, commands);
         }
         Phase::Running(_) => {
             state.unbook(id);
-            schedule::stop(state, id, Reason::Cancel, out);
+            schedule::stop(state, id, Reason::Cancel, commands);
         }
         Phase::Stopping(_, reason) => {
             *reason = Reason::Cancel;
@@ -249,22 +255,26 @@
     }
 }
 
-/// Gives up bookings on a worker that takes no new work.
+/// Cancels bookings on a worker that takes no new work.
 fn drop_bookings(state: &mut State, index: WorkerIndex) {
     let ids: Vec<job::Id> = state.booked.iter().cloned().collect();
     for id in ids {
-        let here = state.jobs.get(&id).is_some_and(|job| {
+        let is_booked_here = state.jobs.get(&id).is_some_and(|job| {
             let pieces = job.booking.iter().flat_map(|b| &b.pieces);
             pieces.into_iter().any(|piece| piece.worker == index)
         });
-        if here {
+        if is_booked_here {
             state.unbook(&id);
         }
     }
 }
 
-/// Stops every job that has lost a member with its worker.
-fn break_jobs(state: &mut State, index: WorkerIndex, out: &mut Vec<Command>) {
+/// Stops every job that lost a member with its worker.
+fn stop_broken_jobs(
+    state: &mut State,
+    index: WorkerIndex,
+    commands: &mut Vec<Command>,
+) {
     for id in state.workers[index].jobs.clone() {
         let Some(job) = state.jobs.get_mut(&id) else {
             continue;
@@ -275,17 +285,17 @@
             }
         }
         state.unbook(&id);
-        schedule::stop(state, &id, Reason::Broken, out);
+        schedule::stop(state, &id, Reason::Broken, commands);
     }
 }
 
-fn not_started(
+fn apply_not_started(
     state: &mut State,
     id: &job::Id,
     attempt: job::Attempt,
     worker: Option<crate::site::WorkerId>,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     if !is_current(state, id, attempt) {
         return;
@@ -295,12 +305,12 @@
     });
     if cancelled {
         let reason = "cancelled by its caller";
-        return finish(state, id, Outcome::Cancelled, reason, now, out);
+        return finish(state, id, Outcome::Cancelled, reason, now, commands);
     }
     release(state, id, now);
-    settle_bookings(state, id, now, out);
+    start_ready_bookings(state, id, now, commands);
     if let Some(job) = state.jobs.get_mut(id) {
-        job.not_before = now + BACKOFF / 4;
+        job.not_before = now + RETRY_BACKOFF / 4;
     }
     let index = worker.and_then(|worker| state.site.index(&worker));
     if let Some(index) = index {
@@ -309,82 +319,88 @@
     }
 }
 
-fn completed(
+fn apply_completed(
     state: &mut State,
     id: &job::Id,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     let Some(job) = state.jobs.get(id) else {
         return;
     };
-    let total = job.kept + ran(job, now);
+    let total = job.checkpointed + run_time(job, now);
     let spec = job.spec.clone();
     let pieces = job.run().map(|run| run.pieces.clone());
-    state.history.completed(&spec, total);
+    state.history.record_completion(&spec, total);
     for piece in pieces.into_iter().flatten() {
-        restore(state, piece.worker, out);
+        restore(state, piece.worker, commands);
     }
-    finish(state, id, Outcome::Done, "", now, out);
+    finish(state, id, Outcome::Done, "", now, commands);
 }
 
-fn restore(state: &mut State, index: WorkerIndex, out: &mut Vec<Command>) {
-    if state.workers[index].health.ran_well() {
+fn restore(
+    state: &mut State,
+    index: WorkerIndex,
+    commands: &mut Vec<Command>,
+) {
+    if state.workers[index].health.record_success() {
         state.homes_dirty = true;
         let worker = state.site.workers()[index].id.clone();
-        out.push(Command::Restore { worker });
+        commands.push(Command::Restore { worker });
     }
 }
 
-fn failed(
+fn apply_failed(
     state: &mut State,
     id: &job::Id,
     worker: &str,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     let Some(job) = state.jobs.get(id) else {
         return;
     };
     if matches!(job.phase, Phase::Stopping(..)) {
-        return stopped(state, id, Duration::ZERO, true, now, out);
+        return apply_stopped(state, id, Duration::ZERO, true, now, commands);
     }
     let spec = job.spec.clone();
-    let proven = state.history.proven(&spec);
+    let proven = state.history.has_completed(&spec);
     let index = state.site.index(worker);
     if let Some(index) = index {
         let health = &mut state.workers[index].health;
-        if health.failed(id, proven, now) {
+        if health.record_failure(id, proven, now) {
             state.homes_dirty = true;
             drop_bookings(state, index);
             let worker = worker.into();
-            out.push(Command::Quarantine { worker });
+            commands.push(Command::Quarantine { worker });
         }
     }
-    let blamed = note_failure(state, id, index);
+    let failed_workers = record_failed_worker(state, id, index);
     if !spec.repeatable {
         let reason = format!("its task failed on worker {worker}");
-        return finish(state, id, Outcome::Failed, &reason, now, out);
+        return finish(state, id, Outcome::Failed, &reason, now, commands);
     }
-    if blamed >= health::MAX_FAILURES {
-        let reason =
-            format!("it failed on {blamed} workers that others run well on");
-        return finish(state, id, Outcome::Failed, &reason, now, out);
+    if failed_workers >= health::MAX_FAILED_WORKERS {
+        let reason = format!(
+            "the job failed on {failed_workers} workers that run others well"
+        );
+        return finish(state, id, Outcome::Failed, &reason, now, commands);
     }
     release(state, id, now);
-    settle_bookings(state, id, now, out);
+    start_ready_bookings(state, id, now, commands);
     if let Some(job) = state.jobs.get_mut(id) {
         let retries = job.failures.len();
-        let doublings = retries.saturating_sub(2).min(MAX_DOUBLINGS);
+        let doublings = retries.saturating_sub(2).min(MAX_BACKOFF_DOUBLINGS);
         job.not_before = match retries {
             0 | 1 => now,
-            _ => now + BACKOFF * (1 << doublings),
+            _ => now + RETRY_BACKOFF * (1 << doublings),
         };
     }
 }
 
-/// Notes where a job failed; returns on how many workers in service it did.
-fn note_failure(
+/// Records that a job failed on a worker, and returns the number of workers in
+/// service on which it has failed.
+fn record_failed_worker(
     state: &mut State,
     id: &job::Id,
     index: Option<WorkerIndex>,
@@ -395,17 +411,18 @@
     job.failures.extend(index);
     job.failures.sort_unstable();
     job.failures.dedup();
-    let good = |&&w: &&WorkerIndex| state.workers[w].health.is_good();
-    job.failures.iter().filter(good).count()
+    let in_service =
+        |&&w: &&WorkerIndex| state.workers[w].health.is_in_service();
+    job.failures.iter().filter(in_service).count()
 }
 
-fn stopped(
+fn apply_stopped(
     state: &mut State,
     id: &job::Id,
     kept: Duration,
     proven: bool,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     let Some(job) = state.jobs.get_mut(id) else {
         return;
@@ -414,35 +431,36 @@
         return;
     };
     let repeatable = job.spec.repeatable;
-    job.kept = match job.spec.checkpoint {
-        true => job.kept + kept,
+    job.checkpointed = match job.spec.checkpoint {
+        true => job.checkpointed + kept,
         false => Duration::ZERO,
     };
     match reason {
         Reason::Cancel => {
             let reason = "cancelled by its caller";
-            finish(state, id, Outcome::Cancelled, reason, now, out);
+            finish(state, id, Outcome::Cancelled, reason, now, commands);
         }
         Reason::Broken if !repeatable && proven => {
-            let reason = "it lost a worker, and may not run again";
-            finish(state, id, Outcome::Failed, reason, now, out);
+            let reason = "the job lost a worker and may not repeat";
+            finish(state, id, Outcome::Failed, reason, now, commands);
         }
         _ if !repeatable => {
-            let reason = "a worker it ran on cannot be asked how it ended";
-            finish(state, id, Outcome::Unknown, reason, now, out);
+            let reason = "a worker of the job cannot report how it ended";
+            finish(state, id, Outcome::Unknown, reason, now, commands);
         }
         _ => release(state, id, now),
     }
-    settle_bookings(state, id, now, out);
+    start_ready_bookings(state, id, now, commands);
 }
 
-/// Takes a job's accelerators back; a blocked home block may fit now.
+/// Releases a job's accelerators; a home block without a place may fit
+/// afterwards.
 fn release(state: &mut State, id: &job::Id, now: SystemTime) {
-    let stuck = state
+    let unstoppable = state
         .jobs
         .get(id)
         .is_some_and(|job| !job.spec.reclaimable());
-    if stuck && state.missing().next().is_some() {
+    if unstoppable && state.unplaced().next().is_some() {
         state.homes_dirty = true;
     }
     state.release(id, now);
@@ -454,25 +472,25 @@
     outcome: Outcome,
     reason: &str,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     release(state, id, now);
     if state.remove(id, now).is_some() {
-        out.push(Command::Finish {
+        commands.push(Command::Finish {
             job: id.clone(),
             outcome,
             reason: reason.to_owned(),
         });
     }
-    settle_bookings(state, id, now, out);
+    start_ready_bookings(state, id, now, commands);
 }
 
-/// Starts jobs whose booking waited for `gone` and for nobody else.
-fn settle_bookings(
+/// Starts the jobs whose bookings waited for `released` alone.
+fn start_ready_bookings(
     state: &mut State,
-    gone: &job::Id,
+    released: &job::Id,
     now: SystemTime,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     let ids: Vec<job::Id> = state.booked.iter().cloned().collect();
     for id in ids {
@@ -482,13 +500,13 @@
         let Some(booking) = &mut job.booking else {
             continue;
         };
-        booking.pending.remove(gone);
+        booking.pending.remove(released);
         if !booking.pending.is_empty() {
             continue;
         }
         if let Some(booking) = state.unbook(&id) {
             let pieces = booking.pieces;
-            schedule::start(state, &id, pieces, booking.home, now, out);
+            schedule::start(state, &id, pieces, booking.home, now, commands);
         }
     }
 }
--- a/src/plan/mask.rs
+++ b/src/plan/mask.rs
@@ -1,15 +1,15 @@
-//! Choosing accelerators inside one worker.
+//! Chooses accelerators inside one worker.
 
 use crate::site::Mask;
 
-/// Returns `count` accelerators of `free`, aligned where that is possible.
+/// Returns `count` accelerators of `free`, aligned where possible.
 ///
-/// The tightest aligned power-of-two window that holds `count` free
-/// accelerators is taken, and of equals the one whose surroundings are the
-/// least free, so that larger windows stay whole.
+/// The accelerators are chosen from the tightest aligned power-of-two window
+/// with `count` free ones, and among equals from the one whose surroundings
+/// are the least free, so that larger windows stay whole.
 ///
 /// Returns `None` if fewer than `count` are free or `count` is 0.
-pub fn take(free: Mask, count: u32) -> Option<Mask> {
+pub fn choose(free: Mask, count: u32) -> Option<Mask> {
     if count == 0 || free.count_ones() < count {
         return None;
     }
@@ -18,9 +18,9 @@
         let tightest = windows(size)
             .filter(|(window, _)| (window & free).count_ones() >= count)
             .min_by_key(|&(window, index)| {
-                let around = surroundings(size, index);
-                let open = |mask: Mask| (mask & free).count_ones();
-                (open(window), around.map(open))
+                let surrounding = surroundings(size, index);
+                let free_count = |mask: Mask| (mask & free).count_ones();
+                (free_count(window), surrounding.map(free_count))
             })
             .map(|(window, _)| window & free);
         if let Some(open) = tightest {
@@ -39,7 +39,7 @@
     (Mask::MAX >> (Mask::BITS - size)) << (index * size)
 }
 
-/// Returns the next two larger windows around one, up to a whole mask.
+/// Returns the next two larger windows around one, up to a full mask.
 fn surroundings(size: u32, index: u32) -> [Mask; 2] {
     [1, 2].map(|doublings| {
         let larger = (size << doublings).min(Mask::BITS);
@@ -48,12 +48,12 @@
 }
 
 fn lowest(free: Mask, count: u32) -> Mask {
-    let mut left = free;
-    let mut taken = 0;
+    let mut remaining = free;
+    let mut chosen = 0;
     for _ in 0..count {
-        let bit = left & left.wrapping_neg();
-        taken |= bit;
-        left &= !bit;
+        let bit = remaining & remaining.wrapping_neg();
+        chosen |= bit;
+        remaining &= !bit;
     }
-    taken
+    chosen
 }
--- a/src/plan/reserve.rs
+++ b/src/plan/reserve.rs
@@ -1,5 +1,5 @@
-//! Keeping room for an overdue job: what will be free first is not given to
-//! anything that cannot be stopped.
+//! Reserves accelerators for an overdue job: those that are expected to be
+//! free first are given to no other job that cannot be stopped.
 
 use std::time::SystemTime;
 
@@ -10,15 +10,15 @@
 use crate::site::Piece;
 use crate::site::WorkerIndex;
 
-/// Accelerators that an overdue job will get when they are released.
+/// Accelerators that an overdue job gets once they are released.
 pub(super) struct Reservation {
     pieces: Vec<Piece>,
-    ready: SystemTime,
+    ready_at: SystemTime,
 }
 
 impl Pass<'_> {
-    /// Works out where an overdue job will fit first, so that nothing that
-    /// cannot be stopped is put there meanwhile.
+    /// Determines where an overdue job will fit first, so that no job that
+    /// cannot be stopped is placed there in the meantime.
     pub(super) fn reserve(&self, job: &Job) -> Option<Reservation> {
         if !self.may_borrow(job) {
             return None;
@@ -27,11 +27,11 @@
         state
             .site
             .domains(job.spec.shape.within)
-            .filter_map(|domain| self.earliest(job, domain))
-            .min_by_key(|reservation| reservation.ready)
+            .filter_map(|domain| self.earliest_in(job, domain))
+            .min_by_key(|reservation| reservation.ready_at)
     }
 
-    fn earliest(
+    fn earliest_in(
         &self,
         job: &Job,
         domain: &[WorkerIndex],
@@ -50,48 +50,50 @@
                 let Some(other) = state.jobs.get(id) else {
                     continue;
                 };
-                let ends = match other.is_reclaimable() {
+                let ends_at = match other.is_reclaimable() {
                     true => self.now,
                     false => self.now + state.time_left(other, self.now),
                 };
-                let theirs = other.run().map(|run| &run.pieces);
-                let theirs = theirs.into_iter().flatten();
-                for piece in theirs.filter(|piece| piece.worker == worker) {
+                let held = other.run().map(|run| &run.pieces);
+                let held = held.into_iter().flatten();
+                for piece in held.filter(|piece| piece.worker == worker) {
                     let mask = piece.mask & allowed;
-                    pieces.push((ends, Piece { worker, mask }));
+                    pieces.push((ends_at, Piece { worker, mask }));
                 }
             }
         }
-        pieces.sort_by_key(|(ends, piece)| (*ends, piece.worker));
-        let mut got = 0;
-        let mut ready = self.now;
+        pieces.sort_by_key(|(ends_at, piece)| (*ends_at, piece.worker));
+        let mut reserved = 0;
+        let mut ready_at = self.now;
         let mut chosen = Vec::new();
-        for (ends, piece) in pieces {
-            if got >= job.spec.shape.accelerators {
+        for (ends_at, piece) in pieces {
+            if reserved >= job.spec.shape.accelerators {
                 break;
             }
-            got += piece.len();
-            ready = ends;
+            reserved += piece.len();
+            ready_at = ends_at;
             chosen.push(piece);
         }
-        (got >= job.spec.shape.accelerators).then_some(Reservation {
+        (reserved >= job.spec.shape.accelerators).then_some(Reservation {
             pieces: chosen,
-            ready,
+            ready_at,
         })
     }
 
-    /// Returns what a job that ends at `ends` must leave to a reservation.
+    /// Returns the accelerators that a job ending at `ends` must leave to the
+    /// reservation.
     pub(super) fn reserved_mask(
         &self,
         job: &Job,
-        ends: SystemTime,
+        ends_at: SystemTime,
         worker: WorkerIndex,
     ) -> Mask {
-        match &self.reserved {
-            Some(reserved)
-                if !job.spec.reclaimable() && ends > reserved.ready =>
+        match &self.reservation {
+            Some(reservation)
+                if !job.spec.reclaimable()
+                    && ends_at > reservation.ready_at =>
             {
-                mask_on(&reserved.pieces, worker)
+                mask_on(&reservation.pieces, worker)
             }
             _ => 0,
         }
--- a/src/planner/launch.rs
+++ b/src/planner/launch.rs
@@ -1,5 +1,5 @@
-//! Starting and stopping a gang: hold on all members, then let the lead
-//! decide.
+//! Starts and stops a gang: all members hold their accelerators, then the lead
+//! decides.
 
 use std::time::Duration;
 
@@ -24,37 +24,39 @@
 use crate::wire::link;
 use crate::wire::Trace;
 
-/// How long a launch may take besides the wait for members' leases, if it
-/// goes wrong.
-const LAUNCH: Duration = Duration::from_secs(3);
-/// The wait between two tries to stop a gang.
-const STOP_RETRY: Duration = Duration::from_millis(700);
+/// How long a launch may take in addition to twice the gang's lease, for which
+/// a failed one waits.
+const LAUNCH_TIMEOUT: Duration = Duration::from_secs(3);
+/// The wait between two attempts to stop a gang, or to learn its lead's
+/// decision.
+const RETRY_INTERVAL: Duration = Duration::from_millis(700);
 
-/// What came of a start.
+/// The outcome of a start.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// All members have begun.
     Started,
-    /// No member ever began, nor will.
+    /// No member has begun, and none will.
     NotStarted {
-        /// The member that could not be reached, if one could not.
+        /// The member that could not be reached, if any.
         unreached: Option<WorkerId>,
-        /// Whether the planner is behind on configuration.
+        /// Whether the planner's configuration is older than a member's.
         behind: bool,
     },
-    /// Members may have begun; whatever did has been stopped, or will be
+    /// Members may have begun; those that did have been stopped, or will be
     /// within the gang's lease.
     Broken {
-        /// The member in whose way it lay.
+        /// The member that prevented the start, or the lead if it did not
+        /// answer.
         worker: WorkerId,
-        /// Whether it is known that it did not run to its end.
-        known: bool,
+        /// Whether the gang is known not to have run to its end.
+        known_unfinished: bool,
     },
-    /// A later planner has spoken.
+    /// A later planner is active.
     Fenced,
 }
 
-/// Starts a gang and returns what came of it.
+/// Starts a gang and returns the outcome.
 pub async fn start(
     pool: link::Pool,
     fence: Fence,
@@ -69,28 +71,31 @@
         .iter()
         .map(|member| hold(&pool, fence, &gang, member, trace.clone()));
     let held = join_all(holds).await;
-    let failed = held
-        .into_iter()
-        .zip(&gang.members)
-        .find_map(|(held, member)| held.err().map(|why| (why, member)));
-    if let Some((why, member)) = failed {
+    let failed =
+        held.into_iter()
+            .zip(&gang.members)
+            .find_map(|(held, member)| {
+                held.err().map(|refusal| (refusal, member))
+            });
+    if let Some((refusal, member)) = failed {
         release(&pool, fence, &gang).await;
-        return not_held(why, &member.worker);
+        return hold_failure(refusal, &member.worker);
     }
     launch(&pool, fence, &gang, trace).await
 }
 
-fn not_held(why: Option<Refusal>, worker: &WorkerId) -> Outcome {
-    match why {
+fn hold_failure(refusal: Option<Refusal>, worker: &WorkerId) -> Outcome {
+    match refusal {
         Some(Refusal::StaleEpoch { .. }) => Outcome::Fenced,
-        why => Outcome::NotStarted {
-            behind: matches!(why, Some(Refusal::StaleRevision { .. })),
-            unreached: why.is_none().then(|| worker.clone()),
+        refusal => Outcome::NotStarted {
+            behind: matches!(refusal, Some(Refusal::StaleRevision { .. })),
+            unreached: refusal.is_none().then(|| worker.clone()),
         },
     }
 }
 
-/// Asks one member to hold; the error says why it does not, if it said.
+/// Asks one member to hold its accelerators. The error is the member's
+/// refusal, or `None` if the member did not answer.
 async fn hold(
     pool: &link::Pool,
     fence: Fence,
@@ -133,8 +138,8 @@
     let launched = match pool.get(&lead.address).await {
         Ok(client) => {
             let call = client.launch(launch);
-            let limit = LAUNCH + 2 * gang_lease(gang.members.len());
-            link::with_timeout(&lead.address, limit, call).await
+            let timeout = LAUNCH_TIMEOUT + 2 * gang_lease(gang.members.len());
+            link::with_timeout(&lead.address, timeout, call).await
         }
         Err(error) => Err(error),
     };
@@ -149,59 +154,63 @@
         }
         Ok(Ok(LaunchOutcome::PartlyStarted { worker })) => Outcome::Broken {
             worker,
-            known: true,
+            known_unfinished: true,
         },
         Ok(Err(Refusal::StaleEpoch { .. })) => Outcome::Fenced,
         Ok(Err(refusal)) => {
-            // Asking settles it: a gang that is not decided by now is
+            // The request settles the question: a gang without a decision is
             // decided not to run.
             let behind = matches!(refusal, Refusal::StaleRevision { .. });
-            let verdict = ask(pool, gang).await;
-            if verdict == Some(Decision::Run) {
+            let decision = request_decision(pool, gang).await;
+            if decision == Some(Decision::Run) {
                 return Outcome::Started;
             }
             release(pool, fence, gang).await;
-            match verdict {
+            match decision {
                 Some(_) => Outcome::NotStarted {
                     unreached: None,
                     behind,
                 },
                 None => Outcome::Broken {
                     worker: lead.worker.clone(),
-                    known: false,
+                    known_unfinished: false,
                 },
             }
         }
         Err(_) => {
             pool.remove(&lead.address);
-            lost_launch(pool, fence, gang).await
+            recover_decision(pool, fence, gang).await
         }
     }
 }
 
-/// Finds out what the lead decided when its answer was lost.
-async fn lost_launch(pool: &link::Pool, fence: Fence, gang: &Gang) -> Outcome {
+/// Asks for the lead's decision after its answer to the launch was lost.
+async fn recover_decision(
+    pool: &link::Pool,
+    fence: Fence,
+    gang: &Gang,
+) -> Outcome {
     let deadline =
         Instant::now() + HOLD_DURATION + 2 * gang_lease(gang.members.len());
     while Instant::now() < deadline {
-        match ask(pool, gang).await {
+        match request_decision(pool, gang).await {
             Some(Decision::Run) => return Outcome::Started,
             Some(Decision::Halt) => break,
-            None => tokio::time::sleep(STOP_RETRY).await,
+            None => tokio::time::sleep(RETRY_INTERVAL).await,
         }
     }
-    // A lead that halted may have run before, and one that is not reached
-    // may run yet: members stop by their lease.
+    // A lead that halted may have run before, and an unreachable one may still
+    // run: the members stop when their lease ends.
     release(pool, fence, gang).await;
     Outcome::Broken {
         worker: gang.lead().worker.clone(),
-        known: false,
+        known_unfinished: false,
     }
 }
 
-/// Asks the lead for its verdict; who asks before there is one decides
-/// that the gang does not run.
-async fn ask(pool: &link::Pool, gang: &Gang) -> Option<Decision> {
+/// Asks the lead for its decision. If there is none yet, the request itself
+/// decides that the gang does not run.
+async fn request_decision(pool: &link::Pool, gang: &Gang) -> Option<Decision> {
     let address = &gang.lead().address;
     let client = pool.get(address).await.ok()?;
     let report = Report {
@@ -215,16 +224,16 @@
         .ok()
 }
 
-/// Tells every member to let go; one that is not reached asks its lead.
+/// Stops every member; one that is not reached asks its lead.
 pub async fn release(pool: &link::Pool, fence: Fence, gang: &Gang) {
     let stops = gang
         .members
         .iter()
-        .map(|member| stop_at(pool, fence, gang, member));
+        .map(|member| stop_member(pool, fence, gang, member));
     join_all(stops).await;
 }
 
-async fn stop_at(
+async fn stop_member(
     pool: &link::Pool,
     fence: Fence,
     gang: &Gang,
@@ -248,15 +257,16 @@
     }
 }
 
-/// Stops a gang through its lead, and through its members while the lead
-/// is not reached. Returns once somebody has been told.
+/// Stops a gang through its lead, and through all members while the lead is
+/// not reached. Returns once the lead has answered, or after four times the
+/// gang's lease.
 pub async fn stop(pool: link::Pool, fence: Fence, gang: Gang) {
     let deadline = Instant::now() + 4 * gang_lease(gang.members.len());
     while Instant::now() < deadline {
-        if stop_at(&pool, fence, &gang, gang.lead()).await {
+        if stop_member(&pool, fence, &gang, gang.lead()).await {
             return;
         }
         release(&pool, fence, &gang).await;
-        tokio::time::sleep(STOP_RETRY).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
 }
--- a/src/planner/links.rs
+++ b/src/planner/links.rs
@@ -1,4 +1,5 @@
-//! One link to each agent: listens for changes, and notices silence.
+//! The links to the agents: each watches one agent for changes and reports
+//! when it stops answering.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,49 +19,49 @@
 use crate::wire::link;
 
 /// The shortest time that an agent waits for a change before it answers
-/// all the same.
-const HEARTBEAT_LEAST: Duration = Duration::from_secs(2);
-/// The longest such time.
-const HEARTBEAT_MOST: Duration = Duration::from_secs(9);
-/// How much longer it waits for each agent of the cell.
-const HEARTBEAT_EACH: Duration = Duration::from_millis(30);
-/// The longest wait between two tries to connect.
-const RECONNECT: Duration = Duration::from_millis(400);
+/// without one.
+const MIN_HEARTBEAT: Duration = Duration::from_secs(2);
+/// The longest time that an agent waits for a change.
+const MAX_HEARTBEAT: Duration = Duration::from_secs(9);
+/// The part of an agent's wait for a change that each worker of the cell adds.
+const HEARTBEAT_PER_WORKER: Duration = Duration::from_millis(30);
+/// The longest wait between two attempts to connect.
+const MAX_RECONNECT_WAIT: Duration = Duration::from_millis(400);
 
-/// Returns how long agents wait in a cell of so many workers, so that the
-/// planner's traffic grows more slowly than the cell.
-pub fn heartbeat(workers: usize) -> Duration {
-    let wanted = HEARTBEAT_EACH * workers as u32;
-    wanted.clamp(HEARTBEAT_LEAST, HEARTBEAT_MOST)
+/// Returns how long agents wait for a change in a cell of `workers` workers,
+/// chosen so that the planner's traffic grows more slowly than the cell.
+pub fn heartbeat_interval(workers: usize) -> Duration {
+    let wanted = HEARTBEAT_PER_WORKER * workers as u32;
+    wanted.clamp(MIN_HEARTBEAT, MAX_HEARTBEAT)
 }
 
-/// What a planner says with each heartbeat.
+/// The planner's part of a watch request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Beat {
-    /// Under whose authority.
+pub struct Heartbeat {
+    /// The planner's epoch and configuration revision.
     pub fence: Fence,
-    /// How long the agent waits for a change.
-    pub heartbeat: Duration,
+    /// How long the agent waits for a change before it answers.
+    pub interval: Duration,
 }
 
-/// What a link has learned.
-pub enum News {
-    /// The agent answered; `whole` if these are all its entries.
+/// An update from the link to an agent.
+pub enum Update {
+    /// The agent answered.
     Changes {
-        /// What it answered.
+        /// The agent's answer.
         changes: Changes,
-        /// Whether these are all its entries.
+        /// Whether the answer holds all of the agent's entries.
         whole: bool,
     },
     /// The agent does not answer.
-    Down,
-    /// A later planner has spoken.
+    Unreachable,
+    /// The agent has seen a later planner.
     Fenced,
 }
 
-/// A link to one agent; it ends when dropped.
+/// A link to one agent, closed when dropped.
 pub struct Link {
-    /// Where the agent listens.
+    /// The address of the agent.
     pub address: String,
     task: JoinHandle<()>,
 }
@@ -72,79 +73,80 @@
 }
 
 impl Link {
-    /// Starts to listen to an agent.
+    /// Starts to watch an agent.
     pub fn start(
         worker: WorkerId,
         address: String,
-        beat: watch::Receiver<Beat>,
+        heartbeat: watch::Receiver<Heartbeat>,
         planner: ActorRef<Message>,
     ) -> Link {
-        let listener = Listener {
+        let watcher = Watcher {
             worker,
             address: address.clone(),
-            beat,
+            heartbeat,
             planner,
         };
         Link {
             address,
-            task: tokio::spawn(listener.run()),
+            task: tokio::spawn(watcher.run()),
         }
     }
 }
 
-struct Listener {
+struct Watcher {
     worker: WorkerId,
     address: String,
-    beat: watch::Receiver<Beat>,
+    heartbeat: watch::Receiver<Heartbeat>,
     planner: ActorRef<Message>,
 }
 
-impl Listener {
+impl Watcher {
     async fn run(self) {
         loop {
             if let Ok(client) = link::connect(&self.address).await {
-                self.listen(&client).await;
+                self.watch_agent(&client).await;
             }
-            if self.tell(News::Down).is_err() {
+            if self.send(Update::Unreachable).is_err() {
                 return;
             }
-            let most = RECONNECT.as_millis() as u64;
-            let wait = fastrand::u64(most / 4..=most);
+            let longest = MAX_RECONNECT_WAIT.as_millis() as u64;
+            let wait = fastrand::u64(longest / 4..=longest);
             tokio::time::sleep(Duration::from_millis(wait)).await;
         }
     }
 
-    async fn listen(&self, client: &Arc<WsClient>) {
+    async fn watch_agent(&self, client: &Arc<WsClient>) {
         let mut since = 0;
         loop {
-            let beat = *self.beat.borrow();
+            let heartbeat = *self.heartbeat.borrow();
             let watch = Watch {
-                fence: beat.fence,
+                fence: heartbeat.fence,
                 since,
-                timeout_ms: beat.heartbeat.as_millis() as u64,
+                timeout_ms: heartbeat.interval.as_millis() as u64,
             };
-            let limit = beat.heartbeat + link::CALL_TIMEOUT;
+            let timeout = heartbeat.interval + link::CALL_TIMEOUT;
             let call = client.watch(watch);
-            let answer = link::with_timeout(&self.address, limit, call).await;
-            let news = match answer {
+            let answer =
+                link::with_timeout(&self.address, timeout, call).await;
+            let update = match answer {
                 Ok(Ok(changes)) => {
                     let whole = since == 0;
                     since = changes.sequence;
-                    News::Changes { changes, whole }
+                    Update::Changes { changes, whole }
                 }
-                Ok(Err(Refusal::StaleEpoch { .. })) => News::Fenced,
+                Ok(Err(Refusal::StaleEpoch { .. })) => Update::Fenced,
                 Ok(Err(_)) | Err(_) => return,
             };
-            if self.tell(news).is_err() {
+            if self.send(update).is_err() {
                 return;
             }
         }
     }
 
-    fn tell(&self, news: News) -> Result<(), ()> {
+    fn send(&self, update: Update) -> Result<(), ()> {
         let worker = self.worker.clone();
         self.planner
-            .cast(Message::Link(worker, news))
+            .cast(Message::Agent(worker, update))
             .map_err(|_| ())
     }
 }
--- a/src/planner/takeover.rs
+++ b/src/planner/takeover.rs
@@ -1,4 +1,5 @@
-//! What a new planner finds: records in the store, gangs in the ledgers.
+//! Determines what a new planner takes over, from the records in the store and
+//! the gangs in the agents' ledgers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,10 +17,11 @@
 use crate::wire::gang::Ending;
 use crate::wire::gang::Gang;
 
-/// The wait between two tries to read records.
-const RETRY: Duration = Duration::from_millis(500);
+/// The typical wait between two attempts to read records; each varies from
+/// half to twice as long.
+const RETRY_WAIT: Duration = Duration::from_millis(500);
 
-/// Records as they were read, and at which revision.
+/// Records, and the store's revision at which they were read.
 #[derive(Debug, Default)]
 pub struct Records {
     /// The records.
@@ -28,20 +30,21 @@
     pub revision: Revision,
 }
 
-/// Reads the records that were changed at or after `since`, trying until
-/// the store answers.
+/// Reads the records changed at or after `since`, and retries until the store
+/// answers.
 pub async fn read(store: &store::Client, since: Revision) -> Records {
     loop {
         if let Ok(records) = try_read(store, since).await {
             return records;
         }
-        let most = RETRY.as_millis() as u64;
-        let wait = Duration::from_millis(fastrand::u64(most / 2..=most * 2));
+        let typical = RETRY_WAIT.as_millis() as u64;
+        let wait =
+            Duration::from_millis(fastrand::u64(typical / 2..=typical * 2));
         tokio::time::sleep(wait).await;
     }
 }
 
-/// Reads the records that were changed at or after `since`.
+/// Reads the records changed at or after `since`.
 ///
 /// # Errors
 ///
@@ -58,115 +61,125 @@
     })
 }
 
-/// A gang put together from its members' ledgers.
+/// A gang with the evidence of its members' ledgers.
 #[derive(Clone, Debug)]
-pub struct Found {
+pub struct GangEvidence {
     /// The gang.
     pub gang: Gang,
-    /// Whether any member has begun, or had.
+    /// Whether any member has begun, even if it has ended since.
     pub begun: bool,
-    /// How long ago the first one did.
-    pub ago: Duration,
+    /// How long ago the first member began.
+    pub begun_ago: Duration,
     /// Whether the lead's ledger was read.
     pub lead_read: bool,
 }
 
-/// Puts the gangs of all ledgers together.
-pub fn gangs<'a>(
+/// Combines the entries of all ledgers by gang.
+pub fn collect_gangs<'a>(
     entries: impl Iterator<Item = (&'a WorkerId, &'a Entry)>,
-) -> BTreeMap<gang::Id, Found> {
-    let mut gangs: BTreeMap<gang::Id, Found> = BTreeMap::new();
+) -> BTreeMap<gang::Id, GangEvidence> {
+    let mut gangs: BTreeMap<gang::Id, GangEvidence> = BTreeMap::new();
     for (worker, entry) in entries {
-        let found =
-            gangs.entry(entry.gang.id.clone()).or_insert_with(|| Found {
-                gang: entry.gang.clone(),
-                begun: false,
-                ago: Duration::ZERO,
-                lead_read: false,
+        let evidence =
+            gangs.entry(entry.gang.id.clone()).or_insert_with(|| {
+                GangEvidence {
+                    gang: entry.gang.clone(),
+                    begun: false,
+                    begun_ago: Duration::ZERO,
+                    lead_read: false,
+                }
             });
-        found.lead_read |= entry.gang.lead().worker == *worker;
+        evidence.lead_read |= entry.gang.lead().worker == *worker;
         match &entry.stage {
             Stage::Held => {}
             Stage::Begun { ago_ms } => {
-                found.begun = true;
-                found.ago = found.ago.max(Duration::from_millis(*ago_ms));
+                evidence.begun = true;
+                evidence.begun_ago =
+                    evidence.begun_ago.max(Duration::from_millis(*ago_ms));
             }
             Stage::Ended(end) => {
-                found.begun |= end.ending != Ending::NotBegun;
+                evidence.begun |= end.ending != Ending::NotBegun;
             }
         }
     }
     gangs
 }
 
-/// What is to be done about a record that has not ended.
+/// How a takeover deals with a record that has no end.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Standing {
-    /// It runs, or did: this gang is the one.
-    Runs(gang::Id),
-    /// Nothing of it has ever run, or it may run again.
-    Waits,
-    /// A start may have been decided, and a member's ledger is not read.
-    Open,
-    /// A start may have been decided, and nobody knows of it.
-    Unknown,
+pub enum Resolution {
+    /// The gang runs or ran: the job continues with it.
+    Adopt(gang::Id),
+    /// No start of the job has ever run, or the job may repeat: the job waits
+    /// for accelerators.
+    Queue,
+    /// A start may have been decided, and a member's ledger is unread: the
+    /// record is examined again later.
+    Defer,
+    /// A start may have been decided, and no ledger holds its outcome: the job
+    /// ends with an unknown outcome.
+    GiveUp,
 }
 
-/// An agent as a takeover finds it.
+/// The ledger of a worker's agent, as a takeover finds it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Witness {
-    /// Its ledger was read, in this life of its process. It has seen the
-    /// epoch of this planner, so no earlier one is obeyed any more.
+pub enum Ledger {
+    /// The ledger was read, in this incarnation of the agent. The agent has
+    /// seen the planner's epoch and obeys no earlier planner any more.
     Read(Incarnation),
-    /// Its ledger has not been read yet.
+    /// The ledger has not been read yet.
     Unread,
-    /// Its VM is gone.
+    /// The agent's VM is gone.
     Gone,
 }
 
-/// Returns what is to be done about a record, given the gangs found and
-/// what became of each worker's agent.
-pub fn standing(
+/// Returns how to deal with a record, given the gangs found and the ledger of
+/// each worker.
+pub fn resolve(
     record: &Record,
-    gangs: &BTreeMap<gang::Id, Found>,
-    witness: impl Fn(&WorkerId) -> Witness,
-) -> Standing {
+    gangs: &BTreeMap<gang::Id, GangEvidence>,
+    ledger: impl Fn(&WorkerId) -> Ledger,
+) -> Resolution {
     let last = gangs
         .iter()
-        .filter(|(id, found)| id.job == record.spec.id && found.begun)
+        .filter(|(id, evidence)| id.job == record.spec.id && evidence.begun)
         .map(|(id, _)| id)
         .max_by_key(|id| (id.epoch, id.attempt));
     if let Some(id) = last {
-        return Standing::Runs(id.clone());
+        return Resolution::Adopt(id.clone());
     }
     let Some(mark) = &record.mark else {
-        return Standing::Waits;
+        return Resolution::Queue;
     };
-    let witnesses: Vec<Witness> =
-        mark.members.iter().map(|m| witness(&m.worker)).collect();
-    let same_lives = witnesses.len() == mark.incarnations.len()
-        && witnesses
-            .iter()
-            .zip(&mark.incarnations)
-            .all(|(witness, then)| *witness == Witness::Read(then.clone()));
-    match witnesses.contains(&Witness::Unread) {
-        true => Standing::Open,
-        // Every member's agent remembers, and none has begun it.
-        false if same_lives => Standing::Waits,
-        false => Standing::Unknown,
+    let ledgers: Vec<Ledger> =
+        mark.members.iter().map(|m| ledger(&m.worker)).collect();
+    let same_incarnations =
+        ledgers.len() == mark.incarnations.len()
+            && ledgers.iter().zip(&mark.incarnations).all(
+                |(ledger, recorded)| *ledger == Ledger::Read(recorded.clone()),
+            );
+    match ledgers.contains(&Ledger::Unread) {
+        true => Resolution::Defer,
+        // Each member's agent has kept its memory since, and none began the
+        // gang.
+        false if same_incarnations => Resolution::Queue,
+        false => Resolution::GiveUp,
     }
 }
 
-/// Returns the jobs that gangs without a record belong to.
+/// Returns the latest gangs of jobs that have no record.
 pub fn unrecorded(
-    gangs: &BTreeMap<gang::Id, Found>,
+    gangs: &BTreeMap<gang::Id, GangEvidence>,
     records: &BTreeSet<job::Id>,
 ) -> Vec<Gang> {
-    let mut latest: BTreeMap<&job::Id, &Found> = BTreeMap::new();
-    for (id, found) in gangs {
-        if found.begun && !records.contains(&id.job) {
-            latest.insert(&id.job, found);
+    let mut latest: BTreeMap<&job::Id, &GangEvidence> = BTreeMap::new();
+    for (id, evidence) in gangs {
+        if evidence.begun && !records.contains(&id.job) {
+            latest.insert(&id.job, evidence);
         }
     }
-    latest.values().map(|found| found.gang.clone()).collect()
+    latest
+        .values()
+        .map(|evidence| evidence.gang.clone())
+        .collect()
 }
--- a/src/planner/view.rs
+++ b/src/planner/view.rs
@@ -1,9 +1,9 @@
-//! A cell as operators see it.
+//! A view of the cell for operators and metrics.
 
 use opentelemetry::KeyValue;
 
 use crate::plan::home::mask_on;
-use crate::plan::state::count;
+use crate::plan::state::accelerator_count;
 use crate::plan::state::Presence;
 use crate::plan::Plan;
 use crate::planner::Config;
@@ -18,7 +18,7 @@
 use crate::wire::entry::WorkerView;
 use crate::wire::Epoch;
 
-/// Returns the cell as its planner sees it.
+/// Returns a view of the whole cell.
 pub fn cell(
     plan: &Plan,
     config: &Config,
@@ -42,22 +42,24 @@
     }
 }
 
-/// Returns the share of free accelerators that lie in no free whole worker.
+/// Returns the share of free accelerators on workers that are not entirely
+/// free.
 pub fn fragmentation(plan: &Plan) -> f64 {
     let state = plan.state();
     let whole = state.site.accelerators();
-    let frees =
+    let free_counts =
         || (0..state.workers.len()).map(|w| state.free(w).count_ones());
-    let free: u32 = frees().sum();
-    let wholes: u32 = frees().filter(|free| *free == whole).sum();
+    let free: u32 = free_counts().sum();
+    let in_whole_workers: u32 =
+        free_counts().filter(|free| *free == whole).sum();
     match free {
         0 => 0.0,
-        free => f64::from(free - wholes) / f64::from(free),
+        free => f64::from(free - in_whole_workers) / f64::from(free),
     }
 }
 
-/// Shows the state of the cell as metrics.
-pub fn measure(plan: &Plan, revision: Revision) {
+/// Records the state of the cell as metrics.
+pub fn record_metrics(plan: &Plan, revision: Revision) {
     let state = plan.state();
     let metrics = metrics::get();
     let waiting = state.waiting.len() + state.booked.len();
@@ -66,7 +68,7 @@
     metrics.running.record(running as u64, &[]);
     metrics.fragmentation.record(fragmentation(plan), &[]);
     metrics.configuration.record(revision, &[]);
-    for account in state.tenants.keys() {
+    for account in state.accounts.keys() {
         let missing = state.homes.iter().filter(|home| {
             home.owner.as_ref() == Some(account) && !home.is_placed()
         });
@@ -78,9 +80,9 @@
 
 fn worker(plan: &Plan, index: WorkerIndex) -> WorkerView {
     let state = plan.state();
-    let books = &state.workers[index];
-    let place = &state.site.workers()[index];
-    let jobs = books.jobs.iter().filter_map(|id| {
+    let worker = &state.workers[index];
+    let site_worker = &state.site.workers()[index];
+    let jobs = worker.jobs.iter().filter_map(|id| {
         let job = state.jobs.get(id)?;
         Some(Allocation {
             job: id.clone(),
@@ -93,20 +95,20 @@
         let mask = mask_on(&home.pieces, index);
         (mask != 0).then_some(HomeAllocation { account, mask })
     });
-    let presence = match books.presence {
+    let presence = match worker.presence {
         Presence::Up => "up",
         Presence::Silent => "silent",
         Presence::Leaving => "leaving",
         Presence::Lost => "lost",
     };
-    let health = match books.health.is_good() {
+    let health = match worker.health.is_in_service() {
         true => "good",
         false => "quarantined",
     };
     WorkerView {
-        worker: place.id.clone(),
-        hall: state.site.halls()[place.hall].id.clone(),
-        rack: state.site.racks()[place.rack].id.clone(),
+        worker: site_worker.id.clone(),
+        hall: state.site.halls()[site_worker.hall].id.clone(),
+        rack: state.site.racks()[site_worker.rack].id.clone(),
         presence: presence.to_owned(),
         health: health.to_owned(),
         jobs: jobs.collect(),
@@ -130,7 +132,7 @@
         Some(GuaranteeView {
             shape: home.shape,
             placed: home.is_placed(),
-            used: count(&home.used),
+            used: accelerator_count(&home.used),
             borrowers: borrowers.map(|(id, _)| id.clone()).collect(),
             account,
         })
