--- a/crates/landingvalve-cli/src/explain.rs
+++ b/crates/landingvalve-cli/src/explain.rs
@@ -8,9 +8,9 @@
 use eyre::bail;
 use eyre::WrapErr;
 use landingvalve::explain::cause::Cause;
-use landingvalve::explain::story::End;
-use landingvalve::explain::story::Story;
-use landingvalve::explain::story::Verdict;
+use landingvalve::explain::history::History;
+use landingvalve::explain::history::Outcome;
+use landingvalve::explain::history::Verdict;
 use landingvalve::explain::Logs;
 use serde_json::json;
 
@@ -40,7 +40,7 @@
     let logs = read(files)?;
     match job {
         Some(job) => {
-            let Some(story) = logs.story(job) else {
+            let Some(story) = logs.history(job) else {
                 let (lines, _) = logs.counts();
                 bail!("job {job}: in none of {lines} lines");
             };
@@ -80,11 +80,11 @@
     Ok(logs)
 }
 
-fn print_story(job: &str, story: &Story, as_json: bool) {
+fn print_story(job: &str, story: &History, as_json: bool) {
     let began = story.began();
     let verdict = story.verdict();
     let after = |line: &landingvalve::explain::line::Line| {
-        let after = began.and_then(|b| line.at.duration_since(b).ok());
+        let after = began.and_then(|b| line.written_at.duration_since(b).ok());
         after.unwrap_or_default().as_secs_f64()
     };
     if as_json {
@@ -103,7 +103,7 @@
             after(line),
             line.process,
             line.message,
-            line.shown()
+            line.display_fields()
         );
     }
     println!("{}", sentence(job, &verdict));
@@ -115,16 +115,20 @@
     let cost = seconds(verdict.cost_ms);
     let cause = verdict.cause;
     match verdict.end {
-        End::InTime => {
+        Outcome::InTime => {
             format!("job {job}: in time, {took} of {objective} s")
         }
-        End::Late => format!(
+        Outcome::Late => format!(
             "job {job}: late, {took} of {objective} s: {cause} ({cost} s)"
         ),
-        End::Failed => format!("job {job}: failed after {took} s: {cause}"),
-        End::Cancelled => format!("job {job}: cancelled after {took} s"),
-        End::Refused => format!("job {job}: refused for {took} s: {cause}"),
-        End::Open => format!(
+        Outcome::Failed => {
+            format!("job {job}: failed after {took} s: {cause}")
+        }
+        Outcome::Cancelled => format!("job {job}: cancelled after {took} s"),
+        Outcome::Refused => {
+            format!("job {job}: refused for {took} s: {cause}")
+        }
+        Outcome::Open => format!(
             "job {job}: no end is told, {took} s after its start: {cause}"
         ),
     }
@@ -135,12 +139,12 @@
 }
 
 fn print_list(logs: &Logs, args: &Args, as_json: bool) {
-    let asked = |end: End| match end {
-        End::Late => args.late,
-        End::Failed | End::Refused | End::Open => args.failed,
-        End::InTime | End::Cancelled => false,
+    let asked = |end: Outcome| match end {
+        Outcome::Late => args.late,
+        Outcome::Failed | Outcome::Refused | Outcome::Open => args.failed,
+        Outcome::InTime | Outcome::Cancelled => false,
     };
-    let told = logs.stories().map(|(job, story)| (job, story.verdict()));
+    let told = logs.histories().map(|(job, story)| (job, story.verdict()));
     let told: Vec<_> = told.filter(|(_, v)| asked(v.end)).collect();
     let mut table: BTreeMap<Cause, (usize, u64)> = BTreeMap::new();
     for (_, verdict) in &told {
--- a/crates/landingvalve-cli/src/job.rs
+++ b/crates/landingvalve-cli/src/job.rs
@@ -111,7 +111,7 @@
         Command::Logs { job } => {
             let status = status(client, Method::GET, &job).await?;
             for line in status.log {
-                let at = landingvalve::util::millis(line.at);
+                let at = landingvalve::util::unix_millis(line.at);
                 outln!("{at} {}", line.text);
             }
             Ok(ExitCode::SUCCESS)
--- a/crates/landingvalve-cli/src/trial.rs
+++ b/crates/landingvalve-cli/src/trial.rs
@@ -9,7 +9,7 @@
 use landingvalve::entry::operators::View;
 use landingvalve::job::Outcome;
 use landingvalve::telemetry::Collector;
-use landingvalve::telemetry::Finished;
+use landingvalve::telemetry::FinishedSpan;
 use landingvalve::telemetry::Telemetry;
 use landingvalve::util::digest;
 use landingvalve::wire::entry::Status;
@@ -282,7 +282,7 @@
 /// Prints the spans of the gang's request, each below the one above it.
 fn print_trace(spans: &Collector) {
     let all = spans.spans();
-    let is_gang = |span: &&Finished| {
+    let is_gang = |span: &&FinishedSpan| {
         let of_gang =
             |(_, value): &(String, String)| value.contains("try-retrain");
         span.name == "call" && span.attributes.iter().any(of_gang)
@@ -297,7 +297,7 @@
 }
 
 fn print_below(
-    trace: &[Finished],
+    trace: &[FinishedSpan],
     parent: &str,
     start: SystemTime,
     depth: usize,
--- a/crates/landingvalve-sim/src/day.rs
+++ b/crates/landingvalve-sim/src/day.rs
@@ -109,7 +109,9 @@
         .build();
     let runtime = runtime.expect("a runtime of one thread");
     runtime.block_on(async {
-        clock::follow(SystemTime::UNIX_EPOCH + Duration::from_secs(1 << 30));
+        clock::simulate_wall_time(
+            SystemTime::UNIX_EPOCH + Duration::from_secs(1 << 30),
+        );
         let mut day = Day::new(plan);
         day.run().await;
         day.report()
@@ -400,7 +402,7 @@
             stretch: 3.0,
             target: Duration::from_secs(1),
             guarded: false,
-            accepted: clock::wall(),
+            accepted: clock::wall_time(),
             spec: "spec".into(),
             steps,
             repeat: None,
--- a/crates/landingvalve-sim/src/store.rs
+++ b/crates/landingvalve-sim/src/store.rs
@@ -13,7 +13,7 @@
 use landingvalve::store::Item;
 use landingvalve::store::LeaseId;
 use landingvalve::store::Listing;
-use landingvalve::store::Put;
+use landingvalve::store::Mutation;
 use landingvalve::store::Revision;
 use landingvalve::store::Store;
 use landingvalve::store::Swap;
@@ -95,7 +95,7 @@
     fn write(
         &self,
         conditions: &[Compare],
-        puts: Vec<Put>,
+        puts: Vec<Mutation>,
     ) -> Result<Swap, Error> {
         let mut data = lock(&self.0);
         data.lapse();
@@ -131,7 +131,7 @@
     fn swap(
         &mut self,
         conditions: &[Compare],
-        puts: Vec<Put>,
+        puts: Vec<Mutation>,
     ) -> Result<Swap, Error> {
         let holds = |condition: &Compare| {
             let (key, wanted, created) = match condition {
@@ -153,8 +153,8 @@
             let items = items.map(|(item, _)| item.clone()).collect();
             return Ok(Swap::Refused(items));
         }
-        let on = |put: &Put| match put {
-            Put::Value(_, _, lease) if *lease != 0 => Some(*lease),
+        let on = |put: &Mutation| match put {
+            Mutation::Value(_, _, lease) if *lease != 0 => Some(*lease),
             _ => None,
         };
         let mut leases = puts.iter().filter_map(on);
@@ -168,10 +168,10 @@
         Ok(Swap::Written(self.revision))
     }
 
-    fn put(&mut self, put: Put) {
+    fn put(&mut self, put: Mutation) {
         let revision = self.revision;
         match put {
-            Put::Value(key, value, lease) => {
+            Mutation::Value(key, value, lease) => {
                 let earlier = self.items.get(&key);
                 let created = earlier.map_or(revision, |(i, _)| i.created);
                 let item = Item {
@@ -183,7 +183,7 @@
                 self.log.push(Change::Put(item.clone()));
                 self.items.insert(key, (item, lease));
             }
-            Put::Delete(key) => {
+            Mutation::Delete(key) => {
                 if self.items.remove(&key).is_some() {
                     self.log.push(Change::Deleted(key, revision));
                 }
@@ -256,7 +256,7 @@
     async fn swap(
         &self,
         conditions: &[Compare],
-        puts: Vec<Put>,
+        puts: Vec<Mutation>,
     ) -> Result<Swap, Error> {
         self.call().await?;
         let (lost, late) = {
--- a/crates/landingvalve-soak/src/store.rs
+++ b/crates/landingvalve-soak/src/store.rs
@@ -435,7 +435,7 @@
     request: Request,
 ) -> Result<T, Response> {
     let wrong = |error: String| http::text(StatusCode::BAD_REQUEST, error);
-    let body = http::read(request, MAX_BODY).await;
+    let body = http::read_body(request, MAX_BODY).await;
     let body = body.map_err(|error| wrong(error.to_string()))?;
     serde_json::from_slice(&body).map_err(|error| wrong(error.to_string()))
 }
--- a/crates/landingvalve-soak/src/worker.rs
+++ b/crates/landingvalve-soak/src/worker.rs
@@ -381,7 +381,7 @@
         let meant = request.headers().get("expected-instance");
         let meant = meant.and_then(|life| life.to_str().ok());
         let meant = meant.unwrap_or_default().to_owned();
-        let body = http::read(request, MAX_BODY).await;
+        let body = http::read_body(request, MAX_BODY).await;
         let order = body.ok().and_then(|b| serde_json::from_slice(&b).ok());
         let Some(order): Option<Order> = order else {
             return http::text(StatusCode::BAD_REQUEST, "no order");
--- a/crates/landingvalve-standin/src/bin/landingvalve-standin.rs
+++ b/crates/landingvalve-standin/src/bin/landingvalve-standin.rs
@@ -11,7 +11,7 @@
 use hyper::StatusCode;
 use landingvalve::http;
 use landingvalve::vms::Role;
-use landingvalve::vms::Stay;
+use landingvalve::vms::Status;
 use landingvalve::vms::Vm;
 use landingvalve_standin::Endpoint;
 use landingvalve_standin::Store;
@@ -60,7 +60,7 @@
         vms.put(Vm {
             name: name.as_str().into(),
             role: Role::Endpoint,
-            state: Stay::Live,
+            state: Status::Live,
             hall: "h1".into(),
             rack: format!("r{}", number / 8).into(),
             address: address.clone(),
@@ -77,7 +77,7 @@
         vms.put(Vm {
             name: name.as_str().into(),
             role: Role::Entry,
-            state: Stay::Live,
+            state: Status::Live,
             hall: "h1".into(),
             rack: "r0".into(),
             address: address.clone(),
--- a/crates/landingvalve-standin/src/endpoint.rs
+++ b/crates/landingvalve-standin/src/endpoint.rs
@@ -209,7 +209,7 @@
     async fn handle(&self, request: http::Request) -> http::Response {
         let method = request.method().clone();
         let path = request.uri().path().to_owned();
-        let Ok(body) = http::read(request, MAX_REQUEST).await else {
+        let Ok(body) = http::read_body(request, MAX_REQUEST).await else {
             return http::text(StatusCode::PAYLOAD_TOO_LARGE, "too large");
         };
         let mut data = self.lock();
--- a/crates/landingvalve-standin/src/site.rs
+++ b/crates/landingvalve-standin/src/site.rs
@@ -13,7 +13,7 @@
 use landingvalve::plan::Policy;
 use landingvalve::util::digest;
 use landingvalve::vms::Role;
-use landingvalve::vms::Stay;
+use landingvalve::vms::Status;
 use landingvalve::vms::Vm;
 use tokio::time::Instant;
 
@@ -164,7 +164,7 @@
         self.vms.put(Vm {
             name: worker.as_str().into(),
             role: Role::Endpoint,
-            state: Stay::Live,
+            state: Status::Live,
             hall: hall.as_str().into(),
             rack: rack.as_str().into(),
             address: agent.address().to_string(),
@@ -196,7 +196,7 @@
         self.vms.put(Vm {
             name: name.into(),
             role: Role::Entry,
-            state: Stay::Live,
+            state: Status::Live,
             hall: "h1".into(),
             rack: "h1r1".into(),
             address: entry.peers().to_owned(),
--- a/crates/landingvalve-standin/src/store.rs
+++ b/crates/landingvalve-standin/src/store.rs
@@ -183,7 +183,7 @@
             let status = StatusCode::SERVICE_UNAVAILABLE;
             return http::text(status, "the store is down");
         }
-        let Ok(body) = http::read(request, 4 * MAX_VALUE).await else {
+        let Ok(body) = http::read_body(request, 4 * MAX_VALUE).await else {
             return http::text(StatusCode::PAYLOAD_TOO_LARGE, "too large");
         };
         match &*path {
--- a/crates/landingvalve-standin/src/vms.rs
+++ b/crates/landingvalve-standin/src/vms.rs
@@ -7,7 +7,7 @@
 
 use hyper::StatusCode;
 use landingvalve::http;
-use landingvalve::vms::Stay;
+use landingvalve::vms::Status;
 use landingvalve::vms::Vm;
 
 #[derive(Default)]
@@ -50,7 +50,7 @@
     pub fn leave(&self, name: &str) {
         let mut vms = self.lock();
         for vm in vms.iter_mut().filter(|vm| &*vm.name == name) {
-            vm.state = Stay::Leaving;
+            vm.state = Status::Leaving;
         }
     }
 
--- a/src/agent/ledger.rs
+++ b/src/agent/ledger.rs
@@ -106,7 +106,7 @@
         worker: WorkerId,
         accelerators: u32,
     ) -> Result<Ledger, crate::site::Error> {
-        let whole = crate::site::Site::new(accelerators)?.whole();
+        let whole = crate::site::Site::new(accelerators)?.full_mask();
         Ok(Ledger {
             worker,
             whole,
--- a/src/bin/landingvalve-agent.rs
+++ b/src/bin/landingvalve-agent.rs
@@ -12,16 +12,16 @@
 async fn main() -> eyre::Result<()> {
     let args = program::Args::parse();
     let path = args.path()?;
-    if args.print(&settings::agent::file(&path)) {
+    if args.print_if_requested(&settings::agent::file(&path)) {
         return Ok(());
     }
     let (config, common) = settings::agent::read(&path)?;
-    if args.only_check() {
+    if args.is_check_only() {
         println!("{}: good", path.display());
         return Ok(());
     }
     let (telemetry, _page) =
-        program::telemetry(&config.worker, &common).await?;
+        program::start_telemetry(&config.worker, &common).await?;
     let log = log::root(common.format, common.level, &config.worker);
     let config = Config {
         log: log.clone(),
@@ -29,7 +29,7 @@
     };
     let agent = Agent::start(config).await?;
     slog::info!(log, "agent: has started"; "listen" => %agent.address());
-    let deadline = program::stopped().await?;
+    let deadline = program::wait_for_stop_signal().await?;
     slog::info!(log, "agent: takes no new work, and stops once idle");
     agent.stop(deadline).await;
     tokio::task::spawn_blocking(|| telemetry.stop()).await?;
--- a/src/bin/landingvalve-entry.rs
+++ b/src/bin/landingvalve-entry.rs
@@ -12,15 +12,16 @@
 async fn main() -> eyre::Result<()> {
     let args = program::Args::parse();
     let path = args.path()?;
-    if args.print(&settings::entry::file(&path)) {
+    if args.print_if_requested(&settings::entry::file(&path)) {
         return Ok(());
     }
     let (config, common) = settings::entry::read(&path)?;
-    if args.only_check() {
+    if args.is_check_only() {
         println!("{}: good", path.display());
         return Ok(());
     }
-    let (telemetry, _page) = program::telemetry(&config.name, &common).await?;
+    let (telemetry, _page) =
+        program::start_telemetry(&config.name, &common).await?;
     let log = log::root(common.format, common.level, &config.name);
     let config = Config {
         log: log.clone(),
@@ -29,7 +30,7 @@
     let entry = Entry::start(config).await?;
     slog::info!(log, "entry: has started"; "callers" => %entry.callers(),
         "peers" => entry.peers());
-    let deadline = program::stopped().await?;
+    let deadline = program::wait_for_stop_signal().await?;
     slog::info!(log, "entry: stops once every request has its answer");
     entry.stop(deadline).await;
     tokio::task::spawn_blocking(|| telemetry.stop()).await?;
--- a/src/cell/admission.rs
+++ b/src/cell/admission.rs
@@ -20,7 +20,7 @@
 use crate::store::Compare;
 use crate::store::Error;
 use crate::store::Item;
-use crate::store::Put;
+use crate::store::Mutation;
 use crate::store::Store;
 use crate::store::Swap;
 use crate::telemetry::metrics;
@@ -145,8 +145,8 @@
         let key = keys::job(&job.id);
         let absent = [Compare::Modified(key.clone(), 0)];
         let puts = vec![
-            Put::Value(key, value, 0),
-            Put::Value(keys::waits(&job.queue, &job.id), Vec::new(), 0),
+            Mutation::Value(key, value, 0),
+            Mutation::Value(keys::waits(&job.queue, &job.id), Vec::new(), 0),
         ];
         let mut limit = UNANSWERED;
         loop {
@@ -196,7 +196,7 @@
         let key = keys::cancel(id);
         let absent = [Compare::Modified(key.clone(), 0)];
         loop {
-            let puts = vec![Put::Value(key.clone(), b"{}".to_vec(), 0)];
+            let puts = vec![Mutation::Value(key.clone(), b"{}".to_vec(), 0)];
             let swap = self.store.swap(&absent, puts);
             match tokio::time::timeout_at(deadline, swap).await {
                 Ok(Ok(_)) => break,
--- a/src/cell/claim.rs
+++ b/src/cell/claim.rs
@@ -9,12 +9,12 @@
 use serde::Serialize;
 
 use crate::cell::keys;
-use crate::clock::Stamp;
+use crate::clock::BootInstant;
 use crate::store::Compare;
 use crate::store::Error;
 use crate::store::Item;
 use crate::store::LeaseId;
-use crate::store::Put;
+use crate::store::Mutation;
 use crate::store::Revision;
 use crate::store::Store;
 use crate::store::Swap;
@@ -58,12 +58,12 @@
     /// The lease it hangs on.
     pub lease: LeaseId,
     /// Until when it surely holds.
-    valid: Arc<Mutex<Stamp>>,
+    valid: Arc<Mutex<BootInstant>>,
 }
 
 impl Claim {
     /// Returns a claim that holds until `valid`.
-    pub fn new(token: Revision, lease: LeaseId, valid: Stamp) -> Claim {
+    pub fn new(token: Revision, lease: LeaseId, valid: BootInstant) -> Claim {
         Claim {
             token,
             lease,
@@ -73,11 +73,11 @@
 
     /// Returns whether it surely holds now.
     pub fn holds(&self) -> bool {
-        self.valid_until().is_ahead()
+        self.valid_until().is_future()
     }
 
     /// Returns until when it surely holds.
-    pub fn valid_until(&self) -> Stamp {
+    pub fn valid_until(&self) -> BootInstant {
         *self.valid.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -89,7 +89,7 @@
     /// Renews it once; returns whether it may still be held.
     pub async fn renew(&self, store: &impl Store) -> bool {
         // Counted from before the call: the lease began later.
-        let sent = Stamp::now();
+        let sent = BootInstant::now();
         let call = tokio::time::timeout(CALL, store.keep_alive(self.lease));
         match call.await {
             Ok(Ok(true)) => {
@@ -140,13 +140,14 @@
             return Ok(Tried::Other(item.modified));
         }
     }
-    let sent = Stamp::now();
+    let sent = BootInstant::now();
     let lease = store.grant(TTL).await?;
     let value = serde_json::to_vec(holder).unwrap_or_default();
-    let mut puts = vec![Put::Value(keys::PLANNER.to_owned(), value, lease)];
+    let mut puts =
+        vec![Mutation::Value(keys::PLANNER.to_owned(), value, lease)];
     if strongest.is_none_or(|most| holder.cores > most) {
         let value = holder.cores.to_string().into_bytes();
-        puts.push(Put::Value(keys::STRONGEST.to_owned(), value, 0));
+        puts.push(Mutation::Value(keys::STRONGEST.to_owned(), value, 0));
     }
     match store.swap(&[condition], puts).await {
         Ok(Swap::Written(token)) => {
--- a/src/cell/configuration.rs
+++ b/src/cell/configuration.rs
@@ -16,7 +16,7 @@
 use crate::cell::reach::Reach;
 use crate::cell::watch::News;
 use crate::cell::watch::Watch;
-use crate::clock::Stamp;
+use crate::clock::BootInstant;
 use crate::graph::Advice;
 use crate::graph::Text;
 use crate::store::Change;
@@ -108,9 +108,9 @@
     /// The last revision that was seen, whether it could be read or not.
     seen: Revision,
     /// When the last call that showed it to be current was sent.
-    confirmed: Option<Stamp>,
+    confirmed: Option<BootInstant>,
     /// When the store has answered last.
-    heard: Option<Stamp>,
+    heard: Option<BootInstant>,
 }
 
 /// The configuration as this process knows it; it never goes back.
@@ -229,7 +229,7 @@
         decode: &impl Fn(&[u8]) -> Result<Configuration, E>,
         log: &slog::Logger,
     ) -> Result<(), Error> {
-        let sent = Stamp::now();
+        let sent = BootInstant::now();
         let news = match watch.next(store).await {
             Ok(news) => news,
             Err(Error::Forgotten(revision)) => {
@@ -281,7 +281,7 @@
     fn take<E: std::fmt::Display>(
         &self,
         item: Item,
-        sent: Stamp,
+        sent: BootInstant,
         decode: &impl Fn(&[u8]) -> Result<Configuration, E>,
         log: &slog::Logger,
     ) {
@@ -300,7 +300,9 @@
                     "ms" => millis(sent.elapsed()));
                 let metrics = metrics::get();
                 metrics.configuration.record(item.modified, &[]);
-                metrics.bytes.record(item.value.len() as u64, &[]);
+                metrics
+                    .configuration_bytes
+                    .record(item.value.len() as u64, &[]);
                 known.current = Some(Arc::new(configuration));
                 known.revision = item.modified;
             }
@@ -311,9 +313,9 @@
     }
 
     /// Takes in that all which was written before `sent` has been seen.
-    fn confirm(&self, sent: Stamp) {
+    fn confirm(&self, sent: BootInstant) {
         let mut known = self.lock();
-        known.heard = Some(Stamp::now());
+        known.heard = Some(BootInstant::now());
         // Of a version that cannot be read, only its being there is known.
         if known.seen == known.revision {
             known.confirmed = Some(sent);
--- a/src/cell/member/act.rs
+++ b/src/cell/member/act.rs
@@ -168,7 +168,9 @@
         let worker = state.worker.as_ref();
         let tried = worker.is_some_and(|known| known.may_run(key));
         drop(state);
-        metrics::get().waits.add(1, &[label("why", why.word())]);
+        metrics::get()
+            .starts_waiting
+            .add(1, &[label("why", why.word())]);
         slog::info!(self.0.config.log, "agent: a start waits";
             "task" => %key.0, "run" => key.1, "why" => why.word(),
             "tried" => tried);
@@ -349,5 +351,5 @@
     };
     let labels = [label("kind", kind), label("outcome", outcome)];
     let took = sent.elapsed().as_secs_f64();
-    metrics::get().order.record(took, &labels);
+    metrics::get().order_seconds.record(took, &labels);
 }
--- a/src/cell/member/keep.rs
+++ b/src/cell/member/keep.rs
@@ -15,7 +15,7 @@
 use crate::graph::Life;
 use crate::graph::Report;
 use crate::store::Compare;
-use crate::store::Put;
+use crate::store::Mutation;
 use crate::store::Revision;
 use crate::store::Store;
 use crate::store::Swap;
@@ -51,7 +51,7 @@
         loop {
             let now = Instant::now();
             let due = self.lock().answered + alone;
-            if !due.is_ahead() {
+            if !due.is_future() {
                 let report = self.lock().report(&self.0.config, now);
                 self.keep(report, &mut kept).await;
                 tokio::time::sleep(LOOK).await;
@@ -60,7 +60,7 @@
                 tokio::time::sleep(LOOK).await;
             } else {
                 // A timer stands still while the machine is suspended.
-                tokio::time::sleep(due.left().min(LOOK_AGAIN)).await;
+                tokio::time::sleep(due.remaining().min(LOOK_AGAIN)).await;
             }
         }
     }
@@ -87,7 +87,7 @@
                 return;
             }
         };
-        let put = |key| Put::Value(key, value, lease);
+        let put = |key| Mutation::Value(key, value, lease);
         if self.swap(put, kept).await {
             slog::info!(self.0.config.log,
                 "agent: ends are kept, no planner is reached";
@@ -98,7 +98,7 @@
 
     /// Removes what is kept, once a planner has heard it.
     async fn clear(&self, kept: &mut Kept) {
-        if self.swap(Put::Delete, kept).await {
+        if self.swap(Mutation::Delete, kept).await {
             kept.ends.clear();
         }
     }
@@ -107,13 +107,13 @@
     /// one before, so that a late one of an earlier call undoes nothing.
     async fn swap(
         &self,
-        put: impl FnOnce(String) -> Put,
+        put: impl FnOnce(String) -> Mutation,
         kept: &mut Kept,
     ) -> bool {
         let key = keys::report(&self.0.config.agent);
         let condition = Compare::Modified(key.clone(), kept.revision);
         let put = put(key);
-        let removes = matches!(put, Put::Delete(_));
+        let removes = matches!(put, Mutation::Delete(_));
         match self.0.store.swap(&[condition], vec![put]).await {
             Ok(Swap::Written(revision)) => {
                 kept.revision = if removes { 0 } else { revision };
--- a/src/cell/member/link.rs
+++ b/src/cell/member/link.rs
@@ -12,7 +12,7 @@
 use crate::cell::planner::HOLD;
 use crate::cell::rpc::Answer;
 use crate::cell::worker::Worker;
-use crate::clock::Stamp;
+use crate::clock::BootInstant;
 use crate::store::Change;
 use crate::store::Item;
 use crate::store::Revision;
@@ -128,7 +128,7 @@
     /// Reports until the planner does not answer or is none any more.
     async fn report_to(&self, client: &dyn Peer, token: Revision) {
         loop {
-            let sent = Stamp::now();
+            let sent = BootInstant::now();
             let report = {
                 let mut state = self.lock();
                 if state.fenced >= token {
@@ -163,7 +163,7 @@
     fn take(
         &self,
         token: Revision,
-        granted: Option<Stamp>,
+        granted: Option<BootInstant>,
         orders: crate::graph::Orders,
     ) {
         let paces = orders.paces.clone();
--- a/src/cell/member/state.rs
+++ b/src/cell/member/state.rs
@@ -13,7 +13,7 @@
 use crate::cell::worker::Call;
 use crate::cell::worker::Look;
 use crate::cell::worker::WorkerTime;
-use crate::clock::Stamp;
+use crate::clock::BootInstant;
 use crate::graph::Before;
 use crate::graph::Life;
 use crate::graph::Lists;
@@ -73,9 +73,9 @@
     /// The highest fencing token seen.
     pub token: Revision,
     /// Until when the worker's tasks may go on.
-    pub granted: Option<Stamp>,
+    pub granted: Option<BootInstant>,
     /// When a planner has answered last.
-    pub answered: Stamp,
+    pub answered: BootInstant,
     /// The highest token that the worker has called too low.
     pub fenced: Revision,
     pub worker: Option<Known>,
@@ -92,7 +92,7 @@
             sequence: 0,
             token: 0,
             granted: None,
-            answered: Stamp::now(),
+            answered: BootInstant::now(),
             fenced: 0,
             worker: None,
             strange: None,
@@ -206,14 +206,14 @@
     pub fn orders(
         &mut self,
         token: Revision,
-        granted: Option<Stamp>,
+        granted: Option<BootInstant>,
         orders: Orders,
     ) -> Vec<Key> {
         if token < self.token {
             return Vec::new();
         }
         self.token = token;
-        self.answered = Stamp::now();
+        self.answered = BootInstant::now();
         self.granted = self.granted.max(granted);
         let Some(known) = &mut self.worker else {
             return Vec::new();
@@ -237,7 +237,7 @@
     pub fn target(&self, lease: Duration, now: Instant) -> Option<Instant> {
         let granted = self.granted?;
         let silent = self.worker.as_ref().is_some_and(|w| w.is_silent(now));
-        let left = granted.left();
+        let left = granted.remaining();
         let may = left > LEAST_LEASE && !silent;
         may.then(|| now + left.min(lease))
     }
--- a/src/cell/planner/calls.rs
+++ b/src/cell/planner/calls.rs
@@ -18,7 +18,7 @@
 use crate::graph::Id;
 use crate::graph::Moment;
 use crate::graph::Report;
-use crate::store::Put;
+use crate::store::Mutation;
 use crate::store::Store;
 
 /// How long records of ended jobs are kept; callers may ask for 120 s.
@@ -106,7 +106,7 @@
 
     /// Removes the records of jobs that ended long ago.
     pub(super) fn remove(&mut self, myself: &ActorRef<Message>) {
-        let before = clock::wall().checked_sub(KEPT);
+        let before = clock::wall_time().checked_sub(KEPT);
         let ids: Vec<Id> = match before {
             Some(before) if !self.removing => self.book.ended_before(before),
             _ => return,
@@ -116,12 +116,12 @@
             return;
         }
         self.removing = true;
-        let puts: Vec<Put> = ids
+        let puts: Vec<Mutation> = ids
             .iter()
             .flat_map(|id| {
                 [keys::job(id), keys::cancel(id), keys::progress(id)]
             })
-            .map(Put::Delete)
+            .map(Mutation::Delete)
             .collect();
         let store = self.store.clone();
         let condition = self.claim.condition();
--- a/src/cell/planner/mod.rs
+++ b/src/cell/planner/mod.rs
@@ -405,7 +405,7 @@
         self.ask(myself);
         self.inquire(myself);
         let took = began.elapsed();
-        metrics::get().step.record(took.as_secs_f64(), &[]);
+        metrics::get().step_seconds.record(took.as_secs_f64(), &[]);
         self.rests_until = began + (took * REST).min(LONGEST_REST);
     }
 
--- a/src/cell/relay/call.rs
+++ b/src/cell/relay/call.rs
@@ -12,7 +12,7 @@
 use crate::store::Item;
 use crate::store::LeaseId;
 use crate::store::Listing;
-use crate::store::Put;
+use crate::store::Mutation;
 use crate::store::Revision;
 use crate::store::Store;
 use crate::store::Swap;
@@ -25,7 +25,7 @@
     /// Reads the keys that start with a prefix.
     List(String),
     /// Writes under conditions.
-    Swap(Vec<Compare>, Vec<Put>),
+    Swap(Vec<Compare>, Vec<Mutation>),
     /// Takes a lease.
     Grant(#[serde(with = "crate::util::duration_ms")] Duration),
     /// Prolongs a lease.
--- a/src/cell/relay/mod.rs
+++ b/src/cell/relay/mod.rs
@@ -34,7 +34,7 @@
 use crate::store::Item;
 use crate::store::LeaseId;
 use crate::store::Listing;
-use crate::store::Put;
+use crate::store::Mutation;
 use crate::store::Revision;
 use crate::store::Store;
 use crate::store::Swap;
@@ -166,7 +166,7 @@
     async fn swap(
         &self,
         conditions: &[Compare],
-        puts: Vec<Put>,
+        puts: Vec<Mutation>,
     ) -> Result<Swap, Error> {
         let call = Call::Swap(conditions.to_vec(), puts);
         self.call(call).await?.swap()
--- a/src/cell/relay/peers.rs
+++ b/src/cell/relay/peers.rs
@@ -22,7 +22,7 @@
 use crate::cell::relay::call::Reply;
 use crate::store::Error;
 use crate::store::LeaseId;
-use crate::store::Put;
+use crate::store::Mutation;
 use crate::store::Store;
 use crate::telemetry::metrics;
 use crate::telemetry::metrics::label;
@@ -142,7 +142,9 @@
         };
         let value = serde_json::to_vec(&entry).unwrap_or_default();
         let key = keys::entry(&self.0.process);
-        store.swap(&[], vec![Put::Value(key, value, lease)]).await?;
+        store
+            .swap(&[], vec![Mutation::Value(key, value, lease)])
+            .await?;
         Ok(lease)
     }
 
--- a/src/cell/session.rs
+++ b/src/cell/session.rs
@@ -227,7 +227,7 @@
             }
         };
         let took = claimed.elapsed().as_secs_f64();
-        metrics::get().takeover.record(took, &[]);
+        metrics::get().takeover_seconds.record(took, &[]);
         self.host.set(Some(planner.clone()));
         tokio::select! {
             biased;
--- a/src/cell/teller.rs
+++ b/src/cell/teller.rs
@@ -109,12 +109,12 @@
             standing,
             ..
         } => {
-            metrics.wait.record(waited.as_secs_f64(), &[]);
+            metrics.wait_seconds.record(waited.as_secs_f64(), &[]);
             match standing {
                 Some(standing) if standing.within && *run == 1 => {
                     let late = if standing.left < 0 { "yes" } else { "no" };
                     let labels = [label("late", late)];
-                    metrics.owed.record(waited.as_secs_f64(), &labels);
+                    metrics.owed_seconds.record(waited.as_secs_f64(), &labels);
                 }
                 _ => {}
             }
@@ -122,7 +122,9 @@
         }
         Decision::Stopped { .. } => "stopped",
         Decision::Ended { how, ran, .. } => {
-            metrics.run.record(ran.as_secs_f64(), &[label("how", how)]);
+            metrics
+                .run_seconds
+                .record(ran.as_secs_f64(), &[label("how", how)]);
             "run ended"
         }
         Decision::Blamed { .. } => "worker lost under a task",
@@ -139,7 +141,7 @@
             };
             let late = if took > objective { "yes" } else { "no" };
             let labels = [label("outcome", outcome), label("late", late)];
-            metrics.job.record(took.as_secs_f64(), &labels);
+            metrics.job_seconds.record(took.as_secs_f64(), &labels);
             "job ended"
         }
     };
--- a/src/cell/writer.rs
+++ b/src/cell/writer.rs
@@ -9,11 +9,11 @@
 use crate::cell::pause;
 use crate::graph::Id;
 use crate::graph::Unwritten;
-use crate::http::carriage;
+use crate::http::transfer_time;
 use crate::store::Compare;
 use crate::store::Error;
 use crate::store::Item;
-use crate::store::Put;
+use crate::store::Mutation;
 use crate::store::Revision;
 use crate::store::Store;
 use crate::store::Swap;
@@ -86,12 +86,13 @@
         conditions.push(Compare::Modified(key.clone(), before));
         let value = serde_json::to_vec(&job.progress)
             .map_err(|error| Lost(error.to_string()))?;
-        puts.push(Put::Value(key, value, 0));
+        puts.push(Mutation::Value(key, value, 0));
         if !known.begun.contains(&job.id) {
-            puts.push(Put::Delete(keys::waits(&job.queue, &job.id)));
+            puts.push(Mutation::Delete(keys::waits(&job.queue, &job.id)));
         }
     }
-    let limit = CALL + carriage(puts.iter().map(Put::bytes).sum());
+    let limit =
+        CALL + transfer_time(puts.iter().map(Mutation::payload_bytes).sum());
     loop {
         let swap = store.swap(&conditions, puts.clone());
         match tokio::time::timeout(limit, swap).await {
@@ -128,14 +129,14 @@
 /// somebody else.
 fn landed(
     batch: &[Unwritten],
-    puts: &[Put],
+    puts: &[Mutation],
     items: &[Item],
 ) -> Result<Written, Lost> {
     let ours = puts.iter().all(|put| match put {
-        Put::Value(key, value, _) => items
+        Mutation::Value(key, value, _) => items
             .iter()
             .any(|item| item.key == *key && item.value == *value),
-        Put::Delete(_) => true,
+        Mutation::Delete(_) => true,
     });
     if !ours {
         return Err(Lost("another has written".to_owned()));
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -3,7 +3,7 @@
 //! The steady clock, which timers and time limits run on, stands still while
 //! a machine is suspended; the rest of the site does not. Whatever proves
 //! that something is still safe (a claim, a grant, the age of knowledge) is
-//! therefore told by a type of its own, [`Stamp`], which the compiler keeps
+//! therefore told by a type of its own, [`BootInstant`], which the compiler keeps
 //! apart from the instants of mere timers. A timer may wake late or early;
 //! what it wakes looks at a stamp before it acts.
 //!
@@ -21,43 +21,43 @@
 
 thread_local! {
     /// Since when this thread's time of day follows the runtime's clock.
-    static FOLLOWED: Cell<Option<(SystemTime, Instant)>> =
+    static SIMULATED_WALL_TIME: Cell<Option<(SystemTime, Instant)>> =
         const { Cell::new(None) };
-    /// What [`suspend`] has added.
-    static SUSPENDED: Cell<Duration> = const { Cell::new(Duration::ZERO) };
+    /// What [`simulate_suspension`] has added.
+    static SIMULATED_SUSPENSION: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
 /// An instant by which safety is proven.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Stamp(Instant);
+pub struct BootInstant(Instant);
 
-impl Stamp {
+impl BootInstant {
     /// Returns the present.
-    pub fn now() -> Stamp {
-        Stamp(Instant::now() + suspended())
+    pub fn now() -> BootInstant {
+        BootInstant(Instant::now() + suspended())
     }
 
     /// Returns how long ago it was; zero if it is yet to come.
     pub fn elapsed(self) -> Duration {
-        Stamp::now().0.saturating_duration_since(self.0)
+        BootInstant::now().0.saturating_duration_since(self.0)
     }
 
     /// Returns how long it is until then; zero if it is past.
-    pub fn left(self) -> Duration {
-        self.0.saturating_duration_since(Stamp::now().0)
+    pub fn remaining(self) -> Duration {
+        self.0.saturating_duration_since(BootInstant::now().0)
     }
 
     /// Returns whether it is yet to come.
-    pub fn is_ahead(self) -> bool {
-        Stamp::now() < self
+    pub fn is_future(self) -> bool {
+        BootInstant::now() < self
     }
 }
 
-impl Add<Duration> for Stamp {
-    type Output = Stamp;
+impl Add<Duration> for BootInstant {
+    type Output = BootInstant;
 
-    fn add(self, time: Duration) -> Stamp {
-        Stamp(self.0 + time)
+    fn add(self, time: Duration) -> BootInstant {
+        BootInstant(self.0 + time)
     }
 }
 
@@ -67,8 +67,8 @@
 }
 
 /// Returns the time of day.
-pub fn wall() -> SystemTime {
-    match FOLLOWED.with(Cell::get) {
+pub fn wall_time() -> SystemTime {
+    match SIMULATED_WALL_TIME.with(Cell::get) {
         Some((wall, since)) => wall + since.elapsed(),
         None => SystemTime::now(),
     }
@@ -76,14 +76,16 @@
 
 /// Lets this thread's time of day follow the runtime's clock from `wall` on:
 /// for simulations.
-pub fn follow(wall: SystemTime) {
-    FOLLOWED.with(|followed| followed.set(Some((wall, Instant::now()))));
+pub fn simulate_wall_time(wall: SystemTime) {
+    SIMULATED_WALL_TIME
+        .with(|followed| followed.set(Some((wall, Instant::now()))));
 }
 
 /// Lets this thread see the machine as having been suspended for so long:
 /// for tests, where every test has a thread of its own.
-pub fn suspend(time: Duration) {
-    SUSPENDED.with(|suspended| suspended.set(suspended.get() + time));
+pub fn simulate_suspension(time: Duration) {
+    SIMULATED_SUSPENSION
+        .with(|suspended| suspended.set(suspended.get() + time));
 }
 
 /// Returns for how long the machine was suspended since it started.
@@ -97,5 +99,5 @@
         // A kernel without that clock counts no suspension.
         _ => Duration::ZERO,
     };
-    real + SUSPENDED.with(Cell::get)
+    real + SIMULATED_SUSPENSION.with(Cell::get)
 }
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -14,11 +14,11 @@
 use crate::util::digest;
 
 /// The most accelerators that a shape may have.
-const MAX_SHAPE: u32 = 4096;
+const MAX_SHAPE_ACCELERATORS: u32 = 4096;
 /// The most requests a second that an account may make.
-const MAX_RATE: u32 = 10_000;
+const MAX_REQUESTS_PER_SECOND: u32 = 10_000;
 /// The longest name.
-const MAX_NAME: usize = 64;
+const MAX_NAME_LENGTH: usize = 64;
 
 /// A field that is not as it should be.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -61,7 +61,9 @@
 /// Returns whether `text` can name an account, a template or a request.
 pub fn is_name(text: &str) -> bool {
     let plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    !text.is_empty() && text.len() <= MAX_NAME && text.chars().all(plain)
+    !text.is_empty()
+        && text.len() <= MAX_NAME_LENGTH
+        && text.chars().all(plain)
 }
 
 /// Returns what is wrong with a client account, by itself.
@@ -70,7 +72,7 @@
     problems.extend(check_name("account", id));
     for (at, shape) in account.guarantee.iter().enumerate() {
         let field = format!("guarantee[{at}].accelerators");
-        problems.extend(check_size(field, shape));
+        problems.extend(check_accelerators(field, shape));
     }
     for (at, token) in account.tokens.iter().enumerate() {
         if !digest::is_valid(token) {
@@ -81,11 +83,11 @@
             ));
         }
     }
-    if !(1..=MAX_RATE).contains(&account.rate) {
+    if !(1..=MAX_REQUESTS_PER_SECOND).contains(&account.rate) {
         problems.push(Problem::new(
             "rate",
             &account.rate,
-            format!("1 to {MAX_RATE} requests a second"),
+            format!("1 to {MAX_REQUESTS_PER_SECOND} requests a second"),
         ));
     }
     problems
@@ -99,7 +101,7 @@
 ) -> Vec<Problem> {
     let mut problems = Vec::new();
     problems.extend(check_name("template", id));
-    problems.extend(check_size("shape.accelerators", &template.shape));
+    problems.extend(check_accelerators("shape.accelerators", &template.shape));
     if template.declared.is_zero() {
         problems.push(Problem::new("run_ms", &0, "1 or more"));
     }
@@ -153,15 +155,19 @@
 
 fn check_name(field: &str, id: &str) -> Option<Problem> {
     (!is_name(id)).then(|| {
-        let expected =
-            format!("1 to {MAX_NAME} characters of a-z, A-Z, 0-9, - and _");
+        let expected = format!(
+            "1 to {MAX_NAME_LENGTH} characters of a-z, A-Z, 0-9, - and _"
+        );
         Problem::new(field, &id, expected)
     })
 }
 
-fn check_size(field: impl Into<String>, shape: &Shape) -> Option<Problem> {
-    (!(1..=MAX_SHAPE).contains(&shape.accelerators)).then(|| {
-        let expected = format!("1 to {MAX_SHAPE}");
+fn check_accelerators(
+    field: impl Into<String>,
+    shape: &Shape,
+) -> Option<Problem> {
+    (!(1..=MAX_SHAPE_ACCELERATORS).contains(&shape.accelerators)).then(|| {
+        let expected = format!("1 to {MAX_SHAPE_ACCELERATORS}");
         Problem::new(field, &shape.accelerators, expected)
     })
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -12,8 +12,8 @@
 pub use check::check_template;
 pub use check::is_name;
 pub use check::Problem;
-pub use template::Kind;
 pub use template::Parameter;
+pub use template::ParameterKind;
 pub use template::Template;
 
 use std::collections::BTreeMap;
@@ -33,12 +33,12 @@
 pub const PREFIX: &str = "/landingvalve/config/";
 /// The key that every change of a guarantee goes through, so that two
 /// changes cannot each fit and together not.
-pub const GUARANTEES: &str = "/landingvalve/guarantees";
+pub const GUARANTEES_KEY: &str = "/landingvalve/guarantees";
 /// The key that every edit writes, so that the revision of the whole grows
 /// with an item that goes, too.
-pub const LAST: &str = "/landingvalve/config/last";
+pub const LAST_EDIT_KEY: &str = "/landingvalve/config/last";
 /// How many earlier edits an item remembers.
-const HISTORY: usize = 20;
+const MAX_EDITS_KEPT: usize = 20;
 
 /// The name of an edit, chosen by who makes it.
 pub type EditId = String;
@@ -122,7 +122,7 @@
         let earlier = old.map(|old| old.edits.clone());
         let mut edits = vec![Edit { edit, at }];
         edits.extend(earlier.unwrap_or_default());
-        edits.truncate(HISTORY);
+        edits.truncate(MAX_EDITS_KEPT);
         Item { value, edits }
     }
 }
@@ -149,26 +149,26 @@
 
 /// Which item of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Name {
+pub enum ItemId {
     /// A client account.
     Account(account::Id),
     /// A template.
     Template(job::TemplateId),
 }
 
-impl Name {
+impl ItemId {
     /// Returns the key of the item in the store.
     pub fn key(&self) -> String {
         match self {
-            Name::Account(id) => format!("{PREFIX}account/{id}"),
-            Name::Template(id) => format!("{PREFIX}template/{id}"),
+            ItemId::Account(id) => format!("{PREFIX}account/{id}"),
+            ItemId::Template(id) => format!("{PREFIX}template/{id}"),
         }
     }
 
-    fn of(key: &str) -> Option<Name> {
+    fn from_key(key: &str) -> Option<ItemId> {
         match key.strip_prefix(PREFIX)?.split_once('/')? {
-            ("account", id) => Some(Name::Account(id.into())),
-            ("template", id) => Some(Name::Template(id.into())),
+            ("account", id) => Some(ItemId::Account(id.into())),
+            ("template", id) => Some(ItemId::Template(id.into())),
             _ => None,
         }
     }
@@ -176,7 +176,7 @@
 
 impl Document {
     /// Returns the configuration that the store's items make up.
-    pub fn read(items: &[StoreItem]) -> Document {
+    pub fn from_items(items: &[StoreItem]) -> Document {
         let mut document = Document::default();
         for item in items {
             document.put(item);
@@ -190,11 +190,11 @@
             Change::Put(item) => self.put(item),
             Change::Deleted(key, revision) => {
                 self.revision = self.revision.max(*revision);
-                match Name::of(key) {
-                    Some(Name::Account(id)) => {
+                match ItemId::from_key(key) {
+                    Some(ItemId::Account(id)) => {
                         self.accounts.remove(&id);
                     }
-                    Some(Name::Template(id)) => {
+                    Some(ItemId::Template(id)) => {
                         self.templates.remove(&id);
                     }
                     None => {}
@@ -208,14 +208,14 @@
         self.revision = self.revision.max(revision);
         // An item that does not parse was not written by an edit; what was
         // in force before it stays in force.
-        match Name::of(&item.key) {
-            Some(Name::Account(id)) => {
+        match ItemId::from_key(&item.key) {
+            Some(ItemId::Account(id)) => {
                 if let Ok(item) = serde_json::from_slice(&item.value) {
                     let item = Versioned { revision, item };
                     self.accounts.insert(id, item);
                 }
             }
-            Some(Name::Template(id)) => {
+            Some(ItemId::Template(id)) => {
                 if let Ok(item) = serde_json::from_slice(&item.value) {
                     let item = Versioned { revision, item };
                     self.templates.insert(id, item);
@@ -236,7 +236,7 @@
     }
 
     /// Returns the client account that a token belongs to.
-    pub fn owner(&self, token: &str) -> Option<account::Id> {
+    pub fn account_of_token(&self, token: &str) -> Option<account::Id> {
         let shown = digest::of(token.as_bytes());
         let mut found = None;
         for (id, account) in &self.accounts {
--- a/src/config/template.rs
+++ b/src/config/template.rs
@@ -13,7 +13,7 @@
 /// What kind of value a parameter takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum ParameterKind {
     /// A string.
     String,
     /// A whole number.
@@ -24,22 +24,22 @@
     Boolean,
 }
 
-impl Kind {
-    fn admits(self, value: &Value) -> bool {
+impl ParameterKind {
+    fn accepts(self, value: &Value) -> bool {
         match self {
-            Kind::String => value.is_string(),
-            Kind::Integer => value.is_i64() || value.is_u64(),
-            Kind::Number => value.is_number(),
-            Kind::Boolean => value.is_boolean(),
+            ParameterKind::String => value.is_string(),
+            ParameterKind::Integer => value.is_i64() || value.is_u64(),
+            ParameterKind::Number => value.is_number(),
+            ParameterKind::Boolean => value.is_boolean(),
         }
     }
 
-    fn name(self) -> &'static str {
+    fn expected(self) -> &'static str {
         match self {
-            Kind::String => "a string",
-            Kind::Integer => "a whole number",
-            Kind::Number => "a number",
-            Kind::Boolean => "true or false",
+            ParameterKind::String => "a string",
+            ParameterKind::Integer => "a whole number",
+            ParameterKind::Number => "a number",
+            ParameterKind::Boolean => "true or false",
         }
     }
 }
@@ -49,7 +49,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Parameter {
     /// What kind of value it takes.
-    pub kind: Kind,
+    pub kind: ParameterKind,
     /// Whether it must be given.
     #[serde(default)]
     pub required: bool,
@@ -81,7 +81,7 @@
 
 impl Template {
     /// Returns what is wrong with a caller's parameters.
-    pub fn problems(&self, given: &Value) -> Vec<Problem> {
+    pub fn check_parameters(&self, given: &Value) -> Vec<Problem> {
         let Some(given) = given.as_object() else {
             return vec![Problem::new("parameters", given, "an object")];
         };
@@ -91,7 +91,7 @@
             .filter(|(name, p)| p.required && !given.contains_key(*name))
             .map(|(name, parameter)| {
                 let field = format!("parameters.{name}");
-                Problem::new(field, &"nothing", parameter.kind.name())
+                Problem::new(field, &"nothing", parameter.kind.expected())
             });
         let wrong = given.iter().filter_map(|(name, value)| {
             let field = format!("parameters.{name}");
@@ -102,8 +102,8 @@
                     let expected = format!("one of {}", names.join(", "));
                     Some(Problem::new(field, value, expected))
                 }
-                Some(p) if !p.kind.admits(value) => {
-                    Some(Problem::new(field, value, p.kind.name()))
+                Some(p) if !p.kind.accepts(value) => {
+                    Some(Problem::new(field, value, p.kind.expected()))
                 }
                 Some(_) => None,
             }
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -19,7 +19,7 @@
 pub type TaskId = String;
 
 /// How long one call may take.
-const CALL: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A task to be started.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -100,7 +100,9 @@
     /// If the endpoint refuses or does not answer.
     pub async fn start(&self, start: &Start) -> Result<Task, http::Error> {
         let url = format!("{}/tasks", self.url);
-        self.http.post(&url, start, Instant::now() + CALL).await
+        self.http
+            .post(&url, start, Instant::now() + CALL_TIMEOUT)
+            .await
     }
 
     /// Returns all tasks, those that have ended among them.
@@ -110,7 +112,7 @@
     /// If the endpoint does not answer.
     pub async fn list(&self) -> Result<Vec<Task>, http::Error> {
         let url = format!("{}/tasks", self.url);
-        self.http.get(&url, Instant::now() + CALL).await
+        self.http.get(&url, Instant::now() + CALL_TIMEOUT).await
     }
 
     /// Renews the leases of tasks; returns those still known.
@@ -123,7 +125,9 @@
         tasks: &[TaskId],
     ) -> Result<Vec<Task>, http::Error> {
         let url = format!("{}/tasks/renew", self.url);
-        self.http.post(&url, &tasks, Instant::now() + CALL).await
+        self.http
+            .post(&url, &tasks, Instant::now() + CALL_TIMEOUT)
+            .await
     }
 
     /// Stops a task, after a checkpoint if it can make one.
@@ -133,7 +137,9 @@
     /// If the endpoint does not answer.
     pub async fn stop(&self, task: &TaskId) -> Result<Task, http::Error> {
         let url = format!("{}/tasks/{task}/stop", self.url);
-        self.http.post(&url, &(), Instant::now() + CALL).await
+        self.http
+            .post(&url, &(), Instant::now() + CALL_TIMEOUT)
+            .await
     }
 
     /// Lets the endpoint forget a task that has ended.
@@ -143,7 +149,7 @@
     /// If the endpoint does not answer.
     pub async fn forget(&self, task: &TaskId) -> Result<(), http::Error> {
         let url = format!("{}/tasks/{task}", self.url);
-        let deadline = Instant::now() + CALL;
+        let deadline = Instant::now() + CALL_TIMEOUT;
         let headers = HeaderMap::new();
         let reply = self
             .http
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -84,7 +84,8 @@
         rest: &[&str],
     ) -> http::Response {
         let document = self.shared.document.borrow().clone();
-        let owner = bearer(&request).and_then(|t| document.owner(t));
+        let owner =
+            bearer(&request).and_then(|t| document.account_of_token(t));
         let Some(id) = owner else {
             return answers::refuse(
                 StatusCode::UNAUTHORIZED,
@@ -139,7 +140,7 @@
         let parent = parent.map(str::to_owned);
         let span = Span::begin("call", parent.as_ref());
         span.set("account", &self.id);
-        let body = match http::read(request, MAX_BODY).await {
+        let body = match http::read_body(request, MAX_BODY).await {
             Ok(body) => body,
             Err(error) => {
                 let status = StatusCode::PAYLOAD_TOO_LARGE;
@@ -173,7 +174,7 @@
         };
         let empty = Value::Object(Default::default());
         let parameters = submit.parameters.clone().unwrap_or(empty);
-        let mut problems = template.problems(&parameters);
+        let mut problems = template.check_parameters(&parameters);
         let request_id = submit
             .request_id
             .clone()
--- a/src/entry/claim.rs
+++ b/src/entry/claim.rs
@@ -20,7 +20,7 @@
 use crate::store;
 use crate::store::Compare;
 use crate::store::LeaseId;
-use crate::store::Put;
+use crate::store::Mutation;
 use crate::store::Swap;
 use crate::wire::Epoch;
 
@@ -116,7 +116,7 @@
     lease: LeaseId,
 ) -> Result<Option<Epoch>, store::Error> {
     let value = serde_json::to_vec(claim).unwrap_or_default();
-    let put = Put::Value(key.to_owned(), value, lease);
+    let put = Mutation::Value(key.to_owned(), value, lease);
     let absent = Compare::Created(key.to_owned(), 0);
     match shared.store.swap(&[absent], vec![put]).await {
         Ok(Swap::Written(revision)) => Ok(Some(revision)),
--- a/src/entry/configuration.rs
+++ b/src/entry/configuration.rs
@@ -32,7 +32,7 @@
 /// Reads everything, then watches from there on until the watch breaks.
 async fn follow_store(shared: &Shared) -> Result<(), store::Error> {
     let listing = shared.store.list(config::PREFIX, 0).await?;
-    let document = Document::read(&listing.items);
+    let document = Document::from_items(&listing.items);
     accept(shared, document);
     let from = listing.revision + 1;
     let mut watch = shared.store.watch(config::PREFIX, from).await?;
--- a/src/entry/edits.rs
+++ b/src/entry/edits.rs
@@ -10,14 +10,14 @@
 use crate::config::Document;
 use crate::config::EditId;
 use crate::config::Item;
-use crate::config::Name;
+use crate::config::ItemId;
 use crate::config::Problem;
 use crate::config::Template;
 use crate::entry::configuration;
 use crate::entry::Shared;
 use crate::store;
 use crate::store::Compare;
-use crate::store::Put;
+use crate::store::Mutation;
 use crate::store::Revision;
 use crate::store::Swap;
 
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Edit {
     /// Which item.
-    pub name: Name,
+    pub name: ItemId,
     /// What it is to become.
     pub value: Value,
     /// The revision that it was made on; 0 for a new item.
@@ -76,7 +76,7 @@
 ) -> Vec<Problem> {
     let site = configuration::site(shared);
     match (&edit.name, &edit.value) {
-        (Name::Account(id), Value::Account(account)) => {
+        (ItemId::Account(id), Value::Account(account)) => {
             let mut problems = config::check_account(id, account);
             let others = document
                 .accounts
@@ -87,7 +87,7 @@
             problems.extend(config::check_guarantees(&site, all));
             problems
         }
-        (Name::Template(id), Value::Template(template)) => {
+        (ItemId::Template(id), Value::Template(template)) => {
             config::check_template(id, template, &site)
         }
         (_, Value::Gone) => Vec::new(),
@@ -127,12 +127,12 @@
     edit: &Edit,
 ) -> Result<Option<Revision>, Error> {
     let listing = shared.store.list(config::PREFIX, 0).await?;
-    let guarantees = shared.store.get(config::GUARANTEES).await?;
-    let document = Document::read(&listing.items);
+    let guarantees = shared.store.get(config::GUARANTEES_KEY).await?;
+    let document = Document::from_items(&listing.items);
     let key = edit.name.key();
     let find = |key: &str| listing.items.iter().find(|i| i.key == key);
     let item = find(&key);
-    let last = find(config::LAST);
+    let last = find(config::LAST_EDIT_KEY);
     if let Some(revision) = made(item, last, edit) {
         return Ok(Some(revision));
     }
@@ -148,14 +148,14 @@
     }
     let mut conditions = vec![Compare::Modified(key.clone(), edit.on)];
     let last = edit.edit.clone().into_bytes();
-    let last = Put::Value(config::LAST.to_owned(), last, 0);
+    let last = Mutation::Value(config::LAST_EDIT_KEY.to_owned(), last, 0);
     let mut puts = vec![put(key, item, edit), last];
-    if matches!(edit.name, Name::Account(_)) {
+    if matches!(edit.name, ItemId::Account(_)) {
         let modified = guarantees.map_or(0, |item| item.modified);
-        let guarantees = config::GUARANTEES.to_owned();
+        let guarantees = config::GUARANTEES_KEY.to_owned();
         conditions.push(Compare::Modified(guarantees.clone(), modified));
         let value = edit.edit.clone().into_bytes();
-        puts.push(Put::Value(guarantees, value, 0));
+        puts.push(Mutation::Value(guarantees, value, 0));
     }
     match shared.store.swap(&conditions, puts).await? {
         Swap::Written(revision) => Ok(Some(revision)),
@@ -181,17 +181,17 @@
     ours.then_some(item.modified)
 }
 
-fn put(key: String, old: Option<&store::Item>, edit: &Edit) -> Put {
+fn put(key: String, old: Option<&store::Item>, edit: &Edit) -> Mutation {
     let at = SystemTime::now();
     let name = edit.edit.clone();
     match &edit.value {
         Value::Account(account) => {
-            Put::Value(key, edited(old, account, name, at), 0)
+            Mutation::Value(key, edited(old, account, name, at), 0)
         }
         Value::Template(template) => {
-            Put::Value(key, edited(old, template, name, at), 0)
+            Mutation::Value(key, edited(old, template, name, at), 0)
         }
-        Value::Gone => Put::Delete(key),
+        Value::Gone => Mutation::Delete(key),
     }
 }
 
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -12,7 +12,7 @@
 use serde_json::Value as Json;
 
 use crate::config::Account;
-use crate::config::Name;
+use crate::config::ItemId;
 use crate::config::Template;
 use crate::entry::answers;
 use crate::entry::callers;
@@ -127,7 +127,7 @@
     check: bool,
 ) -> http::Response {
     let gone = request.method() == Method::DELETE;
-    let body = match http::read(request, MAX_BODY).await {
+    let body = match http::read_body(request, MAX_BODY).await {
         Ok(body) => body,
         Err(error) => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
@@ -193,8 +193,8 @@
     gone: bool,
 ) -> Result<Edit, String> {
     let name = match kind {
-        "accounts" => Name::Account(id.into()),
-        "templates" => Name::Template(id.into()),
+        "accounts" => ItemId::Account(id.into()),
+        "templates" => ItemId::Template(id.into()),
         _ => {
             return Err(format!(
                 "kind: {kind:?}, expected accounts or templates"
@@ -204,12 +204,12 @@
     let wrong = |error: serde_json::Error| format!("value: {error}");
     let value = match &name {
         _ if gone => Value::Gone,
-        Name::Account(_) => {
+        ItemId::Account(_) => {
             let account: Account =
                 serde_json::from_value(asked.value).map_err(wrong)?;
             Value::Account(account)
         }
-        Name::Template(_) => {
+        ItemId::Template(_) => {
             let template: Template =
                 serde_json::from_value(asked.value).map_err(wrong)?;
             Value::Template(template)
--- a/src/explain/story.rs
+++ b/src/explain/history.rs
@@ -14,7 +14,7 @@
 /// How a job ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
+pub enum Outcome {
     /// Within its objective.
     InTime,
     /// Later than that.
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 pub struct Verdict {
     /// How it ended.
-    pub end: End,
+    pub end: Outcome,
     /// What cost it the most time.
     pub cause: Cause,
     /// How long that was, in ms.
@@ -46,11 +46,11 @@
 
 /// The lines about one job.
 #[derive(Clone, Debug, Default)]
-pub struct Story {
+pub struct History {
     lines: Vec<Line>,
 }
 
-impl Story {
+impl History {
     pub(super) fn push(&mut self, line: Line) {
         self.lines.push(line);
     }
@@ -58,7 +58,7 @@
     /// Returns its lines in order.
     pub fn lines(&self) -> Vec<&Line> {
         let mut lines: Vec<&Line> = self.lines.iter().collect();
-        lines.sort_by_key(|line| line.at);
+        lines.sort_by_key(|line| line.written_at);
         lines
     }
 
@@ -66,7 +66,7 @@
     pub fn began(&self) -> Option<SystemTime> {
         let asked = |line: &Line| {
             let took = line.time("ms").unwrap_or_default();
-            line.at.checked_sub(took).unwrap_or(line.at)
+            line.written_at.checked_sub(took).unwrap_or(line.written_at)
         };
         self.lines.iter().map(asked).min()
     }
@@ -76,7 +76,8 @@
         let lines = self.lines();
         let began = self.began().unwrap_or(SystemTime::UNIX_EPOCH);
         let over = lines.iter().find(|line| line.message.ends_with(OVER));
-        let ended = over.or(lines.last()).map_or(began, |line| line.at);
+        let ended =
+            over.or(lines.last()).map_or(began, |line| line.written_at);
         let took = ended.duration_since(began).unwrap_or_default();
         let objective = over.and_then(|line| line.time("objective_ms"));
         let objective = objective.unwrap_or_default();
@@ -84,22 +85,22 @@
             .iter()
             .any(|line| line.text("outcome") == Some("Accepted"));
         let end = match over.and_then(|line| line.text("outcome")) {
-            Some("Succeeded") if took <= objective => End::InTime,
-            Some("Succeeded") => End::Late,
-            Some("Failed") => End::Failed,
-            Some(_) => End::Cancelled,
-            None if accepted || taken_in(&lines).is_some() => End::Open,
-            None => End::Refused,
+            Some("Succeeded") if took <= objective => Outcome::InTime,
+            Some("Succeeded") => Outcome::Late,
+            Some("Failed") => Outcome::Failed,
+            Some(_) => Outcome::Cancelled,
+            None if accepted || taken_in(&lines).is_some() => Outcome::Open,
+            None => Outcome::Refused,
         };
         let costs = costs(&lines, began);
         let dearest = costs.iter().max_by_key(|(_, cost)| **cost);
         // What cost little of what it is late by is not why it is late.
         let late = took.saturating_sub(objective);
         let (cause, cost) = match dearest {
-            _ if end == End::Refused => (refusal(&lines), took),
+            _ if end == Outcome::Refused => (refusal(&lines), took),
             // What else its units went through did not end it.
-            _ if end == End::Failed => (Cause::Failed, took),
-            Some((_, cost)) if end == End::Late && *cost < late / 4 => {
+            _ if end == Outcome::Failed => (Cause::Failed, took),
+            Some((_, cost)) if end == Outcome::Late && *cost < late / 4 => {
                 (Cause::Work, late)
             }
             Some((cause, cost)) => (*cause, *cost),
@@ -151,21 +152,21 @@
     }
 
     fn take(&mut self, line: &Line) {
-        self.last = Some(line.at);
+        self.last = Some(line.written_at);
         match &*line.message {
             "planner: a unit waits" => {
-                self.wait_ends(line.at);
+                self.wait_ends(line.written_at);
                 let on = line.text("on").unwrap_or_default();
-                self.waits = Some((cause::of_wait(on), line.at));
+                self.waits = Some((cause::of_wait(on), line.written_at));
             }
             "planner: room is kept" => {
-                self.wait_ends(line.at);
-                self.waits = Some((Cause::Room, line.at));
+                self.wait_ends(line.written_at);
+                self.waits = Some((Cause::Room, line.written_at));
             }
             "planner: a unit is placed" => {
-                self.wait_ends(line.at);
+                self.wait_ends(line.written_at);
                 self.waits = None;
-                self.placed = Some(line.at);
+                self.placed = Some(line.written_at);
                 self.why = None;
                 self.expected = line.time("expected_ms").unwrap_or_default();
             }
@@ -186,7 +187,9 @@
     fn run_ends(&mut self, line: &Line) {
         let ran = line.time("ran_ms").unwrap_or_default();
         // A planner that took the run over counts from then only.
-        let since = self.placed.and_then(|p| line.at.duration_since(p).ok());
+        let since = self
+            .placed
+            .and_then(|p| line.written_at.duration_since(p).ok());
         let ran = ran.max(since.unwrap_or_default());
         let how = line.text("how").unwrap_or_default();
         // The members of a gang run side by side: the first tells.
@@ -221,8 +224,8 @@
     let accepted = lines
         .iter()
         .find(|line| line.text("outcome") == Some("Accepted"));
-    let taken = taken_in(lines).map(|line| line.at);
-    let accepted = accepted.map(|line| line.at).or(taken);
+    let taken = taken_in(lines).map(|line| line.written_at);
+    let accepted = accepted.map(|line| line.written_at).or(taken);
     let mut add = |cause, from: SystemTime, to: Option<SystemTime>| {
         let cost = to.and_then(|to| to.duration_since(from).ok());
         *costs.entry(cause).or_default() += cost.unwrap_or_default();
@@ -233,7 +236,7 @@
     }
     let over = lines.iter().find(|line| line.message.ends_with(OVER));
     if let (Some(last), Some(over)) = (last.last, over) {
-        add(Cause::Noting, last, Some(over.at));
+        add(Cause::Noting, last, Some(over.written_at));
     }
     costs.retain(|_, cost| !cost.is_zero());
     costs
--- a/src/explain/line.rs
+++ b/src/explain/line.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub struct Line {
     /// When it was written.
-    pub at: SystemTime,
+    pub written_at: SystemTime,
     /// The process that wrote it.
     pub process: String,
     /// Its sentence.
@@ -32,12 +32,12 @@
             Some(Value::String(text)) => Some(text),
             _ => None,
         };
-        let at = humantime::parse_rfc3339(&text("ts")?).ok()?;
+        let written_at = humantime::parse_rfc3339(&text("ts")?).ok()?;
         let message = text("msg")?;
         let process = text("process").unwrap_or_default();
         fields.remove("level");
         Some(Line {
-            at,
+            written_at,
             process,
             message,
             fields,
@@ -71,7 +71,7 @@
     }
 
     /// Returns its fields as they are shown to people.
-    pub fn shown(&self) -> String {
+    pub fn display_fields(&self) -> String {
         let show = |(name, value): (&String, &Value)| match value {
             Value::String(text) => format!("{name}={text}"),
             value => format!("{name}={value}"),
--- a/src/explain/mod.rs
+++ b/src/explain/mod.rs
@@ -1,6 +1,6 @@
 //! What became of a job, told from the logs of any number of processes.
 //!
-//! A [`line::Line`] is one log line; a [`story::Story`] is all that the logs
+//! A [`line::Line`] is one log line; a [`history::History`] is all that the logs
 //! hold of one job, in order; its [`cause::Cause`] says what cost it the
 //! most time. [`Logs`] keeps the stories of many.
 //!
@@ -20,19 +20,19 @@
 //! ```
 
 pub mod cause;
+pub mod history;
 pub mod line;
-pub mod story;
 
 use std::collections::BTreeMap;
 use std::io::BufRead;
 
+use crate::explain::history::History;
 use crate::explain::line::Line;
-use crate::explain::story::Story;
 
 /// The stories of all jobs in some logs.
 #[derive(Debug, Default)]
 pub struct Logs {
-    stories: BTreeMap<String, Story>,
+    histories: BTreeMap<String, History>,
     /// Lines that are no log lines of ours.
     unreadable: usize,
     lines: usize,
@@ -66,20 +66,20 @@
     }
 
     /// Returns what is known of a job.
-    pub fn story(&self, job: &str) -> Option<&Story> {
-        self.stories.get(job)
+    pub fn history(&self, job: &str) -> Option<&History> {
+        self.histories.get(job)
     }
 
     /// Returns every job with its story.
-    pub fn stories(&self) -> impl Iterator<Item = (&str, &Story)> {
-        self.stories
+    pub fn histories(&self) -> impl Iterator<Item = (&str, &History)> {
+        self.histories
             .iter()
             .map(|(job, story)| (job.as_str(), story))
     }
 
     fn take(&mut self, line: Line) {
         if let Some(job) = line.job() {
-            let story = self.stories.entry(job.to_owned()).or_default();
+            let story = self.histories.entry(job.to_owned()).or_default();
             story.push(line);
         }
     }
--- a/src/graph/mod.rs
+++ b/src/graph/mod.rs
@@ -115,7 +115,7 @@
     pub fn present() -> Moment {
         Moment {
             now: clock::now(),
-            wall: clock::wall(),
+            wall: clock::wall_time(),
         }
     }
 }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -25,15 +25,15 @@
 /// How long an unused connection is kept.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// The longest answer that is read.
-const MAX_ANSWER: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// The narrowest link that is waited for, in bytes a second: 1 Mbit/s, a
 /// tenth of the users' narrowest.
-const NARROWEST: f64 = 125_000.0;
+const MIN_LINK_BYTES_PER_SECOND: f64 = 125_000.0;
 
 /// Returns how much longer a request may take for the bytes that it sends.
-pub fn carriage(bytes: usize) -> Duration {
-    Duration::from_secs_f64(bytes as f64 / NARROWEST)
+pub fn transfer_time(bytes: usize) -> Duration {
+    Duration::from_secs_f64(bytes as f64 / MIN_LINK_BYTES_PER_SECOND)
 }
 
 /// A call that brought no answer.
@@ -142,7 +142,7 @@
     ) -> Result<Reply, Error> {
         let mut request = request(method, url, body.into())?;
         request.headers_mut().extend(headers);
-        let answer = self.begin(request, url, deadline).await?;
+        let answer = self.send(request, url, deadline).await?;
         receive(answer, url, || deadline).await
     }
 
@@ -156,7 +156,7 @@
     ///
     /// If the answer does not begin in `first`, beside what the request's
     /// bytes take, or if nothing more of it comes for `silence`.
-    pub async fn transfer(
+    pub async fn call_with_idle_timeout(
         &self,
         method: Method,
         url: &str,
@@ -166,10 +166,10 @@
         silence: Duration,
     ) -> Result<Reply, Error> {
         let body = body.into();
-        let begins = Instant::now() + first + carriage(body.len());
+        let begins = Instant::now() + first + transfer_time(body.len());
         let mut request = request(method, url, body)?;
         request.headers_mut().extend(headers);
-        let answer = self.begin(request, url, begins).await?;
+        let answer = self.send(request, url, begins).await?;
         receive(answer, url, || Instant::now() + silence).await
     }
 
@@ -192,12 +192,12 @@
     }
 
     /// Posts JSON and returns the JSON of a good answer, however long it
-    /// takes for as long as it goes on coming; see [`Client::transfer`].
+    /// takes for as long as it goes on coming; see [`Client::call_with_idle_timeout`].
     ///
     /// # Errors
     ///
     /// If it does not begin or go on coming, or is not a good one.
-    pub async fn post_transfer<A: DeserializeOwned>(
+    pub async fn post_with_idle_timeout<A: DeserializeOwned>(
         &self,
         url: &str,
         value: &impl Serialize,
@@ -205,7 +205,14 @@
     ) -> Result<A, Error> {
         let body = encode(url, value)?;
         let reply = self
-            .transfer(Method::POST, url, json(), body, silence, silence)
+            .call_with_idle_timeout(
+                Method::POST,
+                url,
+                json(),
+                body,
+                silence,
+                silence,
+            )
             .await?;
         reply.json(url)
     }
@@ -240,7 +247,7 @@
     ) -> Result<Stream, Error> {
         let body = encode(url, value)?;
         let request = request(Method::POST, url, body.into())?;
-        let answer = self.begin(request, url, deadline).await?;
+        let answer = self.send(request, url, deadline).await?;
         match answer.status().is_success() {
             true => Ok(Stream {
                 body: answer.into_body(),
@@ -256,7 +263,7 @@
     }
 
     /// Sends a request and returns the answer once its head has come.
-    async fn begin(
+    async fn send(
         &self,
         request: hyper::Request<Full<Bytes>>,
         url: &str,
@@ -265,7 +272,7 @@
         let answer = self.inner.request(request);
         match tokio::time::timeout_at(deadline, answer).await {
             Ok(Ok(answer)) => Ok(answer),
-            Ok(Err(error)) => Err(failed(url, &error)),
+            Ok(Err(error)) => Err(call_error(url, &error)),
             Err(_) => Err(lost(url, "the deadline has passed")),
         }
     }
@@ -279,7 +286,7 @@
     limit: impl Fn() -> Instant,
 ) -> Result<Reply, Error> {
     let (head, body) = answer.into_parts();
-    let mut body = Limited::new(body, MAX_ANSWER);
+    let mut body = Limited::new(body, MAX_RESPONSE_BYTES);
     let mut bytes = Vec::new();
     loop {
         match tokio::time::timeout_at(limit(), body.frame()).await {
@@ -358,7 +365,7 @@
         .map_err(|error| unreached(url, &error))
 }
 
-fn failed(url: &str, error: &hyper_util::client::legacy::Error) -> Error {
+fn call_error(url: &str, error: &hyper_util::client::legacy::Error) -> Error {
     match error.is_connect() {
         true => unreached(url, error),
         false => lost(url, error),
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -3,13 +3,13 @@
 mod client;
 mod server;
 
-pub use client::carriage;
+pub use client::transfer_time;
 pub use client::Client;
 pub use client::Error;
 pub use client::Reply;
 pub use client::Stream;
+pub use server::ConnectionLimit;
 pub use server::Handler;
-pub use server::Limit;
 pub use server::Server;
 
 use std::convert::Infallible;
@@ -30,7 +30,7 @@
 pub type Request = hyper::Request<hyper::body::Incoming>;
 
 /// Returns a whole body.
-pub fn whole(bytes: impl Into<Bytes>) -> Body {
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).boxed_unsync()
 }
 
@@ -40,7 +40,7 @@
         Ok(bytes) => (status, bytes),
         Err(_) => (StatusCode::INTERNAL_SERVER_ERROR, Vec::new()),
     };
-    let mut response = Response::new(whole(bytes));
+    let mut response = Response::new(full_body(bytes));
     *response.status_mut() = status;
     let kind = hyper::header::HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, kind);
@@ -49,7 +49,7 @@
 
 /// Returns an answer in plain text.
 pub fn text(status: StatusCode, text: impl Into<Bytes>) -> Response {
-    let mut response = Response::new(whole(text));
+    let mut response = Response::new(full_body(text));
     *response.status_mut() = status;
     response
 }
@@ -59,17 +59,20 @@
 /// # Errors
 ///
 /// If the body is longer, or the connection breaks.
-pub async fn read(request: Request, limit: usize) -> Result<Bytes, TooLong> {
+pub async fn read_body(
+    request: Request,
+    limit: usize,
+) -> Result<Bytes, BodyError> {
     let limited = http_body_util::Limited::new(request.into_body(), limit);
     match limited.collect().await {
         Ok(body) => Ok(body.to_bytes()),
-        Err(_) => Err(TooLong { limit }),
+        Err(_) => Err(BodyError { limit }),
     }
 }
 
 /// A body that is longer than allowed, or was cut short.
 #[derive(Debug, thiserror::Error)]
 #[error("body: cut short or longer than the {limit} bytes allowed")]
-pub struct TooLong {
+pub struct BodyError {
     limit: usize,
 }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -25,35 +25,39 @@
 /// How long a caller may take over the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// The most bytes that the head of a request may have.
-const MAX_HEAD: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// How long is waited after a connection could not be accepted: without, a
 /// process that has no descriptor left would do nothing but try.
-const AGAIN: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// How often it is told that connections are turned away.
-const TELL: Duration = Duration::from_secs(1);
+const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// The most connections unless told otherwise.
-const CONNECTIONS: usize = 4096;
+const DEFAULT_MAX_CONNECTIONS: usize = 4096;
 
 /// How many connections a server takes, and who is told when it takes no
 /// more.
 #[derive(Clone, Debug)]
-pub struct Limit {
+pub struct ConnectionLimit {
     /// The most connections; one more is closed at once.
     pub connections: usize,
     /// Where logs go.
     pub log: slog::Logger,
 }
 
-impl Limit {
+impl ConnectionLimit {
     /// Tells what was turned away, once a second at most.
-    fn meet(&self, told: &mut Option<Instant>, error: Option<io::Error>) {
+    fn report_rejection(
+        &self,
+        told: &mut Option<Instant>,
+        error: Option<io::Error>,
+    ) {
         let limit = match error {
             Some(_) => "descriptors",
             None => "connections",
         };
         metrics::get().limited.add(1, &[label("limit", limit)]);
         let now = Instant::now();
-        if told.is_some_and(|at| now < at + TELL) {
+        if told.is_some_and(|at| now < at + REJECTION_LOG_INTERVAL) {
             return;
         }
         *told = Some(now);
@@ -89,11 +93,11 @@
         address: SocketAddr,
         handler: Arc<impl Handler>,
     ) -> io::Result<Server> {
-        let limit = Limit {
-            connections: CONNECTIONS,
+        let limit = ConnectionLimit {
+            connections: DEFAULT_MAX_CONNECTIONS,
             log: crate::log::none(),
         };
-        Server::limited(address, handler, limit).await
+        Server::start_with_limit(address, handler, limit).await
     }
 
     /// Listens on `address` and answers with `handler`, on so many
@@ -102,10 +106,10 @@
     /// # Errors
     ///
     /// If the address cannot be listened on.
-    pub async fn limited(
+    pub async fn start_with_limit(
         address: SocketAddr,
         handler: Arc<impl Handler>,
-        limit: Limit,
+        limit: ConnectionLimit,
     ) -> io::Result<Server> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -142,7 +146,7 @@
 async fn accept(
     listener: TcpListener,
     handler: Arc<impl Handler>,
-    limit: Limit,
+    limit: ConnectionLimit,
     mut stopped: watch::Receiver<bool>,
 ) {
     let graceful = GracefulShutdown::new();
@@ -154,8 +158,8 @@
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    limit.meet(&mut told, Some(error));
-                    tokio::time::sleep(AGAIN).await;
+                    limit.report_rejection(&mut told, Some(error));
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             },
@@ -163,7 +167,7 @@
             _ = stopped.changed() => break,
         };
         if connections.len() >= limit.connections {
-            limit.meet(&mut told, None);
+            limit.report_rejection(&mut told, None);
             continue;
         }
         let _ = stream.set_nodelay(true);
@@ -175,7 +179,7 @@
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(HEAD_TIMEOUT)
-            .max_buf_size(MAX_HEAD)
+            .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(TokioIo::new(stream), service);
         let connection = graceful.watch(connection);
         connections.spawn(async move {
--- a/src/job.rs
+++ b/src/job.rs
@@ -52,7 +52,7 @@
     /// Only a repeatable job may: what was stopped must be started again,
     /// and a job that may not repeat is never started twice, not even from
     /// its own checkpoint.
-    pub fn reclaimable(&self) -> bool {
+    pub fn is_reclaimable(&self) -> bool {
         self.repeatable
     }
 }
--- a/src/log.rs
+++ b/src/log.rs
@@ -15,7 +15,7 @@
 use slog::Logger;
 
 /// How many lines may wait to be written before some are dropped.
-const QUEUE: usize = 4096;
+const MAX_QUEUED_LINES: usize = 4096;
 
 /// How lines are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,7 +51,7 @@
         }
     };
     let drain = slog_async::Async::new(drain.fuse())
-        .chan_size(QUEUE)
+        .chan_size(MAX_QUEUED_LINES)
         .build()
         .fuse();
     let drain = slog::LevelFilter::new(drain, level).fuse();
@@ -64,16 +64,16 @@
 }
 
 /// How often a line is written that others can bring about at will.
-const SPARINGLY: Duration = Duration::from_secs(1);
+const THROTTLE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Says when a line that may repeat without end is due: once a second.
 #[derive(Debug, Default)]
-pub struct Sparingly {
+pub struct Throttle {
     next: Mutex<Option<Instant>>,
-    left_out: AtomicU64,
+    suppressed: AtomicU64,
 }
 
-impl Sparingly {
+impl Throttle {
     /// Returns whether the line may be written now, else counts it.
     pub fn is_due(&self) -> bool {
         let now = Instant::now();
@@ -81,16 +81,16 @@
             self.next.lock().unwrap_or_else(PoisonError::into_inner);
         let due = next.is_none_or(|next| now >= next);
         match due {
-            true => *next = Some(now + SPARINGLY),
+            true => *next = Some(now + THROTTLE_INTERVAL),
             false => {
-                self.left_out.fetch_add(1, Ordering::Relaxed);
+                self.suppressed.fetch_add(1, Ordering::Relaxed);
             }
         }
         due
     }
 
     /// Returns how many lines were left out since this was last asked.
-    pub fn left_out(&self) -> u64 {
-        self.left_out.swap(0, Ordering::Relaxed)
+    pub fn take_suppressed(&self) -> u64 {
+        self.suppressed.swap(0, Ordering::Relaxed)
     }
 }
--- a/src/plan/admit.rs
+++ b/src/plan/admit.rs
@@ -16,7 +16,7 @@
     let fits = |open: &dyn Fn(WorkerIndex) -> u64| {
         place::find(&state.site, shape, Spread::Remainders, open).is_some()
     };
-    if !fits(&|_| state.site.whole()) {
+    if !fits(&|_| state.site.full_mask()) {
         return Some(format!(
             "accelerators: no part of the site holds {shape}"
         ));
@@ -33,7 +33,7 @@
             terms.borrow
         ));
     }
-    if !spec.reclaimable() && !fits(&|w| state.open_nominal[w]) {
+    if !spec.is_reclaimable() && !fits(&|w| state.open_nominal[w]) {
         return Some(format!(
             "accelerators: {shape} may not repeat, is in no guaranteed \
              shape of the account, and too large for unguaranteed room"
--- a/src/plan/block.rs
+++ b/src/plan/block.rs
@@ -54,7 +54,7 @@
         let open = |worker: WorkerIndex| {
             let books = &self.workers[worker];
             match books.is_open() {
-                true => self.site.whole() & !books.home & !books.stuck,
+                true => self.site.full_mask() & !books.home & !books.stuck,
                 false => 0,
             }
         };
--- a/src/plan/home.rs
+++ b/src/plan/home.rs
@@ -89,7 +89,7 @@
 /// Returns places for `shapes` on an otherwise empty site in full health,
 /// in their order, `None` for each that does not fit.
 pub fn pack(site: &Site, shapes: &[Shape]) -> Vec<Option<Vec<Piece>>> {
-    let mut open = vec![site.whole(); site.workers().len()];
+    let mut open = vec![site.full_mask(); site.workers().len()];
     let mut places = vec![None; shapes.len()];
     for at in largest_first(shapes) {
         let spread = Spread::Whole;
@@ -160,7 +160,7 @@
             .filter(|home| home.owner.is_some())
             .map(|home| home.shape)
             .collect();
-        let whole = self.site.whole();
+        let whole = self.site.full_mask();
         self.open_nominal = vec![whole; self.workers.len()];
         let places = pack(&self.site, &shapes);
         for piece in places.iter().flatten().flatten() {
@@ -236,7 +236,7 @@
             .ids(|job| job.run().is_some_and(|run| run.home == Some(index)));
         let movable = runs.iter().all(|id| {
             let job = self.jobs.get(id);
-            job.is_some_and(|job| job.spec.reclaimable())
+            job.is_some_and(|job| job.spec.is_reclaimable())
         });
         (movable && !has_booking).then_some(runs)
     }
--- a/src/plan/intake.rs
+++ b/src/plan/intake.rs
@@ -441,7 +441,7 @@
     let stuck = state
         .jobs
         .get(id)
-        .is_some_and(|job| !job.spec.reclaimable());
+        .is_some_and(|job| !job.spec.is_reclaimable());
     if stuck && state.missing().next().is_some() {
         state.homes_dirty = true;
     }
--- a/src/plan/reclaim.rs
+++ b/src/plan/reclaim.rs
@@ -95,7 +95,9 @@
         let books = &self.state.workers[worker];
         match books.is_open() {
             true => {
-                (self.region)(worker) & self.state.site.whole() & !books.booked
+                (self.region)(worker)
+                    & self.state.site.full_mask()
+                    & !books.booked
             }
             false => 0,
         }
--- a/src/plan/reserve.rs
+++ b/src/plan/reserve.rs
@@ -89,7 +89,7 @@
     ) -> Mask {
         match &self.reserved {
             Some(reserved)
-                if !job.spec.reclaimable() && ends > reserved.ready =>
+                if !job.spec.is_reclaimable() && ends > reserved.ready =>
             {
                 mask_on(&reserved.pieces, worker)
             }
--- a/src/plan/schedule.rs
+++ b/src/plan/schedule.rs
@@ -87,7 +87,7 @@
                 accelerators: job.spec.shape.accelerators,
                 within: job.spec.shape.within,
                 rank: entry.rank,
-                reclaimable: job.spec.reclaimable(),
+                reclaimable: job.spec.is_reclaimable(),
             };
             if self.hopeless.contains(&class) {
                 continue;
@@ -183,7 +183,7 @@
     /// Starts a job that cannot be stopped on free accelerators that all
     /// blocks can move off.
     fn on_blocks(&mut self, job: &Job, ends: SystemTime) -> bool {
-        if job.spec.reclaimable() {
+        if job.spec.is_reclaimable() {
             return false;
         }
         let state = &*self.state;
@@ -260,7 +260,7 @@
         if !self.may_borrow(job) || !job.failures.is_empty() {
             return false;
         }
-        let reclaimable = job.spec.reclaimable();
+        let reclaimable = job.spec.is_reclaimable();
         let region = |state: &State, w: WorkerIndex| match reclaimable {
             true => Mask::MAX,
             false => !state.workers[w].home,
@@ -303,7 +303,7 @@
     /// Lets a repeatable job that found no place try a worker in
     /// quarantine whose time has come.
     fn probe(&mut self, job: &Job) -> bool {
-        if !job.spec.reclaimable() || !self.may_borrow(job) {
+        if !job.spec.is_reclaimable() || !self.may_borrow(job) {
             return false;
         }
         let state = &*self.state;
@@ -354,7 +354,7 @@
 
     /// Returns where a job may run outside its own home blocks.
     pub(super) fn region(&self, job: &Job, worker: WorkerIndex) -> Mask {
-        match job.spec.reclaimable() {
+        match job.spec.is_reclaimable() {
             true => Mask::MAX,
             false => !self.state.workers[worker].home,
         }
--- a/src/plan/state.rs
+++ b/src/plan/state.rs
@@ -164,7 +164,7 @@
 
     /// Returns whether the job can be told to stop for somebody else.
     pub fn is_reclaimable(&self) -> bool {
-        self.spec.reclaimable() && matches!(self.phase, Phase::Running(_))
+        self.spec.is_reclaimable() && matches!(self.phase, Phase::Running(_))
     }
 }
 
@@ -226,7 +226,7 @@
 
     /// Keeps books of workers that have joined the site.
     pub fn grow(&mut self) {
-        let whole = self.site.whole();
+        let whole = self.site.full_mask();
         self.workers
             .resize_with(self.site.workers().len(), Worker::new);
         self.open_nominal.resize(self.workers.len(), whole);
@@ -245,7 +245,7 @@
     /// takes new work or not.
     pub fn vacant(&self, worker: WorkerIndex) -> Mask {
         let books = &self.workers[worker];
-        self.site.whole() & !books.used & !books.booked
+        self.site.full_mask() & !books.used & !books.booked
     }
 
     /// Returns the free accelerators that are in no home block.
@@ -383,7 +383,7 @@
 
     fn is_stuck(&self, id: &job::Id) -> bool {
         let job = self.jobs.get(id);
-        job.is_some_and(|job| !job.spec.reclaimable())
+        job.is_some_and(|job| !job.spec.is_reclaimable())
     }
 
     fn charge(
--- a/src/planner/actor/admission.rs
+++ b/src/planner/actor/admission.rs
@@ -92,7 +92,7 @@
             then: Some(Done::Created(id.clone())),
         });
         let label = KeyValue::new("account", spec.account.to_string());
-        metrics::get().admitted.add(1, &[label]);
+        metrics::get().jobs_admitted.add(1, &[label]);
         let admitted = Span::begin("admit", admit.trace.as_ref());
         admitted.set("job", &id);
         let trace = admitted.trace().or(admit.trace);
--- a/src/planner/actor/adoption.rs
+++ b/src/planner/actor/adoption.rs
@@ -82,7 +82,7 @@
             events.push(self.adopt(record, false, &gangs[&gang.id]));
         }
         let took = self.started.0.elapsed().as_secs_f64();
-        metrics::get().takeover.record(took, &[]);
+        metrics::get().takeover_seconds.record(took, &[]);
         slog::info!(self.config.log, "planner: takes over";
             "cell" => &self.config.cell, "epoch" => self.config.epoch,
             "records" => known.len(), "gangs" => gangs.len());
--- a/src/planner/actor/commands.rs
+++ b/src/planner/actor/commands.rs
@@ -43,7 +43,7 @@
         let began = Instant::now();
         let commands = self.plan.step(events, now);
         let took = began.elapsed().as_secs_f64();
-        metrics::get().step.record(took, &[]);
+        metrics::get().step_seconds.record(took, &[]);
         for command in commands {
             self.carry_out(myself, command);
         }
@@ -214,7 +214,7 @@
                 let took = now.duration_since(submitted);
                 let took = took.unwrap_or_default().as_secs_f64();
                 metrics::get().starts.add(1, &[]);
-                metrics::get().start.record(took, &[]);
+                metrics::get().start_seconds.record(took, &[]);
                 if stop {
                     self.tell_stop(&job);
                 }
@@ -311,7 +311,7 @@
         };
         entry.note(now, format!("ended: {outcome} {reason}"));
         let label = KeyValue::new("outcome", outcome.to_string());
-        metrics::get().ended.add(1, &[label]);
+        metrics::get().jobs_ended.add(1, &[label]);
         let answer = Span::begin("answer", entry.trace.as_ref());
         answer.set("outcome", outcome);
         let gang = entry.forget.as_ref();
--- a/src/planner/actor/platform.rs
+++ b/src/planner/actor/platform.rs
@@ -15,7 +15,7 @@
 use crate::planner::links;
 use crate::planner::links::Link;
 use crate::vms::Role;
-use crate::vms::Stay;
+use crate::vms::Status;
 use crate::vms::Vm;
 
 impl State {
@@ -40,7 +40,7 @@
             }
             if let Some(heard) = self.workers.get_mut(&vm.name) {
                 heard.listed = true;
-                heard.listed_leaving = vm.state == Stay::Leaving;
+                heard.listed_leaving = vm.state == Status::Leaving;
             }
         }
         let heartbeat = links::heartbeat(self.workers.len());
--- a/src/planner/view.rs
+++ b/src/planner/view.rs
@@ -61,9 +61,9 @@
     let state = plan.state();
     let metrics = metrics::get();
     let waiting = state.waiting.len() + state.booked.len();
-    metrics.waiting.record(waiting as u64, &[]);
+    metrics.jobs_waiting.record(waiting as u64, &[]);
     let running = state.jobs.len().saturating_sub(waiting);
-    metrics.running.record(running as u64, &[]);
+    metrics.jobs_running.record(running as u64, &[]);
     metrics.fragmentation.record(fragmentation(plan), &[]);
     metrics.configuration.record(revision, &[]);
     for account in state.tenants.keys() {
@@ -72,7 +72,9 @@
         });
         let missing: u32 = missing.map(|home| home.shape.accelerators).sum();
         let label = KeyValue::new("account", account.to_string());
-        metrics.missing.record(u64::from(missing), &[label]);
+        metrics
+            .guarantee_missing
+            .record(u64::from(missing), &[label]);
     }
 }
 
--- a/src/planner/writer.rs
+++ b/src/planner/writer.rs
@@ -15,7 +15,7 @@
 use crate::record::Record;
 use crate::store;
 use crate::store::Compare;
-use crate::store::Put;
+use crate::store::Mutation;
 use crate::store::Swap;
 use crate::wire::Epoch;
 
@@ -186,7 +186,7 @@
         let puts = batch
             .iter()
             .map(|(key, pending)| {
-                Put::Value(key.clone(), pending.value.clone(), 0)
+                Mutation::Value(key.clone(), pending.value.clone(), 0)
             })
             .collect();
         self.store.swap(&conditions, puts).await
--- a/src/program.rs
+++ b/src/program.rs
@@ -16,7 +16,7 @@
 use crate::telemetry::Telemetry;
 
 /// How long a planned stop may take.
-pub const STOP: Duration = Duration::from_secs(60);
+pub const STOP_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The arguments of a long-running program.
 #[derive(Debug, Parser)]
@@ -53,15 +53,15 @@
     }
 
     /// Prints the settings if that was asked for, and returns whether.
-    pub fn print(&self, file: &File) -> bool {
+    pub fn print_if_requested(&self, file: &File) -> bool {
         if self.print_settings {
-            print!("{}", file.print());
+            print!("{}", file.to_ini());
         }
         self.print_settings
     }
 
     /// Returns whether the settings were only to be checked.
-    pub fn only_check(&self) -> bool {
+    pub fn is_check_only(&self) -> bool {
         matches!(self.command, Some(Command::CheckSettings))
     }
 }
@@ -72,7 +72,7 @@
 ///
 /// If the collector's address cannot be used, or the page's not listened
 /// on.
-pub async fn telemetry(
+pub async fn start_telemetry(
     process: &str,
     common: &Common,
 ) -> eyre::Result<(Telemetry, Option<http::Server>)> {
@@ -94,12 +94,12 @@
 /// # Errors
 ///
 /// If signals cannot be received.
-pub async fn stopped() -> std::io::Result<Instant> {
+pub async fn wait_for_stop_signal() -> std::io::Result<Instant> {
     let mut term = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
         _ = term.recv() => {}
         _ = interrupt.recv() => {}
     }
-    Ok(Instant::now() + STOP)
+    Ok(Instant::now() + STOP_TIMEOUT)
 }
--- a/src/replay/baseline.rs
+++ b/src/replay/baseline.rs
@@ -81,7 +81,7 @@
 
     fn free(&self, worker: WorkerIndex) -> Mask {
         match self.up[worker] {
-            true => self.site.whole() & !self.used[worker],
+            true => self.site.full_mask() & !self.used[worker],
             false => 0,
         }
     }
@@ -107,7 +107,7 @@
 
     fn submitted(&mut self, spec: job::Spec, out: &mut Vec<Command>) {
         let id = spec.id.clone();
-        let whole = self.site.whole();
+        let whole = self.site.full_mask();
         let possible = self.fit(spec.shape, &|_| whole).is_some();
         self.arrivals += 1;
         self.queue.insert(self.arrivals, id.clone());
--- a/src/replay/checker.rs
+++ b/src/replay/checker.rs
@@ -114,7 +114,7 @@
         let mut free = true;
         for piece in pieces {
             let used = &mut self.workers[piece.worker].used;
-            let exists = piece.mask & !self.site.whole() == 0;
+            let exists = piece.mask & !self.site.full_mask() == 0;
             free &= exists && *used & piece.mask == 0;
             *used |= piece.mask;
         }
--- a/src/settings/entry.rs
+++ b/src/settings/entry.rs
@@ -8,7 +8,7 @@
 use crate::settings::Error;
 use crate::settings::Field;
 use crate::settings::File;
-use crate::settings::COMMON;
+use crate::settings::COMMON_FIELDS;
 use crate::site::MAX_ACCELERATORS;
 use crate::util::digest;
 
@@ -81,7 +81,7 @@
 
 /// Returns the file of an entry's settings, to be printed.
 pub fn file(path: &Path) -> File {
-    File::read(path, &[FIELDS, COMMON])
+    File::read(path, &[FIELDS, COMMON_FIELDS])
 }
 
 /// Reads an entry's settings.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -51,7 +51,7 @@
 }
 
 /// Settings that every program has.
-pub const COMMON: &[Field] = &[
+pub const COMMON_FIELDS: &[Field] = &[
     Field {
         section: "log",
         key: "format",
@@ -162,7 +162,7 @@
                 ini::Ini::new()
             }
         };
-        file.take_unknown(&ini);
+        file.reject_unknown_keys(&ini);
         for field in file.fields.clone() {
             let given = ini.get_from(Some(field.section), field.key);
             let value = match (given, field.default) {
@@ -179,7 +179,7 @@
         file
     }
 
-    fn take_unknown(&mut self, ini: &ini::Ini) {
+    fn reject_unknown_keys(&mut self, ini: &ini::Ini) {
         for (section, properties) in ini.iter() {
             let section = section.unwrap_or("");
             for (key, value) in properties.iter() {
@@ -217,7 +217,7 @@
     }
 
     /// Takes note that a value does not go with others.
-    pub fn refuse(
+    pub fn reject(
         &mut self,
         section: &'static str,
         key: &'static str,
@@ -268,7 +268,7 @@
     }
 
     /// Returns an address, or `Some(None)` where the value is empty.
-    pub fn address_if_any(
+    pub fn optional_address(
         &mut self,
         section: &'static str,
         key: &'static str,
@@ -320,7 +320,7 @@
             Some((text, _)) if text.is_empty() => Some(None),
             _ => self.url("telemetry", "otlp").map(Some),
         };
-        let page = self.address_if_any("telemetry", "page");
+        let page = self.optional_address("telemetry", "page");
         Some(Common {
             format: format?,
             level: level?,
@@ -345,7 +345,7 @@
 
     /// Returns every setting with its value and where it comes from, as an
     /// INI file that would give the same.
-    pub fn print(&self) -> String {
+    pub fn to_ini(&self) -> String {
         let mut text = String::new();
         let mut section = "";
         for field in &self.fields {
--- a/src/site.rs
+++ b/src/site.rs
@@ -168,7 +168,7 @@
     Accelerators(u32),
     /// A worker was named twice, at two places.
     #[error("worker: {0:?} is named twice, expected one place a worker")]
-    Twice(WorkerId),
+    DuplicateWorker(WorkerId),
 }
 
 impl Site {
@@ -209,7 +209,7 @@
         if let Some(&index) = self.by_id.get(worker) {
             return match self.workers[index].rack == rack_index {
                 true => Ok(index),
-                false => Err(Error::Twice(worker.into())),
+                false => Err(Error::DuplicateWorker(worker.into())),
             };
         }
         let index = self.workers.len();
@@ -260,7 +260,7 @@
     }
 
     /// Returns the mask of a whole worker.
-    pub fn whole(&self) -> Mask {
+    pub fn full_mask(&self) -> Mask {
         Mask::MAX >> (MAX_ACCELERATORS - self.accelerators)
     }
 
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -19,9 +19,9 @@
 use crate::telemetry::metrics;
 
 /// How long the store may say nothing to a call.
-const SILENCE: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How many keys one call asks for.
-const PAGE: i64 = 500;
+const MAX_PAGE_KEYS: i64 = 500;
 
 /// A call that the store did not carry out, or may not have.
 #[derive(Debug, thiserror::Error)]
@@ -105,19 +105,19 @@
 
 /// A write.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Put {
+pub enum Mutation {
     /// Writes a key that hangs on a lease, 0 for none.
     Value(String, #[serde(with = "api::base64")] Vec<u8>, LeaseId),
     /// Deletes a key.
     Delete(String),
 }
 
-impl Put {
+impl Mutation {
     /// Returns how many bytes it sends, about.
-    pub fn bytes(&self) -> usize {
+    pub fn payload_bytes(&self) -> usize {
         match self {
-            Put::Value(key, value, _) => key.len() + value.len(),
-            Put::Delete(key) => key.len(),
+            Mutation::Value(key, value, _) => key.len() + value.len(),
+            Mutation::Delete(key) => key.len(),
         }
     }
 }
@@ -194,8 +194,8 @@
         loop {
             let request = api::RangeRequest {
                 key: key.clone(),
-                range_end: after(prefix),
-                limit: PAGE,
+                range_end: prefix_end(prefix),
+                limit: MAX_PAGE_KEYS,
                 min_mod_revision: since,
             };
             let page: api::RangeResponse =
@@ -224,12 +224,12 @@
     pub async fn swap(
         &self,
         conditions: &[Compare],
-        puts: Vec<Put>,
+        puts: Vec<Mutation>,
     ) -> Result<Swap, Error> {
         let request = api::TxnRequest {
             compare: conditions.iter().map(compare).collect(),
-            success: puts.into_iter().map(operation).collect(),
-            failure: conditions.iter().map(look).collect(),
+            success: puts.into_iter().map(request_op).collect(),
+            failure: conditions.iter().map(read_key).collect(),
         };
         let txn: api::TxnResponse = self.post("/v3/kv/txn", &request).await?;
         if txn.succeeded {
@@ -294,13 +294,13 @@
         let request = api::WatchRequest {
             create_request: api::WatchCreate {
                 key: prefix.into(),
-                range_end: after(prefix),
+                range_end: prefix_end(prefix),
                 start_revision: from,
             },
         };
         self.count("/v3/watch");
         let url = format!("{}/v3/watch", self.url);
-        let deadline = Instant::now() + SILENCE;
+        let deadline = Instant::now() + IDLE_TIMEOUT;
         let stream = self.http.stream(&url, &request, deadline).await?;
         Ok(Watch { stream })
     }
@@ -318,7 +318,10 @@
     ) -> Result<A, Error> {
         self.count(path);
         let url = format!("{}{path}", self.url);
-        Ok(self.http.post_transfer(&url, request, SILENCE).await?)
+        Ok(self
+            .http
+            .post_with_idle_timeout(&url, request, IDLE_TIMEOUT)
+            .await?)
     }
 }
 
@@ -334,7 +337,7 @@
     async fn swap(
         &self,
         conditions: &[Compare],
-        puts: Vec<Put>,
+        puts: Vec<Mutation>,
     ) -> Result<Swap, Error> {
         Client::swap(self, conditions, puts).await
     }
@@ -446,7 +449,7 @@
     }
 }
 
-fn look(condition: &Compare) -> api::RequestOp {
+fn read_key(condition: &Compare) -> api::RequestOp {
     let (Compare::Created(key, _) | Compare::Modified(key, _)) = condition;
     api::RequestOp::Range(api::RangeRequest {
         key: key.as_bytes().to_vec(),
@@ -454,16 +457,16 @@
     })
 }
 
-fn operation(put: Put) -> api::RequestOp {
+fn request_op(put: Mutation) -> api::RequestOp {
     match put {
-        Put::Value(key, value, lease) => {
+        Mutation::Value(key, value, lease) => {
             api::RequestOp::Put(api::PutRequest {
                 key: key.into_bytes(),
                 value,
                 lease,
             })
         }
-        Put::Delete(key) => {
+        Mutation::Delete(key) => {
             api::RequestOp::DeleteRange(api::DeleteRangeRequest {
                 key: key.into_bytes(),
                 range_end: Vec::new(),
@@ -473,7 +476,7 @@
 }
 
 /// Returns the first key after all that start with `prefix`.
-fn after(prefix: &str) -> Vec<u8> {
+fn prefix_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
         if last < u8::MAX {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -12,7 +12,7 @@
 pub use client::Error;
 pub use client::Item;
 pub use client::Listing;
-pub use client::Put;
+pub use client::Mutation;
 pub use client::Swap;
 pub use client::Watch;
 
@@ -50,7 +50,7 @@
     fn swap(
         &self,
         conditions: &[Compare],
-        puts: Vec<Put>,
+        puts: Vec<Mutation>,
     ) -> impl Future<Output = Result<Swap, Error>> + Send;
 
     /// Takes a lease for `ttl`.
--- a/src/telemetry/export.rs
+++ b/src/telemetry/export.rs
@@ -19,47 +19,49 @@
 use crate::telemetry::Error;
 
 /// How long a collector may take over one batch.
-const TIMEOUT: Duration = Duration::from_secs(3);
+const EXPORT_TIMEOUT: Duration = Duration::from_secs(3);
 /// How many spans are kept in memory.
-const KEPT: usize = 10_000;
+const MAX_SPANS: usize = 10_000;
 
 /// An exporter whose client needs the runtime it was made in, while the
 /// library calls it from a thread of its own.
 #[derive(Debug)]
-pub(super) struct InRuntime<E> {
+pub(super) struct WithRuntime<E> {
     inner: E,
     runtime: Handle,
 }
 
-fn in_runtime<E>(inner: E) -> Result<InRuntime<E>, Error> {
+fn with_runtime<E>(inner: E) -> Result<WithRuntime<E>, Error> {
     let runtime =
         Handle::try_current().map_err(|error| Error(error.to_string()))?;
-    Ok(InRuntime { inner, runtime })
+    Ok(WithRuntime { inner, runtime })
 }
 
 /// Returns an exporter of metrics to the collector at `url`.
-pub(super) fn metrics(url: &str) -> Result<InRuntime<MetricExporter>, Error> {
+pub(super) fn metrics(
+    url: &str,
+) -> Result<WithRuntime<MetricExporter>, Error> {
     let exporter = MetricExporter::builder()
         .with_http()
         .with_endpoint(format!("{url}/v1/metrics"))
-        .with_timeout(TIMEOUT)
+        .with_timeout(EXPORT_TIMEOUT)
         .build()
         .map_err(|error| Error(error.to_string()))?;
-    in_runtime(exporter)
+    with_runtime(exporter)
 }
 
 /// Returns an exporter of spans to the collector at `url`.
-pub(super) fn spans(url: &str) -> Result<InRuntime<SpanExporter>, Error> {
+pub(super) fn spans(url: &str) -> Result<WithRuntime<SpanExporter>, Error> {
     let exporter = SpanExporter::builder()
         .with_http()
         .with_endpoint(format!("{url}/v1/traces"))
-        .with_timeout(TIMEOUT)
+        .with_timeout(EXPORT_TIMEOUT)
         .build()
         .map_err(|error| Error(error.to_string()))?;
-    in_runtime(exporter)
+    with_runtime(exporter)
 }
 
-impl PushMetricExporter for InRuntime<MetricExporter> {
+impl PushMetricExporter for WithRuntime<MetricExporter> {
     async fn export(&self, metrics: &ResourceMetrics) -> OTelSdkResult {
         self.runtime.block_on(self.inner.export(metrics))
     }
@@ -77,7 +79,7 @@
     }
 }
 
-impl opentelemetry_sdk::trace::SpanExporter for InRuntime<SpanExporter> {
+impl opentelemetry_sdk::trace::SpanExporter for WithRuntime<SpanExporter> {
     async fn export(&self, batch: Vec<SpanData>) -> OTelSdkResult {
         self.runtime.block_on(self.inner.export(batch))
     }
@@ -85,7 +87,7 @@
 
 /// A span that has ended.
 #[derive(Clone, Debug)]
-pub struct Finished {
+pub struct FinishedSpan {
     /// Names the trace.
     pub trace: String,
     /// Names the span.
@@ -105,19 +107,19 @@
 /// Keeps spans in memory, the latest of them.
 #[derive(Clone, Debug, Default)]
 pub struct Collector {
-    spans: Arc<Mutex<Vec<Finished>>>,
+    spans: Arc<Mutex<Vec<FinishedSpan>>>,
 }
 
 impl Collector {
     /// Returns the spans of the trace that a span belongs to.
-    pub fn trace(&self, trace: &str) -> Vec<Finished> {
+    pub fn trace(&self, trace: &str) -> Vec<FinishedSpan> {
         let spans = self.spans.lock().unwrap_or_else(PoisonError::into_inner);
         let of_trace = spans.iter().filter(|span| span.trace == trace);
         of_trace.cloned().collect()
     }
 
     /// Returns all spans that are kept.
-    pub fn spans(&self) -> Vec<Finished> {
+    pub fn spans(&self) -> Vec<FinishedSpan> {
         let spans = self.spans.lock().unwrap_or_else(PoisonError::into_inner);
         spans.clone()
     }
@@ -128,11 +130,11 @@
         let mut spans =
             self.spans.lock().unwrap_or_else(PoisonError::into_inner);
         for span in batch {
-            if spans.len() == KEPT {
+            if spans.len() == MAX_SPANS {
                 spans.remove(0);
             }
             let context = &span.span_context;
-            spans.push(Finished {
+            spans.push(FinishedSpan {
                 trace: context.trace_id().to_string(),
                 span: context.span_id().to_string(),
                 parent: span.parent_span_id.to_string(),
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -10,7 +10,7 @@
 
 /// The name and meaning of a metric, for the operators' page.
 #[derive(Clone, Copy, Debug)]
-pub struct About {
+pub struct Description {
     /// Its name.
     pub name: &'static str,
     /// What it says, with its unit.
@@ -18,94 +18,94 @@
 }
 
 /// Every metric.
-pub const ALL: &[About] = &[
-    about("landingvalve_jobs_admitted", "Jobs taken in, by account."),
-    about("landingvalve_jobs_ended", "Jobs that ended, by outcome."),
-    about("landingvalve_starts", "Gangs that were started."),
-    about("landingvalve_stops", "Gangs told to stop, by reason."),
-    about("landingvalve_refused", "Requests refused, by status."),
-    about("landingvalve_store_calls", "Calls of the store, by path."),
-    about(
+pub const ALL: &[Description] = &[
+    describe("landingvalve_jobs_admitted", "Jobs taken in, by account."),
+    describe("landingvalve_jobs_ended", "Jobs that ended, by outcome."),
+    describe("landingvalve_starts", "Gangs that were started."),
+    describe("landingvalve_stops", "Gangs told to stop, by reason."),
+    describe("landingvalve_refused", "Requests refused, by status."),
+    describe("landingvalve_store_calls", "Calls of the store, by path."),
+    describe(
         "landingvalve_start_seconds",
         "Submission to all tasks begun.",
     ),
-    about("landingvalve_step_seconds", "Wall time of one decision."),
-    about("landingvalve_takeover_seconds", "Claim to first decision."),
-    about("landingvalve_jobs_waiting", "Jobs that wait."),
-    about("landingvalve_jobs_running", "Jobs that have accelerators."),
-    about(
+    describe("landingvalve_step_seconds", "Wall time of one decision."),
+    describe("landingvalve_takeover_seconds", "Claim to first decision."),
+    describe("landingvalve_jobs_waiting", "Jobs that wait."),
+    describe("landingvalve_jobs_running", "Jobs that have accelerators."),
+    describe(
         "landingvalve_fragmentation",
         "Share of free accelerators in no free whole worker, 0 to 1.",
     ),
-    about(
+    describe(
         "landingvalve_guarantee_missing",
         "Guaranteed accelerators without a place, by account.",
     ),
-    about(
+    describe(
         "landingvalve_configuration",
         "Configuration revision in force.",
     ),
-    about(
+    describe(
         "landingvalve_held",
         "Accelerators held or in use, by worker.",
     ),
-    about(
+    describe(
         "landingvalve_request_seconds",
         "Time of an answer to a caller, by method and status.",
     ),
-    about("landingvalve_submissions", "Submissions, by outcome."),
-    about(
+    describe("landingvalve_submissions", "Submissions, by outcome."),
+    describe(
         "landingvalve_store_seconds",
         "Time of a call of the platform's store, by call and outcome.",
     ),
-    about("landingvalve_decisions", "Decisions of a planner, by kind."),
-    about(
+    describe("landingvalve_decisions", "Decisions of a planner, by kind."),
+    describe(
         "landingvalve_wait_seconds",
         "Waiting of a unit until it was placed.",
     ),
-    about(
+    describe(
         "landingvalve_owed_seconds",
         "The same of first runs within a guarantee, by whether it was late.",
     ),
-    about(
+    describe(
         "landingvalve_run_seconds",
         "Length of runs that ended, by how.",
     ),
-    about(
+    describe(
         "landingvalve_job_seconds",
         "Acceptance to end of a job, by outcome and whether it was late.",
     ),
-    about(
+    describe(
         "landingvalve_order_seconds",
         "Time of an order to a worker, by kind and outcome.",
     ),
-    about("landingvalve_looks", "Looks at the worker, by outcome."),
-    about(
+    describe("landingvalve_looks", "Looks at the worker, by outcome."),
+    describe(
         "landingvalve_starts_waiting",
         "Starts that an agent has kept waiting, by reason.",
     ),
-    about(
+    describe(
         "landingvalve_limited",
         "What was turned away at a limit of this process, by limit.",
     ),
-    about(
+    describe(
         "landingvalve_relayed",
         "Calls of the store by way of another entry, by outcome.",
     ),
-    about(
+    describe(
         "landingvalve_strange",
         "What came from outside and could not be used, by kind.",
     ),
-    about("landingvalve_claims", "Claims, by what became of them."),
-    about(
+    describe("landingvalve_claims", "Claims, by what became of them."),
+    describe(
         "landingvalve_ready",
         "Whether new callers are taken, 0 or 1.",
     ),
-    about(
+    describe(
         "landingvalve_configuration_age_seconds",
         "Age of the configuration that a request was answered by.",
     ),
-    about(
+    describe(
         "landingvalve_configuration_bytes",
         "Size of the configuration in force.",
     ),
@@ -113,7 +113,7 @@
 
 /// The bounds of histograms, in seconds: from an answer of the store to the
 /// longest job.
-const BOUNDS: [f64; 13] = [
+const BUCKET_BOUNDS_SECONDS: [f64; 13] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 120.0,
 ];
 
@@ -123,16 +123,16 @@
     Some(about.help)
 }
 
-const fn about(name: &'static str, help: &'static str) -> About {
-    About { name, help }
+const fn describe(name: &'static str, help: &'static str) -> Description {
+    Description { name, help }
 }
 
 /// The instruments behind [`ALL`].
 pub struct Metrics {
     /// Jobs taken in.
-    pub admitted: Counter<u64>,
+    pub jobs_admitted: Counter<u64>,
     /// Jobs that ended.
-    pub ended: Counter<u64>,
+    pub jobs_ended: Counter<u64>,
     /// Gangs that were started.
     pub starts: Counter<u64>,
     /// Gangs told to stop.
@@ -142,45 +142,45 @@
     /// Calls of the store.
     pub store_calls: Counter<u64>,
     /// Submission to all tasks begun, in seconds.
-    pub start: Histogram<f64>,
+    pub start_seconds: Histogram<f64>,
     /// Wall time of one decision, in seconds.
-    pub step: Histogram<f64>,
+    pub step_seconds: Histogram<f64>,
     /// Claim to first decision, in seconds.
-    pub takeover: Histogram<f64>,
+    pub takeover_seconds: Histogram<f64>,
     /// Jobs that wait.
-    pub waiting: Gauge<u64>,
+    pub jobs_waiting: Gauge<u64>,
     /// Jobs that have accelerators.
-    pub running: Gauge<u64>,
+    pub jobs_running: Gauge<u64>,
     /// Fragmentation.
     pub fragmentation: Gauge<f64>,
     /// Guaranteed accelerators without a place.
-    pub missing: Gauge<u64>,
+    pub guarantee_missing: Gauge<u64>,
     /// Configuration revision in force.
     pub configuration: Gauge<i64>,
     /// Accelerators held or in use.
     pub held: Gauge<u64>,
     /// Answers to callers, in seconds.
-    pub request: Histogram<f64>,
+    pub request_seconds: Histogram<f64>,
     /// Submissions.
     pub submissions: Counter<u64>,
     /// Calls of the platform's store, in seconds.
-    pub store: Histogram<f64>,
+    pub store_seconds: Histogram<f64>,
     /// Decisions of a planner.
     pub decisions: Counter<u64>,
     /// Waiting of units that were placed, in seconds.
-    pub wait: Histogram<f64>,
+    pub wait_seconds: Histogram<f64>,
     /// Waiting of first runs within a guarantee, in seconds.
-    pub owed: Histogram<f64>,
+    pub owed_seconds: Histogram<f64>,
     /// Runs that ended, in seconds.
-    pub run: Histogram<f64>,
+    pub run_seconds: Histogram<f64>,
     /// Jobs that ended, in seconds.
-    pub job: Histogram<f64>,
+    pub job_seconds: Histogram<f64>,
     /// Orders to a worker, in seconds.
-    pub order: Histogram<f64>,
+    pub order_seconds: Histogram<f64>,
     /// Looks at the worker.
     pub looks: Counter<u64>,
     /// Starts that were kept waiting.
-    pub waits: Counter<u64>,
+    pub starts_waiting: Counter<u64>,
     /// What was turned away at a limit of this process.
     pub limited: Counter<u64>,
     /// Calls of the store by way of another entry.
@@ -192,9 +192,9 @@
     /// Whether new callers are taken.
     pub ready: Gauge<u64>,
     /// Age of the configuration of each answer, in seconds.
-    pub age: Histogram<f64>,
+    pub configuration_age_seconds: Histogram<f64>,
     /// Size of the configuration in force, in bytes.
-    pub bytes: Gauge<u64>,
+    pub configuration_bytes: Gauge<u64>,
 }
 
 /// Returns a label of a measurement.
@@ -211,46 +211,50 @@
         let gauge = |name: &'static str| meter.u64_gauge(name).build();
         let histogram = |name: &'static str| {
             let histogram = meter.f64_histogram(name);
-            histogram.with_boundaries(BOUNDS.to_vec()).build()
+            histogram
+                .with_boundaries(BUCKET_BOUNDS_SECONDS.to_vec())
+                .build()
         };
         Metrics {
-            admitted: counter("landingvalve_jobs_admitted"),
-            ended: counter("landingvalve_jobs_ended"),
+            jobs_admitted: counter("landingvalve_jobs_admitted"),
+            jobs_ended: counter("landingvalve_jobs_ended"),
             starts: counter("landingvalve_starts"),
             stops: counter("landingvalve_stops"),
             refused: counter("landingvalve_refused"),
             store_calls: counter("landingvalve_store_calls"),
-            start: histogram("landingvalve_start_seconds"),
-            step: histogram("landingvalve_step_seconds"),
-            takeover: histogram("landingvalve_takeover_seconds"),
-            waiting: gauge("landingvalve_jobs_waiting"),
-            running: gauge("landingvalve_jobs_running"),
+            start_seconds: histogram("landingvalve_start_seconds"),
+            step_seconds: histogram("landingvalve_step_seconds"),
+            takeover_seconds: histogram("landingvalve_takeover_seconds"),
+            jobs_waiting: gauge("landingvalve_jobs_waiting"),
+            jobs_running: gauge("landingvalve_jobs_running"),
             fragmentation: meter
                 .f64_gauge("landingvalve_fragmentation")
                 .build(),
-            missing: gauge("landingvalve_guarantee_missing"),
+            guarantee_missing: gauge("landingvalve_guarantee_missing"),
             configuration: meter
                 .i64_gauge("landingvalve_configuration")
                 .build(),
             held: gauge("landingvalve_held"),
-            request: histogram("landingvalve_request_seconds"),
+            request_seconds: histogram("landingvalve_request_seconds"),
             submissions: counter("landingvalve_submissions"),
-            store: histogram("landingvalve_store_seconds"),
+            store_seconds: histogram("landingvalve_store_seconds"),
             decisions: counter("landingvalve_decisions"),
-            wait: histogram("landingvalve_wait_seconds"),
-            owed: histogram("landingvalve_owed_seconds"),
-            run: histogram("landingvalve_run_seconds"),
-            job: histogram("landingvalve_job_seconds"),
-            order: histogram("landingvalve_order_seconds"),
+            wait_seconds: histogram("landingvalve_wait_seconds"),
+            owed_seconds: histogram("landingvalve_owed_seconds"),
+            run_seconds: histogram("landingvalve_run_seconds"),
+            job_seconds: histogram("landingvalve_job_seconds"),
+            order_seconds: histogram("landingvalve_order_seconds"),
             looks: counter("landingvalve_looks"),
-            waits: counter("landingvalve_starts_waiting"),
+            starts_waiting: counter("landingvalve_starts_waiting"),
             limited: counter("landingvalve_limited"),
             relayed: counter("landingvalve_relayed"),
             strange: counter("landingvalve_strange"),
             claims: counter("landingvalve_claims"),
             ready: gauge("landingvalve_ready"),
-            age: histogram("landingvalve_configuration_age_seconds"),
-            bytes: gauge("landingvalve_configuration_bytes"),
+            configuration_age_seconds: histogram(
+                "landingvalve_configuration_age_seconds",
+            ),
+            configuration_bytes: gauge("landingvalve_configuration_bytes"),
         }
     })
 }
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -10,7 +10,7 @@
 mod span;
 
 pub use export::Collector;
-pub use export::Finished;
+pub use export::FinishedSpan;
 pub use page::Page;
 pub use span::Span;
 
--- a/src/util/digest.rs
+++ b/src/util/digest.rs
@@ -7,7 +7,7 @@
 pub type Hex = String;
 
 /// How many characters a digest has.
-pub const LENGTH: usize = 64;
+pub const HEX_LENGTH: usize = 64;
 
 /// Returns the digest of `bytes`.
 ///
@@ -15,7 +15,7 @@
 ///
 /// ```
 /// let hex = landingvalve::util::digest::of(b"token");
-/// assert_eq!(hex.len(), landingvalve::util::digest::LENGTH);
+/// assert_eq!(hex.len(), landingvalve::util::digest::HEX_LENGTH);
 /// ```
 pub fn of(bytes: &[u8]) -> Hex {
     Sha256::digest(bytes)
@@ -27,7 +27,7 @@
 /// Returns whether `text` is a digest.
 pub fn is_valid(text: &str) -> bool {
     let hex = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
-    text.len() == LENGTH && text.chars().all(hex)
+    text.len() == HEX_LENGTH && text.chars().all(hex)
 }
 
 /// Returns whether two digests are equal, in a time that does not tell
--- a/src/util/mod.rs
+++ b/src/util/mod.rs
@@ -40,7 +40,7 @@
         value: &SystemTime,
         to: S,
     ) -> Result<S::Ok, S::Error> {
-        to.serialize_u64(super::millis(*value))
+        to.serialize_u64(super::unix_millis(*value))
     }
 
     /// Reads a point in time.
@@ -67,7 +67,7 @@
         value: &Option<SystemTime>,
         to: S,
     ) -> Result<S::Ok, S::Error> {
-        value.map(super::millis).serialize(to)
+        value.map(super::unix_millis).serialize(to)
     }
 
     /// Reads a point in time, if there is one.
@@ -82,7 +82,7 @@
 }
 
 /// Returns a point in time in milliseconds since 1970.
-pub fn millis(time: std::time::SystemTime) -> u64 {
+pub fn unix_millis(time: std::time::SystemTime) -> u64 {
     time.duration_since(std::time::SystemTime::UNIX_EPOCH)
         .map(|since| since.as_millis() as u64)
         .unwrap_or_default()
--- a/src/vms.rs
+++ b/src/vms.rs
@@ -12,7 +12,7 @@
 use crate::site::WorkerId;
 
 /// How long one call may take.
-const CALL: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What a VM is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -27,7 +27,7 @@
 /// Whether a VM is to stay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Stay {
+pub enum Status {
     /// It is live.
     Live,
     /// It is leaving.
@@ -42,7 +42,7 @@
     /// What it is for.
     pub role: Role,
     /// Whether it is to stay.
-    pub state: Stay,
+    pub state: Status,
     /// Its hall.
     pub hall: HallId,
     /// Its rack.
@@ -73,7 +73,7 @@
     ///
     /// If the platform does not answer.
     pub async fn list(&self) -> Result<Vec<Vm>, http::Error> {
-        let deadline = Instant::now() + CALL;
+        let deadline = Instant::now() + CALL_TIMEOUT;
         self.http.get(&format!("{}/vms", self.url), deadline).await
     }
 }
--- a/tests/it/births.rs
+++ b/tests/it/births.rs
@@ -20,7 +20,7 @@
 use landingvalve::graph::Outcome;
 use landingvalve::graph::Progress;
 use landingvalve::log;
-use landingvalve::store::Put;
+use landingvalve::store::Mutation;
 use landingvalve::store::Store;
 use serde_json::json;
 use tokio::time::Instant;
@@ -274,8 +274,11 @@
                 "index": index })
     };
     let units = json!({ "units": { "0.0.0": on(0), "0.0.1": on(1) } });
-    let put =
-        Put::Value(keys::progress("a"), units.to_string().into_bytes(), 0);
+    let put = Mutation::Value(
+        keys::progress("a"),
+        units.to_string().into_bytes(),
+        0,
+    );
     store.swap(&[], vec![put]).await.expect("is written");
     let entry = Entry::start("entry", &store).await;
     let agent = agent(&store, &worker);
--- a/tests/it/cell.rs
+++ b/tests/it/cell.rs
@@ -53,7 +53,7 @@
 use landingvalve::store::Item;
 use landingvalve::store::LeaseId;
 use landingvalve::store::Listing;
-use landingvalve::store::Put;
+use landingvalve::store::Mutation;
 use landingvalve::store::Revision;
 use landingvalve::store::Store;
 use landingvalve::store::Swap;
@@ -156,11 +156,11 @@
         }
     }
 
-    fn write(&mut self, puts: Vec<Put>) {
+    fn write(&mut self, puts: Vec<Mutation>) {
         self.revision += 1;
         for put in puts {
             match put {
-                Put::Value(key, value, lease) => {
+                Mutation::Value(key, value, lease) => {
                     let item = Item {
                         key: key.clone(),
                         value,
@@ -170,7 +170,7 @@
                     self.log.push(Change::Put(item.clone()));
                     self.items.insert(key, (item, lease));
                 }
-                Put::Delete(key) => {
+                Mutation::Delete(key) => {
                     if self.items.remove(&key).is_some() {
                         let change = Change::Deleted(key, self.revision);
                         self.log.push(change);
@@ -200,7 +200,7 @@
     async fn swap(
         &self,
         conditions: &[Compare],
-        puts: Vec<Put>,
+        puts: Vec<Mutation>,
     ) -> Result<Swap, Error> {
         self.lock().writes += 1;
         let mut data = self.call()?;
@@ -1320,7 +1320,7 @@
     admission.submit(&job("a"), soon()).await;
     admission.submit(&job("b"), soon()).await;
     let garbage = b"{\"units\": 7}".to_vec();
-    let put = Put::Value(keys::progress("a"), garbage, 0);
+    let put = Mutation::Value(keys::progress("a"), garbage, 0);
     store.swap(&[], vec![put]).await.expect("is written");
     let entry = Entry::start("entry", &store).await;
     let agent = agent(&store, &worker);
--- a/tests/it/closed.rs
+++ b/tests/it/closed.rs
@@ -11,7 +11,7 @@
 use landingvalve::graph::How;
 use landingvalve::graph::Text;
 use landingvalve::log;
-use landingvalve::store::Put;
+use landingvalve::store::Mutation;
 use landingvalve::store::Store;
 
 use crate::cell::Memory;
@@ -95,7 +95,7 @@
     let decode = |_: &[u8]| Ok::<_, String>(Configuration::default());
     let close = |hall: &str| {
         let key = format!("{}{hall}", KEYS.closed);
-        vec![Put::Value(key, b"{}".to_vec(), 0)]
+        vec![Mutation::Value(key, b"{}".to_vec(), 0)]
     };
     // One is closed before anybody looks.
     store.swap(&[], close("a")).await.expect("is written");
@@ -118,7 +118,7 @@
     closed(&["a"]).await;
     store.swap(&[], close("b")).await.expect("is written");
     closed(&["a", "b"]).await;
-    let open = vec![Put::Delete(format!("{}a", KEYS.closed))];
+    let open = vec![Mutation::Delete(format!("{}a", KEYS.closed))];
     store.swap(&[], open).await.expect("is written");
     closed(&["b"]).await;
     follow.abort();
--- a/tests/it/explain.rs
+++ b/tests/it/explain.rs
@@ -7,7 +7,7 @@
 
 use landingvalve::cell::Admission;
 use landingvalve::explain::cause::Cause;
-use landingvalve::explain::story::End;
+use landingvalve::explain::history::Outcome;
 use landingvalve::explain::Logs;
 use landingvalve::graph::How;
 use slog::o;
@@ -67,7 +67,7 @@
     worker.end_all(How::Done);
     reaches(&admission, "a", DONE).await;
     let logs = lines.read();
-    let story = logs.story("a").expect("it is told");
+    let story = logs.history("a").expect("it is told");
     let told: Vec<&str> =
         story.lines().iter().map(|l| l.message.as_str()).collect();
     let expected = [
@@ -82,7 +82,7 @@
     for message in expected {
         assert!(told.contains(&message), "{message}: not in {told:?}");
     }
-    assert_eq!(story.verdict().end, End::InTime);
+    assert_eq!(story.verdict().end, Outcome::InTime);
     agent.abort();
     entry.kill();
 }
@@ -107,8 +107,8 @@
     let ended = || async {
         let logs = lines.read();
         let over = |id: &Arc<str>| {
-            let story = logs.story(id).expect("submitted");
-            story.verdict().end == End::Cancelled
+            let story = logs.history(id).expect("submitted");
+            story.verdict().end == Outcome::Cancelled
         };
         ids.iter().all(over).then_some(())
     };
@@ -120,7 +120,7 @@
 struct Case {
     name: &'static str,
     lines: &'static [&'static str],
-    end: End,
+    end: Outcome,
     cause: Cause,
 }
 
@@ -131,7 +131,7 @@
             r#"{"ts":"2026-01-01T00:00:01Z","msg":"entry: a job was submitted","job":"j","outcome":"Refused"}"#,
             r#"{"ts":"2026-01-01T00:00:01Z","msg":"entry: a request is answered","method":"POST","path":"/q/j","status":503,"ms":600}"#,
         ],
-        end: End::Refused,
+        end: Outcome::Refused,
         cause: Cause::Store,
     },
     Case {
@@ -139,7 +139,7 @@
         lines: &[
             r#"{"ts":"2026-01-01T00:00:01Z","msg":"entry: a request is answered","method":"POST","path":"/q/5c0e7a21d94b36f8","status":401,"ms":0}"#,
         ],
-        end: End::Refused,
+        end: Outcome::Refused,
         cause: Cause::Key,
     },
     Case {
@@ -151,7 +151,7 @@
             r#"{"ts":"2026-01-01T00:00:06Z","msg":"planner: a run has ended","job":"j","unit":"0.0.0","how":"done","member":0,"ran_ms":6000}"#,
             r#"{"ts":"2026-01-01T00:00:06Z","msg":"planner: a job has ended","job":"j","outcome":"Succeeded","objective_ms":3000}"#,
         ],
-        end: End::Late,
+        end: Outcome::Late,
         cause: Cause::Work,
     },
     Case {
@@ -164,7 +164,7 @@
             r#"x 6.0 {"ts":"2026-01-01T00:00:05Z","msg":"planner: a run has ended","job":"j","unit":"0.0.0","how":"done","member":0,"ran_ms":1000}"#,
             r#"x 6.0 {"ts":"2026-01-01T00:00:05Z","msg":"planner: a job has ended","job":"j","outcome":"Succeeded","objective_ms":3000}"#,
         ],
-        end: End::Late,
+        end: Outcome::Late,
         cause: Cause::Room,
     },
     Case {
@@ -178,7 +178,7 @@
             r#"{"ts":"2026-01-01T00:00:05Z","msg":"planner: a unit is placed","job":"j","unit":"0.0.0","run":2,"expected_ms":3000}"#,
             r#"{"ts":"2026-01-01T00:00:09Z","msg":"planner: a run has ended","job":"j","unit":"0.0.0","how":"done","member":0,"ran_ms":3100}"#,
         ],
-        end: End::Late,
+        end: Outcome::Late,
         cause: Cause::Displaced,
     },
     Case {
@@ -191,7 +191,7 @@
             r#"{"ts":"2026-01-01T00:00:07Z","msg":"planner: a run has ended","job":"j","unit":"0.0","how":"done","member":0,"ran_ms":2000}"#,
             r#"{"ts":"2026-01-01T00:00:07Z","msg":"planner: a job has ended","job":"j","outcome":"Succeeded","objective_ms":3000}"#,
         ],
-        end: End::Late,
+        end: Outcome::Late,
         cause: Cause::Gone,
     },
     Case {
@@ -204,7 +204,7 @@
             r#"{"ts":"2026-01-01T00:00:07Z","msg":"planner: a run has ended","job":"j","unit":"0.0","how":"done","member":0,"ran_ms":2000}"#,
             r#"{"ts":"2026-01-01T00:00:07Z","msg":"planner: a job has ended","job":"j","outcome":"Succeeded","objective_ms":3000}"#,
         ],
-        end: End::Late,
+        end: Outcome::Late,
         cause: Cause::Gone,
     },
     Case {
@@ -216,7 +216,7 @@
             r#"{"ts":"2026-01-01T00:00:02Z","msg":"planner: a job has ended","job":"j","outcome":"Failed","objective_ms":3000}"#,
             r#"{"ts":"2026-01-01T00:00:03Z","msg":"planner: a run has ended","job":"j","unit":"0.1","how":"stopped","member":0,"ran_ms":9000}"#,
         ],
-        end: End::Failed,
+        end: Outcome::Failed,
         cause: Cause::Failed,
     },
 ];
@@ -227,7 +227,7 @@
         let mut logs = Logs::default();
         let text = case.lines.join("\n");
         logs.read(text.as_bytes()).expect("is read");
-        let (_, story) = logs.stories().next().expect("it is told");
+        let (_, story) = logs.histories().next().expect("it is told");
         let verdict = story.verdict();
         assert_eq!(verdict.end, case.end, "{}: {verdict:?}", case.name);
         assert_eq!(verdict.cause, case.cause, "{}: {verdict:?}", case.name);
@@ -240,5 +240,5 @@
     let text = "no line of ours\n{\"ts\":\"yesterday\",\"msg\":\"x\"}\n{\n\n";
     logs.read(text.as_bytes()).expect("is read");
     assert_eq!(logs.counts(), (3, 3));
-    assert_eq!(logs.stories().count(), 0);
+    assert_eq!(logs.histories().count(), 0);
 }
--- a/tests/it/in_touch.rs
+++ b/tests/it/in_touch.rs
@@ -6,7 +6,7 @@
 use landingvalve::cell::configuration::Source;
 use landingvalve::cell::reach::Reach;
 use landingvalve::log;
-use landingvalve::store::Put;
+use landingvalve::store::Mutation;
 use landingvalve::store::Store;
 
 use crate::cell::Memory;
@@ -15,7 +15,7 @@
 #[tokio::test(start_paused = true)]
 async fn callers_are_taken_only_while_the_store_is_in_reach() {
     let store = Memory::default();
-    let put = Put::Value("key".to_owned(), b"7".to_vec(), 0);
+    let put = Mutation::Value("key".to_owned(), b"7".to_vec(), 0);
     store.swap(&[], vec![put]).await.expect("is written");
     let source = Source::new();
     assert!(!source.in_touch(), "nothing is known");
--- a/tests/it/limits.rs
+++ b/tests/it/limits.rs
@@ -119,12 +119,12 @@
 
 #[tokio::test]
 async fn a_caller_above_the_limit_is_closed_and_the_others_are_served() {
-    let limit = http::Limit {
+    let limit = http::ConnectionLimit {
         connections: 1,
         log: log::none(),
     };
     let any = ([127, 0, 0, 1], 0).into();
-    let server = http::Server::limited(any, Arc::new(Hello), limit);
+    let server = http::Server::start_with_limit(any, Arc::new(Hello), limit);
     let server = server.await.expect("a free port");
     let url = format!("http://{}/", server.address());
     let [first, second] = [(); 2].map(|()| http::Client::new());
--- a/tests/it/ordered.rs
+++ b/tests/it/ordered.rs
@@ -25,7 +25,7 @@
 use landingvalve::graph::Task;
 use landingvalve::graph::Terms;
 use landingvalve::log;
-use landingvalve::store::Put;
+use landingvalve::store::Mutation;
 use landingvalve::store::Revision;
 use landingvalve::store::Store;
 use landingvalve::wire::link::Error;
@@ -67,7 +67,7 @@
             cores: 1.0,
         };
         let holder = serde_json::to_vec(&holder).expect("encodes");
-        let put = Put::Value(keys::PLANNER.to_owned(), holder, 0);
+        let put = Mutation::Value(keys::PLANNER.to_owned(), holder, 0);
         store.swap(&[], vec![put]).await.expect("is written");
         let claim = store.get(keys::PLANNER).await.expect("answers");
         let planner = Planner::default();
--- a/tests/it/pages.rs
+++ b/tests/it/pages.rs
@@ -18,7 +18,7 @@
     let fields: [&[Field]; 3] = [
         settings::entry::FIELDS,
         settings::agent::FIELDS,
-        settings::COMMON,
+        settings::COMMON_FIELDS,
     ];
     for field in fields.concat() {
         let name = format!("[{}] {}", field.section, field.key);
--- a/tests/it/plan_property.rs
+++ b/tests/it/plan_property.rs
@@ -154,7 +154,7 @@
                     match &job.phase {
                         Phase::Stopping(..) => stays &= !theirs,
                         _ if theirs & unused == 0 => {}
-                        _ => assert!(job.spec.reclaimable(), "{id}"),
+                        _ => assert!(job.spec.is_reclaimable(), "{id}"),
                     }
                 }
                 assert_eq!(unused & stays, 0);
--- a/tests/it/relay.rs
+++ b/tests/it/relay.rs
@@ -35,7 +35,7 @@
 use landingvalve::store::Item;
 use landingvalve::store::LeaseId;
 use landingvalve::store::Listing;
-use landingvalve::store::Put;
+use landingvalve::store::Mutation;
 use landingvalve::store::Revision;
 use landingvalve::store::Store;
 use landingvalve::store::Swap;
@@ -122,7 +122,7 @@
     async fn swap(
         &self,
         conditions: &[Compare],
-        puts: Vec<Put>,
+        puts: Vec<Mutation>,
     ) -> Result<Swap, Error> {
         self.pass(self.store.swap(conditions, puts)).await
     }
@@ -260,7 +260,7 @@
     let (store, site) = site(3).await;
     let (relay, link) = &site[0];
     link.set(Mode::Deaf);
-    let put = Put::Value("key".to_owned(), b"value".to_vec(), 0);
+    let put = Mutation::Value("key".to_owned(), b"value".to_vec(), 0);
     let absent = Compare::Modified("key".to_owned(), 0);
     let (before, _) = store.calls();
     let swap = relay.swap(&[absent], vec![put]).await;
--- a/tests/it/settings.rs
+++ b/tests/it/settings.rs
@@ -53,7 +53,7 @@
     for site in ["wiezogrod", "vedurskra"] {
         let path = root.join(site).join("entry.ini");
         let (config, _) = settings::entry::read(&path).expect(site);
-        let printed = settings::entry::file(&path).print();
+        let printed = settings::entry::file(&path).to_ini();
         let copy = File::new(site, &printed);
         let (again, _) = settings::entry::read(&copy.0).expect(site);
         assert_eq!(config.policy, again.policy);
--- a/tests/it/stage.rs
+++ b/tests/it/stage.rs
@@ -8,7 +8,7 @@
 use landingvalve::graph::Outcome;
 use landingvalve::graph::Progress;
 use landingvalve::log;
-use landingvalve::store::Put;
+use landingvalve::store::Mutation;
 use landingvalve::store::Store;
 use tokio::time::Instant;
 
@@ -22,7 +22,7 @@
         ..Progress::default()
     };
     let value = serde_json::to_vec(&progress).expect("is encoded");
-    let put = Put::Value(keys::progress(ID), value, 0);
+    let put = Mutation::Value(keys::progress(ID), value, 0);
     store.swap(&[], vec![put]).await.expect("is written");
 }
 
@@ -63,7 +63,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_cancel_is_told_once_it_has_taken_effect() {
     let store = Memory::default();
-    let put = |key| Put::Value(key, b"{}".to_vec(), 0);
+    let put = |key| Mutation::Value(key, b"{}".to_vec(), 0);
     let kept = vec![put(keys::job(ID)), put(keys::cancel(ID))];
     store.swap(&[], kept).await.expect("is written");
     let admission = Admission::new(store.clone(), log::none());
@@ -91,7 +91,7 @@
     let longer = keys::progress(&format!("{ID}0"));
     let later = async {
         tokio::time::sleep(Duration::from_millis(40)).await;
-        let put = Put::Value(longer, value, 0);
+        let put = Mutation::Value(longer, value, 0);
         store.swap(&[], vec![put]).await.expect("is written");
     };
     let deadline = Instant::now() + Duration::from_secs(3);
--- a/tests/it/suspended.rs
+++ b/tests/it/suspended.rs
@@ -11,10 +11,10 @@
 use landingvalve::cell::reach::Reach;
 use landingvalve::cell::Admission;
 use landingvalve::clock;
-use landingvalve::clock::Stamp;
+use landingvalve::clock::BootInstant;
 use landingvalve::graph::How;
 use landingvalve::log;
-use landingvalve::store::Put;
+use landingvalve::store::Mutation;
 use landingvalve::store::Store;
 
 use crate::cell::agent;
@@ -34,12 +34,12 @@
 
 #[test]
 fn a_stamp_counts_the_time_that_the_machine_was_suspended() {
-    let before = Stamp::now();
+    let before = BootInstant::now();
     let until = before + Duration::from_secs(5);
-    assert!(until.is_ahead());
-    clock::suspend(Duration::from_secs(8));
-    assert!(!until.is_ahead());
-    assert_eq!(until.left(), Duration::ZERO);
+    assert!(until.is_future());
+    clock::simulate_suspension(Duration::from_secs(8));
+    assert!(!until.is_future());
+    assert_eq!(until.remaining(), Duration::ZERO);
     assert!(before.elapsed() >= Duration::from_secs(8));
 }
 
@@ -59,7 +59,7 @@
         };
         assert!(claim.holds());
         let time = Duration::from_millis(ms);
-        clock::suspend(time);
+        clock::simulate_suspension(time);
         assert_eq!(claim.holds(), time < claim::TTL, "{time:?}");
         // As the answer to its renewal is on its way: what was sent before
         // says nothing of the time after.
@@ -81,7 +81,7 @@
     until("the lease is prolonged", prolonged).await;
     // No planner grants anything any more; the last grant is 12 s.
     entry.kill();
-    clock::suspend(Duration::from_secs(13));
+    clock::simulate_suspension(Duration::from_secs(13));
     let lapses = || async { (!worker.is_prolonged()).then_some(()) };
     let look = Duration::from_secs(3);
     let lapsed = tokio::time::timeout(look, until("a look without", lapses));
@@ -92,7 +92,7 @@
 #[tokio::test]
 async fn knowledge_of_the_configuration_ages_while_its_machine_is_suspended() {
     let store = Memory::default();
-    let put = Put::Value("key".to_owned(), b"7".to_vec(), 0);
+    let put = Mutation::Value("key".to_owned(), b"7".to_vec(), 0);
     store.swap(&[], vec![put]).await.expect("is written");
     let source = Source::new();
     let decode = |_: &[u8]| Ok::<_, String>(Configuration::default());
@@ -108,7 +108,7 @@
     let known = || async { source.fresh(age).map(|_| ()) };
     until("it is known", known).await;
     store.refuse(u32::MAX);
-    clock::suspend(Duration::from_secs(3));
+    clock::simulate_suspension(Duration::from_secs(3));
     assert!(source.fresh(age).is_none(), "it is 3 s old");
     assert!(!source.in_touch(), "the store was not heard for 3 s");
     store.refuse(0);
@@ -128,7 +128,7 @@
         runs(&worker, 2).await;
         // An order is on its way, and an admission waits.
         admission.submit(&job("b"), soon()).await;
-        clock::suspend(Duration::from_millis(ms));
+        clock::simulate_suspension(Duration::from_millis(ms));
         runs(&worker, 4).await;
         worker.end_all(How::Done);
         reaches(&admission, "a", DONE).await;
--- a/tests/telemetry/main.rs
+++ b/tests/telemetry/main.rs
@@ -22,7 +22,7 @@
 impl http::Handler for Receiver {
     async fn handle(&self, request: http::Request) -> http::Response {
         let path = request.uri().path().to_owned();
-        let body = http::read(request, 1 << 20).await.expect("a body");
+        let body = http::read_body(request, 1 << 20).await.expect("a body");
         assert!(!body.is_empty());
         self.paths.lock().unwrap().push(path);
         http::text(StatusCode::OK, "")
@@ -46,7 +46,7 @@
     metrics::get().starts.add(1, &[]);
     for seconds in [0.004, 0.3, 0.3, 700.0] {
         let labels = [metrics::label("method", "GET")];
-        metrics::get().request.record(seconds, &labels);
+        metrics::get().request_seconds.record(seconds, &labels);
     }
     let page = telemetry.page().text().await;
     assert!(page.contains("landingvalve_starts "), "{page}");
