--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -1,4 +1,4 @@
-//! Checks of what operators and callers write.
+//! Checks of configuration items and names that operators and callers write.
 
 use std::fmt;
 
@@ -13,26 +13,26 @@
 use crate::site::Site;
 use crate::util::digest;
 
-/// The most accelerators that a shape may have.
+/// The maximum number of accelerators of a shape.
 const MAX_SHAPE_ACCELERATORS: u32 = 4096;
-/// The most requests a second that an account may make.
+/// The maximum of the `rate` limit of an account.
 const MAX_REQUESTS_PER_SECOND: u32 = 10_000;
-/// The longest name.
+/// The maximum length of a name, in characters.
 const MAX_NAME_LENGTH: usize = 64;
 
-/// A field that is not as it should be.
+/// An invalid field of an item or a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// The field.
+    /// The path of the field, such as `shape.accelerators`.
     pub field: String,
-    /// What it is.
+    /// The value as JSON, at most 120 characters of it.
     pub value: String,
-    /// What was expected.
+    /// A description of the values that are allowed.
     pub expected: String,
 }
 
 impl Problem {
-    /// Returns a problem of a field.
+    /// Returns a problem of `field`, whose value is shown as JSON.
     pub fn new(
         field: impl Into<String>,
         value: &impl Serialize,
@@ -58,26 +58,28 @@
     }
 }
 
-/// Returns whether `text` can name an account, a template or a request.
+/// Returns whether `text` is a valid name of an account, a template or a
+/// request.
 pub fn is_name(text: &str) -> bool {
-    let plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+    let is_allowed =
+        |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
     !text.is_empty()
         && text.len() <= MAX_NAME_LENGTH
-        && text.chars().all(plain)
+        && text.chars().all(is_allowed)
 }
 
-/// Returns what is wrong with a client account, by itself.
+/// Returns the problems of a client account, looked at alone.
 pub fn check_account(id: &str, account: &Account) -> Vec<Problem> {
     let mut problems = Vec::new();
     problems.extend(check_name("account", id));
-    for (at, shape) in account.guarantee.iter().enumerate() {
-        let field = format!("guarantee[{at}].accelerators");
+    for (index, shape) in account.guarantee.iter().enumerate() {
+        let field = format!("guarantee[{index}].accelerators");
         problems.extend(check_accelerators(field, shape));
     }
-    for (at, token) in account.tokens.iter().enumerate() {
+    for (index, token) in account.tokens.iter().enumerate() {
         if !digest::is_valid(token) {
             problems.push(Problem::new(
-                format!("tokens[{at}]"),
+                format!("tokens[{index}]"),
                 token,
                 "a SHA-256 digest, 64 characters of 0-9 and a-f",
             ));
@@ -93,7 +95,8 @@
     problems
 }
 
-/// Returns what is wrong with a template, by itself and on the site.
+/// Returns the problems of a template. On a site with workers, its shape must
+/// fit on the site.
 pub fn check_template(
     id: &str,
     template: &Template,
@@ -106,7 +109,7 @@
         problems.push(Problem::new("run_ms", &0, "1 or more"));
     }
     if template.run.is_empty() {
-        problems.push(Problem::new("run", &"", "what to run"));
+        problems.push(Problem::new("run", &"", "a command, not empty"));
     }
     let empty = site.workers().is_empty();
     let fits = home::pack(site, &[template.shape])
@@ -116,13 +119,15 @@
         problems.push(Problem::new(
             "shape",
             &template.shape,
-            "a shape that some part of the site holds",
+            "a shape that fits on some part of the site",
         ));
     }
     problems
 }
 
-/// Returns the guaranteed shapes that do not fit on the site together.
+/// Returns a problem for each guaranteed shape without room on the site beside
+/// the guaranteed shapes of all accounts. Returns none for a site without
+/// workers.
 pub fn check_guarantees<'a>(
     site: &Site,
     accounts: impl Iterator<Item = (&'a account::Id, &'a Account)>,
@@ -133,7 +138,7 @@
     let owned: Vec<(&account::Id, usize, Shape)> = accounts
         .flat_map(|(id, account)| {
             let shapes = account.guarantee.iter().enumerate();
-            shapes.map(move |(at, shape)| (id, at, *shape))
+            shapes.map(move |(index, shape)| (id, index, *shape))
         })
         .collect();
     let shapes: Vec<Shape> = owned.iter().map(|(_, _, s)| *s).collect();
@@ -142,9 +147,9 @@
         .iter()
         .zip(places)
         .filter(|(_, place)| place.is_none())
-        .map(|((id, at, shape), _)| {
+        .map(|((id, index, shape), _)| {
             Problem::new(
-                format!("accounts.{id}.guarantee[{at}]"),
+                format!("accounts.{id}.guarantee[{index}]"),
                 shape,
                 "a shape that fits on the site beside all other \
                  guaranteed shapes",
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,8 +1,8 @@
 //! The operators' configuration: client accounts and templates.
 //!
-//! It is one document, changed item by item: each item is a key of the
-//! store, and the revision of its last change is the item's version. The
-//! revision of the whole is the highest of its items'.
+//! A [`Document`] consists of items. Each item is a key of the store, and its
+//! version is the store revision of its last change. The revision of the
+//! document is the highest revision of any change of it.
 
 mod check;
 mod template;
@@ -29,43 +29,44 @@
 use crate::store::Revision;
 use crate::util::digest;
 
-/// What the keys of the configuration start with.
+/// The prefix of the store keys of the configuration.
 pub const PREFIX: &str = "/landingvalve/config/";
-/// The key that every change of a guarantee goes through, so that two
-/// changes cannot each fit and together not.
+/// The key that every edit of an account writes, on condition that no other
+/// edit did so since it was read. Two concurrent edits whose guarantees fit
+/// alone but not together therefore cannot both succeed.
 pub const GUARANTEES_KEY: &str = "/landingvalve/guarantees";
-/// The key that every edit writes, so that the revision of the whole grows
-/// with an item that goes, too.
+/// The key that every edit writes, so that the revision of the document also
+/// grows when an edit deletes an item.
 pub const LAST_EDIT_KEY: &str = "/landingvalve/config/last";
-/// How many earlier edits an item remembers.
+/// The maximum number of edits that an item keeps.
 const MAX_EDITS_KEPT: usize = 20;
 
-/// The name of an edit, chosen by who makes it.
+/// The name of an edit, chosen by the client that makes it.
 pub type EditId = String;
 
 /// The parameters of a client account.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
-    /// The shapes that can be had at any moment.
+    /// The guaranteed shapes: available at any time, all of them together.
     #[serde(default)]
     pub guarantee: Vec<crate::site::Shape>,
-    /// How many accelerators it may use past its guarantee.
+    /// The maximum number of accelerators used beyond the guarantee.
     #[serde(default)]
     pub borrow: u32,
-    /// The digests of its tokens.
+    /// The SHA-256 digests of the tokens that authenticate the account.
     #[serde(default)]
     pub tokens: Vec<digest::Hex>,
-    /// Templates whose jobs may never repeat for this account.
+    /// The templates whose jobs are never started twice for this account.
     #[serde(default)]
     pub never_repeat: Vec<job::TemplateId>,
-    /// How many requests a second it may make.
+    /// The maximum number of requests per second.
     #[serde(default = "default_rate")]
     pub rate: u32,
-    /// How many of its callers may wait at once.
+    /// The maximum number of callers that wait for an answer at once.
     #[serde(default = "default_waiting")]
     pub waiting: u32,
-    /// How many of its jobs may be in the queue.
+    /// The maximum number of queued jobs.
     #[serde(default = "default_queue")]
     pub queue: u32,
 }
@@ -83,7 +84,7 @@
 }
 
 impl Account {
-    /// Returns what the decision core needs to know of the account.
+    /// Returns the part of the account that the decision core uses.
     pub fn terms(&self) -> account::Account {
         account::Account {
             guarantee: self.guarantee.clone(),
@@ -92,12 +93,12 @@
     }
 }
 
-/// An edit that was accepted.
+/// An accepted edit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Its name.
+    /// The name of the edit.
     pub edit: EditId,
-    /// When it was accepted.
+    /// When the edit was accepted.
     #[serde(with = "crate::util::time_ms")]
     pub at: SystemTime,
 }
@@ -105,14 +106,14 @@
 /// An item of the configuration as the store holds it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Item<T> {
-    /// What it is.
+    /// The account or template.
     pub value: T,
-    /// The edits that made it so, the last one first.
+    /// The edits of the item, latest first. The oldest are dropped.
     pub edits: Vec<Edit>,
 }
 
 impl<T> Item<T> {
-    /// Returns the item after an edit.
+    /// Returns the item after an edit to `value`; `old` is the item before.
     pub fn edited(
         old: Option<&Item<T>>,
         value: T,
@@ -127,10 +128,10 @@
     }
 }
 
-/// An item and its version.
+/// An item with its version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Versioned<T> {
-    /// The revision of its last change.
+    /// The revision of the last change of the item.
     pub revision: Revision,
     /// The item.
     pub item: Item<T>,
@@ -139,15 +140,15 @@
 /// The whole configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Document {
-    /// The revision of its last change.
+    /// The revision of the last change of the document.
     pub revision: Revision,
-    /// The client accounts.
+    /// The client accounts, by name.
     pub accounts: BTreeMap<account::Id, Versioned<Account>>,
-    /// The templates.
+    /// The templates, by name.
     pub templates: BTreeMap<job::TemplateId, Versioned<Template>>,
 }
 
-/// Which item of the configuration.
+/// The kind and name of an item of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ItemId {
     /// A client account.
@@ -175,7 +176,7 @@
 }
 
 impl Document {
-    /// Returns the configuration that the store's items make up.
+    /// Builds the configuration from the items of the store.
     pub fn from_items(items: &[StoreItem]) -> Document {
         let mut document = Document::default();
         for item in items {
@@ -184,7 +185,7 @@
         document
     }
 
-    /// Takes in a change.
+    /// Applies a change of the store.
     pub fn apply(&mut self, change: &Change) {
         match change {
             Change::Put(item) => self.put(item),
@@ -206,8 +207,8 @@
     fn put(&mut self, item: &StoreItem) {
         let revision = item.modified;
         self.revision = self.revision.max(revision);
-        // An item that does not parse was not written by an edit; what was
-        // in force before it stays in force.
+        // A value that does not parse was not written by an edit. The previous
+        // version of the item stays in force.
         match ItemId::from_key(&item.key) {
             Some(ItemId::Account(id)) => {
                 if let Ok(item) = serde_json::from_slice(&item.value) {
@@ -235,13 +236,16 @@
         self.templates.get(id).map(|template| &template.item.value)
     }
 
-    /// Returns the client account that a token belongs to.
+    /// Returns the name of the client account that a token authenticates.
     pub fn account_of_token(&self, token: &str) -> Option<account::Id> {
-        let shown = digest::of(token.as_bytes());
+        let digest_of_token = digest::of(token.as_bytes());
         let mut found = None;
         for (id, account) in &self.accounts {
             let tokens = &account.item.value.tokens;
-            if tokens.iter().any(|own| digest::equal(own, &shown)) {
+            if tokens
+                .iter()
+                .any(|own| digest::equal(own, &digest_of_token))
+            {
                 found = Some(id.clone());
             }
         }
--- a/src/config/template.rs
+++ b/src/config/template.rs
@@ -1,4 +1,4 @@
-//! Templates for recurring jobs.
+//! Templates of jobs and the parameters they accept.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,15 +10,15 @@
 use crate::config::Problem;
 use crate::site::Shape;
 
-/// What kind of value a parameter takes.
+/// The type of the value of a parameter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ParameterKind {
-    /// A string.
+    /// A JSON string.
     String,
-    /// A whole number.
+    /// A JSON number without fraction, of at most 64 bits.
     Integer,
-    /// Any number.
+    /// Any JSON number.
     Number,
     /// True or false.
     Boolean,
@@ -44,13 +44,13 @@
     }
 }
 
-/// A parameter that callers may give.
+/// The declaration of a parameter of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Parameter {
-    /// What kind of value it takes.
+    /// The type of its values.
     pub kind: ParameterKind,
-    /// Whether it must be given.
+    /// Whether every submission must set the parameter.
     #[serde(default)]
     pub required: bool,
 }
@@ -61,29 +61,29 @@
 pub struct Template {
     /// The accelerators that a job needs together.
     pub shape: Shape,
-    /// How long a job runs, as far as its writer knows.
+    /// The expected run time of a job, declared by the author of the template.
     #[serde(rename = "run_ms", with = "crate::util::duration_ms")]
     pub declared: Duration,
-    /// What the endpoint is to run.
+    /// The command that the endpoint runs.
     pub run: String,
-    /// Whether a job may be started again after it may have run.
+    /// Whether a job that may have run already may be started again.
     pub repeatable: bool,
-    /// Whether a job can checkpoint.
+    /// Whether a job can write checkpoints.
     #[serde(default)]
     pub checkpoint: bool,
-    /// Whether jobs go before all that is not urgent.
+    /// Whether jobs take precedence over all jobs that are not urgent.
     #[serde(default)]
     pub urgent: bool,
-    /// What callers may give.
+    /// The parameters that callers may set, by name.
     #[serde(default)]
     pub parameters: BTreeMap<String, Parameter>,
 }
 
 impl Template {
-    /// Returns what is wrong with a caller's parameters.
-    pub fn check_parameters(&self, given: &Value) -> Vec<Problem> {
-        let Some(given) = given.as_object() else {
-            return vec![Problem::new("parameters", given, "an object")];
+    /// Returns the problems of a caller's parameters.
+    pub fn check_parameters(&self, parameters: &Value) -> Vec<Problem> {
+        let Some(given) = parameters.as_object() else {
+            return vec![Problem::new("parameters", parameters, "an object")];
         };
         let missing = self
             .parameters
@@ -93,7 +93,7 @@
                 let field = format!("parameters.{name}");
                 Problem::new(field, &"nothing", parameter.kind.expected())
             });
-        let wrong = given.iter().filter_map(|(name, value)| {
+        let invalid = given.iter().filter_map(|(name, value)| {
             let field = format!("parameters.{name}");
             match self.parameters.get(name) {
                 None => {
@@ -108,6 +108,6 @@
                 Some(_) => None,
             }
         });
-        missing.chain(wrong).collect()
+        missing.chain(invalid).collect()
     }
 }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,4 +1,4 @@
-//! A client that gives each call a deadline.
+//! An HTTP client whose calls have a deadline or an idle timeout.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -20,72 +20,76 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-/// How long a connection may take to be made.
+/// How long establishing a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long an unused connection is kept.
+/// How long an idle connection stays in the pool.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// The longest answer that is read.
+/// The maximum size of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// The narrowest link that is waited for, in bytes a second: 1 Mbit/s, a
-/// tenth of the users' narrowest.
+/// The slowest link that timeouts allow for, in bytes per second: 1 Mbit/s, a
+/// tenth of the users' slowest link.
 const MIN_LINK_BYTES_PER_SECOND: f64 = 125_000.0;
 
-/// Returns how much longer a request may take for the bytes that it sends.
+/// Returns how long the slowest link that timeouts allow for takes to transfer
+/// `bytes`. A request may take that much longer.
 pub fn transfer_time(bytes: usize) -> Duration {
     Duration::from_secs_f64(bytes as f64 / MIN_LINK_BYTES_PER_SECOND)
 }
 
-/// A call that brought no answer.
+/// A call without a usable response.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No connection was made: the call has had no effect.
-    #[error("{url}: not reached: {reason}")]
+    /// No connection was established. The call had no effect.
+    #[error("{url}: connection failed: {reason}")]
     Unreached {
-        /// What was called.
+        /// The URL of the call.
         url: String,
-        /// Why it was not reached.
+        /// Why the connection failed.
         reason: String,
-        /// Whether its machine has answered that nobody listens there.
+        /// Whether the host refused the connection, as a host does when no
+        /// process listens on the port.
         refused: bool,
     },
-    /// The answer did not come, or not whole: any effect is unknown.
-    #[error("{url}: no answer: {reason}")]
+    /// No complete response arrived. The call may or may not have taken
+    /// effect.
+    #[error("{url}: no response: {reason}")]
     Lost {
-        /// What was called.
+        /// The URL of the call.
         url: String,
-        /// How the answer was lost.
+        /// Why no complete response arrived.
         reason: String,
     },
-    /// The answer is not what was expected.
+    /// The response has an error status, or its body cannot be parsed.
     #[error("{url}: status {status}: {body}")]
     Unexpected {
-        /// What was called.
+        /// The URL of the call.
         url: String,
-        /// The status of the answer.
+        /// The status of the response.
         status: StatusCode,
-        /// The start of its body.
+        /// The first 300 characters of the body, or an empty text.
         body: String,
     },
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
 pub struct Reply {
-    /// Its status.
+    /// The status.
     pub status: StatusCode,
-    /// Its headers.
+    /// The headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The whole body.
     pub body: Bytes,
 }
 
 impl Reply {
-    /// Returns the JSON of a good answer to a call of `url`.
+    /// Parses the JSON body of a successful response. `url` is the URL of the
+    /// call, for the error.
     ///
     /// # Errors
     ///
-    /// If it is not a good one.
+    /// If the status is not a success, or the body is not the JSON of an `A`.
     pub fn json<A: DeserializeOwned>(&self, url: &str) -> Result<A, Error> {
         match serde_json::from_slice(&self.body) {
             Ok(value) if self.status.is_success() => Ok(value),
@@ -101,7 +105,7 @@
     }
 }
 
-/// An HTTP client with a pool of connections.
+/// An HTTP client with a pool of connections. Clones share the pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: hyper_util::client::legacy::Client<HttpConnector, Full<Bytes>>,
@@ -114,7 +118,7 @@
 }
 
 impl Client {
-    /// Returns a client without connections.
+    /// Returns a client with an empty pool.
     pub fn new() -> Client {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -127,11 +131,11 @@
         Client { inner }
     }
 
-    /// Sends a request and returns the whole answer.
+    /// Sends a request and returns the complete response.
     ///
     /// # Errors
     ///
-    /// If no whole answer comes before the deadline.
+    /// If no complete response arrives before the deadline.
     pub async fn call(
         &self,
         method: Method,
@@ -142,43 +146,44 @@
     ) -> Result<Reply, Error> {
         let mut request = request(method, url, body.into())?;
         request.headers_mut().extend(headers);
-        let answer = self.send(request, url, deadline).await?;
-        receive(answer, url, || deadline).await
+        let response = self.send(request, url, deadline).await?;
+        receive(response, url, || deadline).await
     }
 
-    /// Sends a request and returns the whole answer, however long it takes
-    /// for as long as it goes on coming.
+    /// Sends a request and returns the complete response, without a limit on
+    /// the total time.
     ///
-    /// For answers as large as others have made them: a limit on the whole
-    /// would cut them on a narrow link, and cut each further try as well.
+    /// This is for responses whose size depends on the data of others: a
+    /// total limit would cut them off on a narrow link, and every retry too.
     ///
     /// # Errors
     ///
-    /// If the answer does not begin in `first`, beside what the request's
-    /// bytes take, or if nothing more of it comes for `silence`.
+    /// If the response does not begin within `first_byte`, extended by the
+    /// [`transfer_time`] of the request body, or if no data arrives for
+    /// `idle`.
     pub async fn call_with_idle_timeout(
         &self,
         method: Method,
         url: &str,
         headers: HeaderMap,
         body: impl Into<Bytes>,
-        first: Duration,
-        silence: Duration,
+        first_byte: Duration,
+        idle: Duration,
     ) -> Result<Reply, Error> {
         let body = body.into();
-        let begins = Instant::now() + first + transfer_time(body.len());
+        let begin_by = Instant::now() + first_byte + transfer_time(body.len());
         let mut request = request(method, url, body)?;
         request.headers_mut().extend(headers);
-        let answer = self.send(request, url, begins).await?;
-        receive(answer, url, || Instant::now() + silence).await
+        let response = self.send(request, url, begin_by).await?;
+        receive(response, url, || Instant::now() + idle).await
     }
 
-    /// Posts JSON and returns the JSON of a good answer.
+    /// Posts JSON and returns the JSON of a successful response.
     ///
     /// # Errors
     ///
-    /// If no whole answer comes before the deadline, or it is not a good
-    /// one.
+    /// If no complete response arrives before the deadline, if its status is
+    /// not a success, or if its body is not the JSON of an `A`.
     pub async fn post<A: DeserializeOwned>(
         &self,
         url: &str,
@@ -191,17 +196,18 @@
         reply.json(url)
     }
 
-    /// Posts JSON and returns the JSON of a good answer, however long it
-    /// takes for as long as it goes on coming; see [`Client::call_with_idle_timeout`].
+    /// Posts JSON and returns the JSON of a successful response, with a limit
+    /// on idle time only; see [`Client::call_with_idle_timeout`].
     ///
     /// # Errors
     ///
-    /// If it does not begin or go on coming, or is not a good one.
+    /// If the response does not begin or continue within `idle`, if its status
+    /// is not a success, or if its body is not the JSON of an `A`.
     pub async fn post_with_idle_timeout<A: DeserializeOwned>(
         &self,
         url: &str,
         value: &impl Serialize,
-        silence: Duration,
+        idle: Duration,
     ) -> Result<A, Error> {
         let body = encode(url, value)?;
         let reply = self
@@ -210,18 +216,18 @@
                 url,
                 json(),
                 body,
-                silence,
-                silence,
+                idle,
+                idle,
             )
             .await?;
         reply.json(url)
     }
 
-    /// Gets the JSON of a good answer.
+    /// Gets the JSON of a successful response.
     ///
     /// # Errors
     ///
-    /// As [`Client::post`].
+    /// In the same cases as [`Client::post`].
     pub async fn get<A: DeserializeOwned>(
         &self,
         url: &str,
@@ -234,11 +240,12 @@
         reply.json(url)
     }
 
-    /// Posts JSON and returns the answer's body in pieces.
+    /// Posts JSON and returns the body of the response as a stream.
     ///
     /// # Errors
     ///
-    /// If the answer does not begin before the deadline.
+    /// If the response does not begin before the deadline, or its status is
+    /// not a success.
     pub async fn stream(
         &self,
         url: &str,
@@ -247,60 +254,61 @@
     ) -> Result<Stream, Error> {
         let body = encode(url, value)?;
         let request = request(Method::POST, url, body.into())?;
-        let answer = self.send(request, url, deadline).await?;
-        match answer.status().is_success() {
+        let response = self.send(request, url, deadline).await?;
+        match response.status().is_success() {
             true => Ok(Stream {
-                body: answer.into_body(),
+                body: response.into_body(),
                 url: url.to_owned(),
-                rest: Vec::new(),
+                buffer: Vec::new(),
             }),
             false => Err(Error::Unexpected {
                 url: url.to_owned(),
-                status: answer.status(),
+                status: response.status(),
                 body: String::new(),
             }),
         }
     }
 
-    /// Sends a request and returns the answer once its head has come.
+    /// Sends a request and returns the response once its head has arrived.
     async fn send(
         &self,
         request: hyper::Request<Full<Bytes>>,
         url: &str,
         deadline: Instant,
     ) -> Result<hyper::Response<Incoming>, Error> {
-        let answer = self.inner.request(request);
-        match tokio::time::timeout_at(deadline, answer).await {
-            Ok(Ok(answer)) => Ok(answer),
+        let response = self.inner.request(request);
+        match tokio::time::timeout_at(deadline, response).await {
+            Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) => Err(call_error(url, &error)),
-            Err(_) => Err(lost(url, "the deadline has passed")),
+            Err(_) => Err(lost(url, "deadline exceeded")),
         }
     }
 }
 
-/// Receives the whole of an answer; each piece of it must have come by
-/// `limit`, which is asked anew for each.
+/// Receives the complete response. Calls `limit` before each frame for the
+/// deadline of that frame.
 async fn receive(
-    answer: hyper::Response<Incoming>,
+    response: hyper::Response<Incoming>,
     url: &str,
     limit: impl Fn() -> Instant,
 ) -> Result<Reply, Error> {
-    let (head, body) = answer.into_parts();
+    let (head, body) = response.into_parts();
     let mut body = Limited::new(body, MAX_RESPONSE_BYTES);
     let mut bytes = Vec::new();
     loop {
         match tokio::time::timeout_at(limit(), body.frame()).await {
             Ok(Some(Ok(frame))) => {
-                let piece = frame.into_data().unwrap_or_default();
-                bytes.extend_from_slice(&piece);
+                let data = frame.into_data().unwrap_or_default();
+                bytes.extend_from_slice(&data);
             }
             Ok(Some(Err(error))) => return Err(lost(url, error)),
             Ok(None) => break,
-            // How many tells an answer that was cut from silence.
+            // The count distinguishes a response that was cut off from one
+            // that never began.
             Err(_) => {
-                let come = bytes.len();
+                let received = bytes.len();
                 let reason =
-                    format!("the deadline has passed, {come} bytes had come");
+                    format!("deadline exceeded after {received} bytes");
                 return Err(lost(url, reason));
             }
         }
@@ -312,30 +320,30 @@
     })
 }
 
-/// The body of an answer, read a line at a time.
+/// The body of a response, read line by line.
 pub struct Stream {
     body: Incoming,
     url: String,
-    rest: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl Stream {
-    /// Returns the next line, or `None` at the end.
+    /// Returns the next line without its newline, or `None` at the end.
     ///
     /// # Errors
     ///
     /// If the connection breaks.
     pub async fn line(&mut self) -> Result<Option<Vec<u8>>, Error> {
         loop {
-            if let Some(end) = self.rest.iter().position(|b| *b == b'\n') {
-                let mut line: Vec<u8> = self.rest.drain(..=end).collect();
+            if let Some(end) = self.buffer.iter().position(|b| *b == b'\n') {
+                let mut line: Vec<u8> = self.buffer.drain(..=end).collect();
                 line.pop();
                 return Ok(Some(line));
             }
             match self.body.frame().await {
                 None => return Ok(None),
                 Some(Ok(frame)) => {
-                    self.rest.extend(frame.into_data().unwrap_or_default());
+                    self.buffer.extend(frame.into_data().unwrap_or_default());
                 }
                 Some(Err(error)) => return Err(lost(&self.url, error)),
             }
@@ -347,10 +355,10 @@
     serde_json::to_vec(value).map_err(|error| unreached(url, &error))
 }
 
-/// Returns the header of a body in JSON.
+/// Returns the headers of a request with a JSON body.
 fn json() -> HeaderMap {
-    let kind = HeaderValue::from_static("application/json");
-    HeaderMap::from_iter([(CONTENT_TYPE, kind)])
+    let content_type = HeaderValue::from_static("application/json");
+    HeaderMap::from_iter([(CONTENT_TYPE, content_type)])
 }
 
 fn request(
@@ -380,7 +388,7 @@
     }
 }
 
-/// Returns whether a connection was refused, by an error or its sources.
+/// Returns whether an error or any of its sources is a refused connection.
 fn is_refused(error: &(dyn std::error::Error + 'static)) -> bool {
     let mut next = Some(error);
     while let Some(error) = next {
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP on both sides: one small server and one small client over hyper.
+//! HTTP server and client, built on hyper.
 
 mod client;
 mod server;
@@ -22,19 +22,20 @@
 use hyper::StatusCode;
 use serde::Serialize;
 
-/// The body of an answer, whole or in pieces.
+/// The body of a response, complete or streamed.
 pub type Body = UnsyncBoxBody<Bytes, Infallible>;
-/// An answer.
+/// A response to be sent.
 pub type Response = hyper::Response<Body>;
-/// A request as it comes in.
+/// A received request, its body not yet read.
 pub type Request = hyper::Request<hyper::body::Incoming>;
 
-/// Returns a whole body.
+/// Returns a body that consists of `bytes`.
 pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).boxed_unsync()
 }
 
-/// Returns an answer in JSON.
+/// Returns a response with a JSON body. A value that cannot be serialized
+/// gives status 500 and an empty body.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response {
     let (status, bytes) = match serde_json::to_vec(value) {
         Ok(bytes) => (status, bytes),
@@ -42,23 +43,24 @@
     };
     let mut response = Response::new(full_body(bytes));
     *response.status_mut() = status;
-    let kind = hyper::header::HeaderValue::from_static("application/json");
-    response.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type =
+        hyper::header::HeaderValue::from_static("application/json");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
-/// Returns an answer in plain text.
+/// Returns a response with a plain text body.
 pub fn text(status: StatusCode, text: impl Into<Bytes>) -> Response {
     let mut response = Response::new(full_body(text));
     *response.status_mut() = status;
     response
 }
 
-/// Reads a request's body, up to `limit` bytes.
+/// Reads the whole body of a request, up to `limit` bytes.
 ///
 /// # Errors
 ///
-/// If the body is longer, or the connection breaks.
+/// If the body is longer than `limit`, or the connection breaks.
 pub async fn read_body(
     request: Request,
     limit: usize,
@@ -70,9 +72,9 @@
     }
 }
 
-/// A body that is longer than allowed, or was cut short.
+/// A body that is longer than allowed, or that ended early.
 #[derive(Debug, thiserror::Error)]
-#[error("body: cut short or longer than the {limit} bytes allowed")]
+#[error("body: incomplete or longer than the {limit} bytes allowed")]
 pub struct BodyError {
     limit: usize,
 }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,4 @@
-//! A server that stops without cutting a request off.
+//! An HTTP server with a limit on connections and a graceful stop.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -22,33 +22,37 @@
 use crate::telemetry::metrics;
 use crate::telemetry::metrics::label;
 
-/// How long a caller may take over the head of a request.
+/// How long a client may take to send the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// The most bytes that the head of a request may have.
+/// The maximum size of the head of a request, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// How long is waited after a connection could not be accepted: without, a
-/// process that has no descriptor left would do nothing but try.
+/// The delay after a connection could not be accepted. Without it, a process
+/// that has run out of file descriptors would retry in a busy loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// How often it is told that connections are turned away.
+/// The minimum interval between log lines about rejected connections.
 const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// The most connections unless told otherwise.
+/// The connection limit of [`Server::start`].
 const DEFAULT_MAX_CONNECTIONS: usize = 4096;
 
-/// How many connections a server takes, and who is told when it takes no
-/// more.
+/// The maximum number of connections of a server, and the log that reports
+/// rejected connections.
 #[derive(Clone, Debug)]
 pub struct ConnectionLimit {
-    /// The most connections; one more is closed at once.
+    /// The maximum number of open connections. The server closes any further
+    /// connection at once.
     pub connections: usize,
-    /// Where logs go.
+    /// The logger for rejected connections.
     pub log: slog::Logger,
 }
 
 impl ConnectionLimit {
-    /// Tells what was turned away, once a second at most.
+    /// Counts a rejected connection, and logs it at most once a second.
+    ///
+    /// `error` is the failure to accept a connection; `None` if the limit of
+    /// connections was reached.
     fn report_rejection(
         &self,
-        told: &mut Option<Instant>,
+        last_logged: &mut Option<Instant>,
         error: Option<io::Error>,
     ) {
         let limit = match error {
@@ -57,26 +61,26 @@
         };
         metrics::get().limited.add(1, &[label("limit", limit)]);
         let now = Instant::now();
-        if told.is_some_and(|at| now < at + REJECTION_LOG_INTERVAL) {
+        if last_logged.is_some_and(|at| now < at + REJECTION_LOG_INTERVAL) {
             return;
         }
-        *told = Some(now);
-        slog::warn!(self.log, "http: connections are turned away";
+        *last_logged = Some(now);
+        slog::warn!(self.log, "http: connections are rejected";
             "limit" => limit, "most" => self.connections,
             "error" => error.map(|error| error.to_string()));
     }
 }
 
-/// What answers requests.
+/// Handles the requests that a [`Server`] receives.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Returns the response to one request.
     fn handle(
         &self,
         request: Request,
     ) -> impl Future<Output = Response> + Send;
 }
 
-/// A server that listens.
+/// A running HTTP server.
 pub struct Server {
     address: SocketAddr,
     stop: watch::Sender<bool>,
@@ -84,11 +88,12 @@
 }
 
 impl Server {
-    /// Listens on `address` and answers with `handler`.
+    /// Binds `address` and serves requests with `handler`, with the default
+    /// limit on connections.
     ///
     /// # Errors
     ///
-    /// If the address cannot be listened on.
+    /// If the address cannot be bound.
     pub async fn start(
         address: SocketAddr,
         handler: Arc<impl Handler>,
@@ -100,12 +105,12 @@
         Server::start_with_limit(address, handler, limit).await
     }
 
-    /// Listens on `address` and answers with `handler`, on so many
-    /// connections at once.
+    /// Binds `address` and serves requests with `handler` on at most as many
+    /// connections as `limit` allows.
     ///
     /// # Errors
     ///
-    /// If the address cannot be listened on.
+    /// If the address cannot be bound.
     pub async fn start_with_limit(
         address: SocketAddr,
         handler: Arc<impl Handler>,
@@ -122,13 +127,13 @@
         })
     }
 
-    /// Returns the address that the server listens on.
+    /// Returns the bound address, with the port that was assigned for port 0.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops accepting and returns once every request under way has its
-    /// answer, or at the deadline.
+    /// Stops accepting connections and returns once every request in progress
+    /// has its response. Aborts the requests that remain at the deadline.
     pub async fn stop(self, deadline: Instant) {
         let _ = self.stop.send(true);
         let mut task = self.task;
@@ -137,7 +142,8 @@
         }
     }
 
-    /// Stops at once, cutting requests off, as a process that is killed.
+    /// Stops at once and aborts requests in progress, as if the process were
+    /// killed.
     pub fn kill(self) {
         self.task.abort();
     }
@@ -150,15 +156,16 @@
     mut stopped: watch::Receiver<bool>,
 ) {
     let graceful = GracefulShutdown::new();
-    // Dropped with this task, so that an abort ends every connection.
+    // The set is dropped with this task, so that aborting the task closes
+    // every connection.
     let mut connections = tokio::task::JoinSet::new();
-    let mut told = None;
+    let mut last_logged = None;
     loop {
         let stream = tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    limit.report_rejection(&mut told, Some(error));
+                    limit.report_rejection(&mut last_logged, Some(error));
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
@@ -167,7 +174,7 @@
             _ = stopped.changed() => break,
         };
         if connections.len() >= limit.connections {
-            limit.report_rejection(&mut told, None);
+            limit.report_rejection(&mut last_logged, None);
             continue;
         }
         let _ = stream.set_nodelay(true);
--- a/src/settings/agent.rs
+++ b/src/settings/agent.rs
@@ -1,4 +1,4 @@
-//! Settings of an agent.
+//! Settings of `landingvalve-agent`.
 
 use std::path::Path;
 
@@ -10,27 +10,27 @@
 use crate::settings::COMMON_FIELDS;
 use crate::site::MAX_ACCELERATORS;
 
-/// The settings that an agent has besides the common ones.
+/// The declarations of the settings that are particular to an agent.
 pub const FIELDS: &[Field] = &[
     Field {
         section: "agent",
         key: "worker",
         default: None,
         expected: "the worker's name on the platform's list",
-        help: "The worker that the agent stands beside.",
+        help: "The worker that the agent serves.",
     },
     Field {
         section: "agent",
         key: "listen",
         default: None,
-        expected: "an IP address and port, as 10.0.1.1:8082",
-        help: "Where it listens for other processes of the system.",
+        expected: "an IP address and port, such as 10.0.1.1:8082",
+        help: "The address for other processes of the system.",
     },
     Field {
         section: "agent",
         key: "endpoint",
         default: None,
-        expected: "a URL, as http://127.0.0.1:9000",
+        expected: "a URL, such as http://127.0.0.1:9000",
         help: "The endpoint's task interface.",
     },
     Field {
@@ -38,20 +38,21 @@
         key: "accelerators",
         default: Some("8"),
         expected: "1 to 64 accelerators a worker",
-        help: "How many accelerators the worker has.",
+        help: "The number of accelerators of the worker.",
     },
 ];
 
-/// Returns the file of an agent's settings, to be printed.
+/// Reads the file of an agent's settings without converting the values, for
+/// printing.
 pub fn file(path: &Path) -> File {
     File::read(path, &[FIELDS, COMMON_FIELDS])
 }
 
-/// Reads an agent's settings.
+/// Reads and checks an agent's settings.
 ///
 /// # Errors
 ///
-/// Everything that is wrong with the file.
+/// All problems of the file.
 pub fn read(path: &Path) -> Result<(Config, Common), Error> {
     let mut file = file(path);
     let settings = parse(&mut file);
--- a/src/settings/entry.rs
+++ b/src/settings/entry.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry.
+//! Settings of `landingvalve-entry`.
 
 use std::path::Path;
 
@@ -12,7 +12,7 @@
 use crate::site::MAX_ACCELERATORS;
 use crate::util::digest;
 
-/// The settings that an entry has besides the common ones.
+/// The declarations of the settings that are particular to an entry.
 pub const FIELDS: &[Field] = &[
     Field {
         section: "entry",
@@ -25,50 +25,50 @@
         section: "entry",
         key: "callers",
         default: None,
-        expected: "an IP address and port, as 10.0.0.1:8080",
-        help: "Where it listens for callers and operators.",
+        expected: "an IP address and port, such as 10.0.0.1:8080",
+        help: "The address for callers and operators.",
     },
     Field {
         section: "entry",
         key: "peers",
         default: None,
-        expected: "an IP address and port, as 10.0.0.1:8081",
-        help: "Where it listens for other processes of the system.",
+        expected: "an IP address and port, such as 10.0.0.1:8081",
+        help: "The address for other processes of the system.",
     },
     Field {
         section: "platform",
         key: "store",
         default: None,
-        expected: "a URL, as http://10.0.0.9:2379",
+        expected: "a URL, such as http://10.0.0.9:2379",
         help: "The JSON gateway of the platform's store.",
     },
     Field {
         section: "platform",
         key: "vms",
         default: None,
-        expected: "a URL, as http://10.0.0.9:8000",
+        expected: "a URL, such as http://10.0.0.9:8000",
         help: "The platform's list of live and leaving VMs.",
     },
     Field {
         section: "site",
         key: "cell",
         default: Some("site"),
-        expected: "a name that all entries of the cell have",
-        help: "The halls that one planner decides on.",
+        expected: "the name that all entries of the cell share",
+        help: "The name of the cell: the halls of one planner.",
     },
     Field {
         section: "site",
         key: "accelerators",
         default: Some("8"),
         expected: "1 to 64 accelerators a worker",
-        help: "How many accelerators each worker has.",
+        help: "The number of accelerators of each worker.",
     },
     Field {
         section: "policy",
         key: "weight_fragmentation",
         default: Some("0.5"),
-        expected: "0 to 1, 0 for early completion alone",
-        help: "How much whole free workers count.",
+        expected: "0 to 1, 0 to weigh only early completion",
+        help: "The weight of keeping whole workers free.",
     },
     Field {
         section: "operators",
@@ -79,16 +79,17 @@
     },
 ];
 
-/// Returns the file of an entry's settings, to be printed.
+/// Reads the file of an entry's settings without converting the values, for
+/// printing.
 pub fn file(path: &Path) -> File {
     File::read(path, &[FIELDS, COMMON_FIELDS])
 }
 
-/// Reads an entry's settings.
+/// Reads and checks an entry's settings.
 ///
 /// # Errors
 ///
-/// Everything that is wrong with the file.
+/// All problems of the file.
 pub fn read(path: &Path) -> Result<(Config, Common), Error> {
     let mut file = file(path);
     let settings = parse(&mut file);
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,8 +1,9 @@
-//! Settings of the programs, in INI, checked as a whole at the start.
+//! Settings of the programs: an INI file that is checked as a whole at
+//! startup.
 //!
-//! A program declares its [`Field`]s; [`File::read`] reports every wrong or
-//! unknown key at once, with file, section, key, value and what was
-//! expected.
+//! A program declares its [`Field`]s. [`File`] collects every invalid or
+//! unknown key, so that all of them are reported at once, each with file,
+//! section, key, value and the expected value.
 
 pub mod agent;
 pub mod entry;
@@ -16,23 +17,23 @@
 
 use crate::log::Format;
 
-/// A setting that a program knows.
+/// The declaration of a setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Field {
-    /// Its section.
+    /// The section of the file.
     pub section: &'static str,
-    /// Its key.
+    /// The key in the section.
     pub key: &'static str,
-    /// Its value where the file gives none; `None` if it must.
+    /// The value if the file has none; `None` if the setting is required.
     pub default: Option<&'static str>,
-    /// Which values are allowed, with their unit.
+    /// The allowed values, with their unit.
     pub expected: &'static str,
-    /// What it is for.
+    /// What the setting is for.
     pub help: &'static str,
 }
 
 impl Field {
-    /// Returns a field.
+    /// Returns the declaration of a setting.
     pub const fn new(
         section: &'static str,
         key: &'static str,
@@ -50,59 +51,59 @@
     }
 }
 
-/// Settings that every program has.
+/// The settings that every program has.
 pub const COMMON_FIELDS: &[Field] = &[
     Field {
         section: "log",
         key: "format",
         default: Some("text"),
         expected: "text or json",
-        help: "How lines of the log are written.",
+        help: "The format of log lines.",
     },
     Field {
         section: "log",
         key: "level",
         default: Some("info"),
         expected: "error, warning, info, debug or trace",
-        help: "The least weight of a line that is written.",
+        help: "The least severe level of log lines that are written.",
     },
     Field {
         section: "telemetry",
         key: "otlp",
         default: Some(""),
-        expected: "a URL, or nothing for no export",
-        help: "Where metrics and traces are sent, by OTLP over HTTP.",
+        expected: "a URL, or empty for no export",
+        help: "The collector of metrics and traces, by OTLP over HTTP.",
     },
     Field {
         section: "telemetry",
         key: "page",
         default: Some(""),
-        expected: "an IP address and port, or nothing for no page",
-        help: "Where the local page of metrics is, at /metrics.",
+        expected: "an IP address and port, or empty for no page",
+        help: "The address of the local metrics page, at /metrics.",
     },
 ];
 
-/// Where a setting comes from.
+/// Where the value of a setting comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The file.
+    /// The settings file.
     File,
-    /// The program.
+    /// The default of its declaration.
     Default,
 }
 
-/// A setting that is not as it should be.
+/// An invalid, missing or unknown setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The file.
+    /// The path of the settings file.
     pub file: PathBuf,
-    /// The section.
+    /// The section of the setting, empty if the file cannot be read.
     pub section: String,
-    /// The key.
+    /// The key of the setting, empty if the file cannot be read.
     pub key: String,
-    /// The value.
+    /// The value as written, empty if it is missing.
     pub value: String,
-    /// What was expected.
+    /// A description of the values that are allowed.
     pub expected: String,
 }
 
@@ -120,24 +121,24 @@
     }
 }
 
-/// Everything that is wrong with a settings file.
+/// All problems of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct Error {
-    /// The problems, in the order of the declarations.
+    /// The problems: unknown keys first, then in the order of declaration.
     pub problems: Vec<Problem>,
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, problem) in self.problems.iter().enumerate() {
-            let end = if at == 0 { "" } else { "\n" };
-            write!(f, "{end}{problem}")?;
+        for (index, problem) in self.problems.iter().enumerate() {
+            let separator = if index == 0 { "" } else { "\n" };
+            write!(f, "{separator}{problem}")?;
         }
         Ok(())
     }
 }
 
-/// The values of a program's settings, and what is wrong with them.
+/// The values of a program's settings file, and its problems.
 #[derive(Clone, Debug)]
 pub struct File {
     path: PathBuf,
@@ -147,7 +148,8 @@
 }
 
 impl File {
-    /// Reads a file; what is wrong is kept until [`File::finish`].
+    /// Reads a file with the given declarations. Problems are collected for
+    /// [`File::finish`].
     pub fn read(path: &Path, fields: &[&[Field]]) -> File {
         let mut file = File {
             path: path.to_owned(),
@@ -179,6 +181,7 @@
         file
     }
 
+    /// Adds a problem for each key that no declaration names.
     fn reject_unknown_keys(&mut self, ini: &ini::Ini) {
         for (section, properties) in ini.iter() {
             let section = section.unwrap_or("");
@@ -216,7 +219,7 @@
         });
     }
 
-    /// Takes note that a value does not go with others.
+    /// Adds a problem for a value that conflicts with other settings.
     pub fn reject(
         &mut self,
         section: &'static str,
@@ -228,15 +231,15 @@
         self.problem(section, key, &text, expected);
     }
 
-    /// Returns a value that `read` accepts.
+    /// Parses a value with `parse`; adds a problem if it returns `None`.
     pub fn value<T>(
         &mut self,
         section: &'static str,
         key: &'static str,
-        read: impl FnOnce(&str) -> Option<T>,
+        parse: impl FnOnce(&str) -> Option<T>,
     ) -> Option<T> {
         let (text, _) = self.values.get(&(section, key))?.clone();
-        let value = read(&text);
+        let value = parse(&text);
         if value.is_none() {
             let expected = self
                 .fields
@@ -248,17 +251,17 @@
         value
     }
 
-    /// Returns a value that is not empty.
+    /// Returns a non-empty text.
     pub fn text(
         &mut self,
         section: &'static str,
         key: &'static str,
     ) -> Option<String> {
-        let read = |text: &str| (!text.is_empty()).then(|| text.to_owned());
-        self.value(section, key, read)
+        let parse = |text: &str| (!text.is_empty()).then(|| text.to_owned());
+        self.value(section, key, parse)
     }
 
-    /// Returns an address to listen on.
+    /// Returns an IP address and port.
     pub fn address(
         &mut self,
         section: &'static str,
@@ -267,7 +270,7 @@
         self.value(section, key, |text| text.parse().ok())
     }
 
-    /// Returns an address, or `Some(None)` where the value is empty.
+    /// Returns an IP address and port, or `Some(None)` if the value is empty.
     pub fn optional_address(
         &mut self,
         section: &'static str,
@@ -279,22 +282,22 @@
         }
     }
 
-    /// Returns a number from `least` to `most`.
+    /// Returns a number from `min` to `max`, both included.
     pub fn number<T: FromStr + PartialOrd>(
         &mut self,
         section: &'static str,
         key: &'static str,
-        least: T,
-        most: T,
+        min: T,
+        max: T,
     ) -> Option<T> {
-        let read = |text: &str| {
+        let parse = |text: &str| {
             let value: T = text.parse().ok()?;
-            (least <= value && value <= most).then_some(value)
+            (min <= value && value <= max).then_some(value)
         };
-        self.value(section, key, read)
+        self.value(section, key, parse)
     }
 
-    /// Returns a URL.
+    /// Returns an `http` URL without trailing slashes.
     pub fn url(
         &mut self,
         section: &'static str,
@@ -302,13 +305,13 @@
     ) -> Option<String> {
         self.value(section, key, |text| {
             let url: hyper::Uri = text.parse().ok()?;
-            let good =
+            let valid =
                 url.scheme_str() == Some("http") && url.host().is_some();
-            good.then(|| text.trim_end_matches('/').to_owned())
+            valid.then(|| text.trim_end_matches('/').to_owned())
         })
     }
 
-    /// Returns the settings that every program has.
+    /// Returns the values of [`COMMON_FIELDS`].
     pub fn common(&mut self) -> Option<Common> {
         let format = self.value("log", "format", |text| match text {
             "text" => Some(Format::Text),
@@ -329,11 +332,11 @@
         })
     }
 
-    /// Returns `value`, unless anything was wrong.
+    /// Returns `value` if there were no problems.
     ///
     /// # Errors
     ///
-    /// Everything that was wrong, if anything was.
+    /// All problems of the file.
     pub fn finish<T>(self, value: Option<T>) -> Result<T, Error> {
         match value {
             Some(value) if self.problems.is_empty() => Ok(value),
@@ -343,8 +346,8 @@
         }
     }
 
-    /// Returns every setting with its value and where it comes from, as an
-    /// INI file that would give the same.
+    /// Returns every setting with its value as an equivalent INI file.
+    /// Comments mark defaults and missing settings.
     pub fn to_ini(&self) -> String {
         let mut text = String::new();
         let mut section = "";
@@ -368,15 +371,15 @@
     }
 }
 
-/// Settings that every program has.
+/// The values of the settings that every program has.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Common {
-    /// How lines of the log are written.
+    /// The format of log lines.
     pub format: Format,
-    /// The least weight of a line that is written.
+    /// The least severe level of log lines that are written.
     pub level: slog::Level,
-    /// Where metrics and traces are sent.
+    /// The URL of the collector of metrics and traces; `None` for no export.
     pub otlp: Option<String>,
-    /// Where the local page of metrics is.
+    /// The address of the local metrics page; `None` for no page.
     pub page: Option<SocketAddr>,
 }
--- a/src/store/api.rs
+++ b/src/store/api.rs
@@ -1,13 +1,13 @@
-//! The messages of the store's JSON gateway.
+//! Messages of the JSON gateway of an etcd v3 store.
 //!
-//! The names and the encoding are etcd's: numbers of 64 bits are strings,
-//! keys and values are in base64, and fields with their default value may
-//! be missing.
+//! Names and encoding are those of etcd: 64-bit integers are strings, keys
+//! and values are in base64, and fields with their default value may be
+//! absent.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Numbers of 64 bits as strings.
+/// Serializes 64-bit integers as strings.
 pub mod int64 {
     use serde::Deserialize;
     use serde::Deserializer;
@@ -15,12 +15,12 @@
 
     #[derive(Deserialize)]
     #[serde(untagged)]
-    enum Either {
+    enum StringOrNumber {
         Number(i64),
         Text(String),
     }
 
-    /// Writes a number as a string.
+    /// Serializes an integer as a string.
     pub fn serialize<S: Serializer>(
         value: &i64,
         to: S,
@@ -28,20 +28,20 @@
         to.collect_str(value)
     }
 
-    /// Reads a number from a string or a number.
+    /// Deserializes an integer from a JSON string or number.
     pub fn deserialize<'de, D: Deserializer<'de>>(
         from: D,
     ) -> Result<i64, D::Error> {
-        match Either::deserialize(from)? {
-            Either::Number(value) => Ok(value),
-            Either::Text(text) => {
+        match StringOrNumber::deserialize(from)? {
+            StringOrNumber::Number(value) => Ok(value),
+            StringOrNumber::Text(text) => {
                 text.parse().map_err(serde::de::Error::custom)
             }
         }
     }
 }
 
-/// Bytes in base64.
+/// Serializes bytes as base64 strings.
 pub mod base64 {
     use base64::engine::general_purpose::STANDARD;
     use base64::Engine;
@@ -49,7 +49,7 @@
     use serde::Deserializer;
     use serde::Serializer;
 
-    /// Writes bytes in base64.
+    /// Encodes bytes as a base64 string.
     pub fn serialize<S: Serializer>(
         value: &[u8],
         to: S,
@@ -57,7 +57,7 @@
         to.serialize_str(&STANDARD.encode(value))
     }
 
-    /// Reads bytes from base64.
+    /// Decodes bytes from a base64 string.
     pub fn deserialize<'de, D: Deserializer<'de>>(
         from: D,
     ) -> Result<Vec<u8>, D::Error> {
@@ -66,11 +66,11 @@
     }
 }
 
-/// What every answer starts with.
+/// The header of every response.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Header {
-    /// The store's revision.
+    /// The store's revision when it handled the request.
     #[serde(with = "int64")]
     pub revision: i64,
 }
@@ -85,51 +85,51 @@
     /// The revision at which the key was created.
     #[serde(with = "int64")]
     pub create_revision: i64,
-    /// The revision of its last change.
+    /// The revision of the last write to the key.
     #[serde(with = "int64")]
     pub mod_revision: i64,
-    /// How often it was changed since it was created.
+    /// The number of writes since the key was created.
     #[serde(with = "int64")]
     pub version: i64,
     /// The value.
     #[serde(with = "base64")]
     pub value: Vec<u8>,
-    /// The lease it hangs on, 0 for none.
+    /// The lease that the key is attached to, 0 for none.
     #[serde(with = "int64")]
     pub lease: i64,
 }
 
-/// Asks for keys.
+/// A request to read a range of keys.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeRequest {
-    /// The first key.
+    /// The first key of the range.
     #[serde(with = "base64")]
     pub key: Vec<u8>,
-    /// The key after the last; empty for the first alone.
+    /// The end of the range, exclusive; empty to select `key` alone.
     #[serde(with = "base64")]
     pub range_end: Vec<u8>,
-    /// The most keys wanted, 0 for all.
+    /// The maximum number of keys to return, 0 for no limit.
     #[serde(with = "int64")]
     pub limit: i64,
-    /// Leaves out keys that were last changed before.
+    /// The revision before which a last write excludes a key.
     #[serde(with = "int64")]
     pub min_mod_revision: i64,
 }
 
-/// The keys asked for.
+/// The response to a [`RangeRequest`].
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeResponse {
     /// The header.
     pub header: Header,
-    /// The keys.
+    /// The keys in the range, up to the limit.
     pub kvs: Vec<KeyValue>,
-    /// Whether there are more past the limit.
+    /// Whether the range holds more keys than the limit.
     pub more: bool,
 }
 
-/// Writes a key.
+/// A request to write a key.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PutRequest {
@@ -139,12 +139,12 @@
     /// The value.
     #[serde(with = "base64")]
     pub value: Vec<u8>,
-    /// The lease it hangs on, 0 for none.
+    /// The lease that the key is attached to, 0 for none.
     #[serde(with = "int64")]
     pub lease: i64,
 }
 
-/// A key was written.
+/// The response to a [`PutRequest`].
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PutResponse {
@@ -152,59 +152,60 @@
     pub header: Header,
 }
 
-/// Deletes keys.
+/// A request to delete a range of keys.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DeleteRangeRequest {
-    /// The first key.
+    /// The first key of the range.
     #[serde(with = "base64")]
     pub key: Vec<u8>,
-    /// The key after the last; empty for the first alone.
+    /// The end of the range, exclusive; empty to select `key` alone.
     #[serde(with = "base64")]
     pub range_end: Vec<u8>,
 }
 
-/// Keys were deleted.
+/// The response to a [`DeleteRangeRequest`].
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DeleteRangeResponse {
     /// The header.
     pub header: Header,
-    /// How many.
+    /// The number of keys deleted.
     #[serde(with = "int64")]
     pub deleted: i64,
 }
 
-/// What a comparison looks at.
+/// The property of a key that a [`Compare`] tests.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize,
 )]
 pub enum Target {
-    /// How often the key was changed.
+    /// The number of writes since the key was created.
     #[default]
     #[serde(rename = "VERSION")]
     Version,
-    /// When the key was created.
+    /// The revision at which the key was created.
     #[serde(rename = "CREATE")]
     Create,
-    /// When the key was last changed.
+    /// The revision of the last write to the key.
     #[serde(rename = "MOD")]
     Mod,
 }
 
-/// How a comparison compares.
+/// The relation that a [`Compare`] requires between the key's property and
+/// the given value.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize,
 )]
 pub enum Relation {
-    /// They must be equal.
+    /// The property equals the value.
     #[default]
     #[serde(rename = "EQUAL")]
     Equal,
-    /// The key's must be greater.
+    /// The property is greater than the value.
     #[serde(rename = "GREATER")]
     Greater,
-    /// The key's must be less.
+    /// The property is less than the value.
     #[serde(rename = "LESS")]
     Less,
 }
@@ -216,182 +217,184 @@
     /// The key.
     #[serde(with = "base64")]
     pub key: Vec<u8>,
-    /// What is looked at.
+    /// The property that is compared.
     pub target: Target,
-    /// How it is compared.
+    /// The required relation.
     pub result: Relation,
-    /// What `VERSION` is compared with.
+    /// The value for target `VERSION`.
     #[serde(with = "int64")]
     pub version: i64,
-    /// What `CREATE` is compared with.
+    /// The value for target `CREATE`.
     #[serde(with = "int64")]
     pub create_revision: i64,
-    /// What `MOD` is compared with.
+    /// The value for target `MOD`.
     #[serde(with = "int64")]
     pub mod_revision: i64,
 }
 
-/// A step of a transaction.
+/// An operation of a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum RequestOp {
-    /// Asks for keys.
+    /// Reads a range of keys.
     #[serde(rename = "request_range")]
     Range(RangeRequest),
     /// Writes a key.
     #[serde(rename = "request_put")]
     Put(PutRequest),
-    /// Deletes keys.
+    /// Deletes a range of keys.
     #[serde(rename = "request_delete_range")]
     DeleteRange(DeleteRangeRequest),
 }
 
-/// The outcome of a step.
+/// The result of an operation of a transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ResponseOp {
-    /// The keys asked for.
+    /// The result of a read.
     #[serde(rename = "response_range")]
     Range(RangeResponse),
-    /// A key was written.
+    /// The result of a write.
     #[serde(rename = "response_put")]
     Put(PutResponse),
-    /// Keys were deleted.
+    /// The result of a delete.
     #[serde(rename = "response_delete_range")]
     DeleteRange(DeleteRangeResponse),
 }
 
-/// Conditions, and steps for when they all hold and when they do not.
+/// A transaction: conditions, and the operations that run depending on
+/// whether all of them hold.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnRequest {
     /// The conditions.
     pub compare: Vec<Compare>,
-    /// The steps if they hold.
+    /// The operations to run if all conditions hold.
     pub success: Vec<RequestOp>,
-    /// The steps if they do not.
+    /// The operations to run if any condition fails.
     pub failure: Vec<RequestOp>,
 }
 
-/// The outcome of a transaction.
+/// The response to a [`TxnRequest`].
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnResponse {
     /// The header.
     pub header: Header,
-    /// Whether the conditions held.
+    /// Whether all conditions held.
     pub succeeded: bool,
-    /// The outcomes of the steps.
+    /// The results of the operations, in their order.
     pub responses: Vec<ResponseOp>,
 }
 
-/// Asks for a lease.
+/// A request to grant a lease.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseGrantRequest {
-    /// For how many seconds.
+    /// The time to live, in seconds.
     #[serde(rename = "TTL", with = "int64")]
     pub ttl: i64,
-    /// Its number, 0 to let the store choose.
+    /// The ID of the lease, 0 to let the store choose one.
     #[serde(rename = "ID", with = "int64")]
     pub id: i64,
 }
 
-/// A lease.
+/// A granted lease.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseGrantResponse {
     /// The header.
     pub header: Header,
-    /// Its number.
+    /// The ID of the lease.
     #[serde(rename = "ID", with = "int64")]
     pub id: i64,
-    /// For how many seconds.
+    /// The time to live, in seconds.
     #[serde(rename = "TTL", with = "int64")]
     pub ttl: i64,
 }
 
-/// Asks for a lease to go on, or to end.
+/// A request to renew or revoke a lease.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseRequest {
-    /// Its number.
+    /// The ID of the lease.
     #[serde(rename = "ID", with = "int64")]
     pub id: i64,
 }
 
-/// A lease goes on, unless its time is 0: then it has ended.
+/// The response to a renewal. A time to live of 0 means that the lease has
+/// expired.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseKeepAlive {
-    /// The lease.
+    /// The renewed lease.
     pub result: LeaseGrantResponse,
 }
 
-/// Asks for changes.
+/// A request to watch keys for changes.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchRequest {
-    /// Which changes.
+    /// The watch to create.
     pub create_request: WatchCreate,
 }
 
-/// Which changes are asked for.
+/// The keys and the start of a watch.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchCreate {
-    /// The first key.
+    /// The first key of the range.
     #[serde(with = "base64")]
     pub key: Vec<u8>,
-    /// The key after the last.
+    /// The end of the range, exclusive.
     #[serde(with = "base64")]
     pub range_end: Vec<u8>,
-    /// From which revision on.
+    /// The first revision whose changes are sent.
     #[serde(with = "int64")]
     pub start_revision: i64,
 }
 
-/// A line of a watch.
+/// One line of the response stream of a watch.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchLine {
-    /// What it says.
+    /// The content of the line.
     pub result: WatchResponse,
 }
 
-/// Changes.
+/// A batch of changes to watched keys.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchResponse {
     /// The header.
     pub header: Header,
-    /// Whether the watch has just begun.
+    /// Whether this is the first response of the watch.
     pub created: bool,
-    /// Whether the watch has ended.
+    /// Whether the store has canceled the watch.
     pub canceled: bool,
-    /// The changes.
+    /// The changes, in the order of their revisions.
     pub events: Vec<WatchEvent>,
 }
 
-/// Whether a key was written or deleted.
+/// The kind of a change to a key.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize,
 )]
 pub enum WatchKind {
-    /// It was written.
+    /// The key was written.
     #[default]
     #[serde(rename = "PUT")]
     Put,
-    /// It was deleted.
+    /// The key was deleted.
     #[serde(rename = "DELETE")]
     Delete,
 }
 
-/// A change.
+/// A change to one key.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchEvent {
-    /// What happened to the key.
+    /// Whether the key was written or deleted.
     #[serde(rename = "type")]
     pub kind: WatchKind,
-    /// The key.
+    /// The key after the change; a deleted key has no value.
     pub kv: KeyValue,
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,4 +1,4 @@
-//! The client of the store.
+//! A client of the JSON gateway of an etcd v3 store.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -18,27 +18,29 @@
 use crate::store::Revision;
 use crate::telemetry::metrics;
 
-/// How long the store may say nothing to a call.
+/// The longest time without a byte of the response before a call fails.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How many keys one call asks for.
+/// The maximum number of keys that one range request asks for.
 const MAX_PAGE_KEYS: i64 = 500;
 
-/// A call that the store did not carry out, or may not have.
+/// A failed call of the store.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It has had no effect.
-    #[error("the store is not reached: {0}")]
+    /// The call did not reach the store and had no effect.
+    #[error("the store cannot be reached: {0}")]
     Unreached(http::Error),
-    /// It may have had its effect: only reading back tells.
-    #[error("the store's answer is lost: {0}")]
+    /// The response was lost. The call may have taken effect; only a read
+    /// can determine whether it did.
+    #[error("the response of the store was lost: {0}")]
     Lost(http::Error),
-    /// The changes asked for are no longer kept: read all anew.
-    #[error("the store's history after revision {0} is gone")]
+    /// The store no longer holds the changes that were asked for. The keys
+    /// have to be listed again.
+    #[error("the store no longer holds the changes after revision {0}")]
     Forgotten(Revision),
 }
 
 impl Error {
-    /// Returns whether the call was refused since too many are made.
+    /// Returns whether the store refused the call because of its rate limit.
     pub fn is_throttled(&self) -> bool {
         match self {
             Error::Unreached(http::Error::Unexpected { status, .. }) => {
@@ -68,9 +70,9 @@
     /// The value.
     #[serde(with = "api::base64")]
     pub value: Vec<u8>,
-    /// The revision at which it was created.
+    /// The revision at which the key was created.
     pub created: Revision,
-    /// The revision of its last change.
+    /// The revision of the last write to the key.
     pub modified: Revision,
 }
 
@@ -85,35 +87,36 @@
     }
 }
 
-/// Keys and the revision at which they were read.
+/// Keys with a common prefix.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
-    /// The store's revision.
+    /// The store's revision at the start of the read. A watch from the next
+    /// revision on misses no change.
     pub revision: Revision,
     /// The keys.
     pub items: Vec<Item>,
 }
 
-/// A condition on a key.
+/// A condition of a conditional write.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Compare {
-    /// It was created at this revision; 0 if it must not be there.
+    /// The key was created at this revision; 0 if it must not exist.
     Created(String, Revision),
-    /// It was last changed at this revision; 0 if it must not be there.
+    /// The key was last written at this revision; 0 if it must not exist.
     Modified(String, Revision),
 }
 
-/// A write.
+/// A write to one key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Mutation {
-    /// Writes a key that hangs on a lease, 0 for none.
+    /// Writes a value and attaches the key to a lease, 0 for none.
     Value(String, #[serde(with = "api::base64")] Vec<u8>, LeaseId),
     /// Deletes a key.
     Delete(String),
 }
 
 impl Mutation {
-    /// Returns how many bytes it sends, about.
+    /// Returns the size of key and value in bytes.
     pub fn payload_bytes(&self) -> usize {
         match self {
             Mutation::Value(key, value, _) => key.len() + value.len(),
@@ -122,21 +125,22 @@
     }
 }
 
-/// The outcome of writes under conditions.
+/// The outcome of a conditional write.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Swap {
-    /// All conditions held, and all was written at this revision.
+    /// All conditions held, and all writes took effect at this revision.
     Written(Revision),
-    /// A condition did not hold; these are the keys it was about.
+    /// A condition failed and nothing was written. Holds the present state
+    /// of those keys of the conditions that exist.
     Refused(Vec<Item>),
 }
 
-/// A change to a key.
+/// A change to one key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// It was written.
+    /// The key was written.
     Put(Item),
-    /// It was deleted, at this revision.
+    /// The key was deleted at this revision.
     Deleted(String, Revision),
 }
 
@@ -158,16 +162,16 @@
         }
     }
 
-    /// Returns how many calls were made.
+    /// Returns the number of calls made by this client and its clones.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Returns a key, if it is there.
+    /// Reads a key. Returns `None` if the key does not exist.
     ///
     /// # Errors
     ///
-    /// If the store does not answer.
+    /// If the store cannot be reached or its response is lost.
     pub async fn get(&self, key: &str) -> Result<Option<Item>, Error> {
         let request = api::RangeRequest {
             key: key.into(),
@@ -178,12 +182,12 @@
         Ok(range.kvs.into_iter().next().map(Item::from))
     }
 
-    /// Returns all keys that start with `prefix` and were changed at or
-    /// after `since`.
+    /// Lists the keys that start with `prefix` and were last written at or
+    /// after revision `since`.
     ///
     /// # Errors
     ///
-    /// If the store does not answer.
+    /// If the store cannot be reached or its response is lost.
     pub async fn list(
         &self,
         prefix: &str,
@@ -201,7 +205,7 @@
             let page: api::RangeResponse =
                 self.post("/v3/kv/range", &request).await?;
             // Later pages may hold later changes. The revision of the first
-            // is kept, so that a watch from there on misses nothing.
+            // page is kept, so that a watch from there on misses none.
             if listing.revision == 0 {
                 listing.revision = page.header.revision;
             }
@@ -216,19 +220,19 @@
         }
     }
 
-    /// Writes `puts` if all of `conditions` hold, all or nothing.
+    /// Performs all of `mutations` atomically if all of `conditions` hold.
     ///
     /// # Errors
     ///
-    /// If the store does not answer.
+    /// If the store cannot be reached or its response is lost.
     pub async fn swap(
         &self,
         conditions: &[Compare],
-        puts: Vec<Mutation>,
+        mutations: Vec<Mutation>,
     ) -> Result<Swap, Error> {
         let request = api::TxnRequest {
             compare: conditions.iter().map(compare).collect(),
-            success: puts.into_iter().map(request_op).collect(),
+            success: mutations.into_iter().map(request_op).collect(),
             failure: conditions.iter().map(read_key).collect(),
         };
         let txn: api::TxnResponse = self.post("/v3/kv/txn", &request).await?;
@@ -242,11 +246,11 @@
         Ok(Swap::Refused(items.map(Item::from).collect()))
     }
 
-    /// Takes a lease for `ttl`, in whole seconds.
+    /// Grants a lease for `ttl`, rounded down to whole seconds, at least 1.
     ///
     /// # Errors
     ///
-    /// If the store does not answer.
+    /// If the store cannot be reached or its response is lost.
     pub async fn grant(&self, ttl: Duration) -> Result<LeaseId, Error> {
         let request = api::LeaseGrantRequest {
             ttl: ttl.as_secs().max(1) as i64,
@@ -257,23 +261,23 @@
         Ok(lease.id)
     }
 
-    /// Prolongs a lease; returns whether it was still there.
+    /// Renews a lease. Returns `false` if the lease has expired.
     ///
     /// # Errors
     ///
-    /// If the store does not answer.
+    /// If the store cannot be reached or its response is lost.
     pub async fn keep_alive(&self, lease: LeaseId) -> Result<bool, Error> {
         let request = api::LeaseRequest { id: lease };
-        let answer: api::LeaseKeepAlive =
+        let response: api::LeaseKeepAlive =
             self.post("/v3/lease/keepalive", &request).await?;
-        Ok(answer.result.ttl > 0)
+        Ok(response.result.ttl > 0)
     }
 
-    /// Gives a lease up, with the keys that hang on it.
+    /// Revokes a lease and deletes the keys attached to it.
     ///
     /// # Errors
     ///
-    /// If the store does not answer.
+    /// If the store cannot be reached or its response is lost.
     pub async fn revoke(&self, lease: LeaseId) -> Result<(), Error> {
         let request = api::LeaseRequest { id: lease };
         let _: serde_json::Value =
@@ -281,11 +285,12 @@
         Ok(())
     }
 
-    /// Watches the keys that start with `prefix`, from a revision on.
+    /// Watches the keys that start with `prefix` for changes at revision
+    /// `from` or later.
     ///
     /// # Errors
     ///
-    /// If the store does not answer.
+    /// If the store cannot be reached or its response is lost.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -337,9 +342,9 @@
     async fn swap(
         &self,
         conditions: &[Compare],
-        puts: Vec<Mutation>,
+        mutations: Vec<Mutation>,
     ) -> Result<Swap, Error> {
-        Client::swap(self, conditions, puts).await
+        Client::swap(self, conditions, mutations).await
     }
 
     async fn grant(&self, ttl: Duration) -> Result<LeaseId, Error> {
@@ -381,7 +386,7 @@
 }
 
 impl Change {
-    /// Returns the key that it is of.
+    /// Returns the changed key.
     pub fn key(&self) -> &str {
         match self {
             Change::Put(item) => &item.key,
@@ -389,7 +394,7 @@
         }
     }
 
-    /// Returns at which revision it was made.
+    /// Returns the revision of the change.
     pub fn revision(&self) -> Revision {
         match self {
             Change::Put(item) => item.modified,
@@ -398,17 +403,18 @@
     }
 }
 
-/// A stream of changes.
+/// A stream of changes to watched keys.
 pub struct Watch {
     stream: http::Stream,
 }
 
 impl Watch {
-    /// Returns the next changes; none at all if the watch has just begun.
+    /// Waits for the next batch of changes. The first batch of a watch is
+    /// empty.
     ///
     /// # Errors
     ///
-    /// If the watch has broken: changes may have been missed.
+    /// If the watch was interrupted. Changes may have been missed.
     pub async fn next(&mut self) -> Result<Vec<Change>, Error> {
         let line = self.stream.line().await?;
         let parsed = line
@@ -417,7 +423,7 @@
         let Some(api::WatchLine { result }) = parsed else {
             return Err(Error::Lost(http::Error::Lost {
                 url: "/v3/watch".to_owned(),
-                reason: "the watch has ended".to_owned(),
+                reason: "the watch was closed".to_owned(),
             }));
         };
         Ok(result.events.into_iter().map(change).collect())
@@ -475,7 +481,7 @@
     }
 }
 
-/// Returns the first key after all that start with `prefix`.
+/// Returns the exclusive end of the range of keys that start with `prefix`.
 fn prefix_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,7 +1,7 @@
-//! The platform's key-value store: compare-and-swap, leases, watches.
+//! The platform's key-value store: conditional writes, leases and watches.
 //!
-//! It is met by the JSON gateway that etcd publishes for its version 3
-//! protocol ([`api`]). [`Client`] is the one seam towards it.
+//! [`Store`] is the interface that the rest of the crate needs. [`Client`]
+//! implements it over the JSON gateway of the etcd v3 protocol ([`api`]).
 
 pub mod api;
 mod client;
@@ -19,60 +19,61 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// What the product needs of a store; each platform's client offers it.
+/// A key-value store. Each platform's client implements this trait.
 ///
-/// An [`Error::Unreached`] says that the call had no effect, any other that
-/// it may have had, or may yet have.
+/// An [`Error::Unreached`] means that the call had no effect. After any other
+/// error the call may have taken effect, or may still do so.
 ///
-/// A call ends by itself once the store has been silent for some time, and
-/// not while an answer is coming: who puts a limit of its own on a call whose
-/// answer others make larger and larger, never gets it over a narrow link.
+/// Implementations end a call once the store has sent nothing for some time,
+/// but not while a response is arriving. A caller must not put a total limit
+/// on a call whose response grows with the data of others: over a narrow
+/// link such a call would never succeed.
 pub trait Store: Clone + Send + Sync + 'static {
-    /// Returns whether calls go directly to the store, and not by another
-    /// process.
+    /// Returns whether calls go to the store directly rather than through
+    /// another process.
     fn is_direct(&self) -> bool {
         true
     }
 
-    /// Returns a key, if it is there.
+    /// Reads a key. Returns `None` if the key does not exist.
     fn get(
         &self,
         key: &str,
     ) -> impl Future<Output = Result<Option<Item>, Error>> + Send;
 
-    /// Returns all keys that start with `prefix`.
+    /// Lists the keys that start with `prefix`.
     fn list(
         &self,
         prefix: &str,
     ) -> impl Future<Output = Result<Listing, Error>> + Send;
 
-    /// Writes `puts` if all of `conditions` hold, all or nothing.
+    /// Performs all of `mutations` atomically if all of `conditions` hold.
     fn swap(
         &self,
         conditions: &[Compare],
-        puts: Vec<Mutation>,
+        mutations: Vec<Mutation>,
     ) -> impl Future<Output = Result<Swap, Error>> + Send;
 
-    /// Takes a lease for `ttl`.
+    /// Grants a lease for `ttl`.
     fn grant(
         &self,
         ttl: Duration,
     ) -> impl Future<Output = Result<LeaseId, Error>> + Send;
 
-    /// Prolongs a lease; returns whether it was still there.
+    /// Renews a lease. Returns `false` if the lease has expired.
     fn keep_alive(
         &self,
         lease: LeaseId,
     ) -> impl Future<Output = Result<bool, Error>> + Send;
 
-    /// Gives a lease up, with the keys that hang on it.
+    /// Revokes a lease and deletes the keys attached to it.
     fn revoke(
         &self,
         lease: LeaseId,
     ) -> impl Future<Output = Result<(), Error>> + Send;
 
-    /// Waits up to `wait` for changes after a revision to the keys that
-    /// start with `prefix`; returns none if there were none.
+    /// Waits up to `wait` for changes after revision `after` to the keys that
+    /// start with `prefix`. Returns an empty batch if there were none.
     fn changes(
         &self,
         prefix: &str,
@@ -81,18 +82,18 @@
     ) -> impl Future<Output = Result<Changes, Error>> + Send;
 }
 
-/// Changes, and the revision up to which they are whole.
+/// Changes, and the revision up to which they are complete.
 #[derive(
     Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize,
 )]
 pub struct Changes {
-    /// From which revision to go on.
+    /// The revision after which the next call continues.
     pub revision: Revision,
-    /// The changes, in their order.
+    /// The changes, in the order of their revisions.
     pub changes: Vec<Change>,
 }
 
-/// The number of a lease.
+/// The ID of a lease.
 pub type LeaseId = i64;
-/// The number of a write, counted over the whole store.
+/// The number of a write transaction, counted over the whole store.
 pub type Revision = i64;
