--- a/src/explain/cause.rs
+++ b/src/explain/cause.rs
@@ -1,68 +1,69 @@
-//! What cost a job its time.
+//! Why a job was late, refused or failed.
 
 use std::fmt;
 
-/// Why a job was late, refused or failed.
+/// The main cause of a late, refused or failed job.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// Its key was none, or was taken away.
+    /// The caller's key is unknown or was revoked.
     Key,
-    /// It asked for what there is not, or in a way that is not understood.
+    /// The request was invalid or asked for something that does not exist.
     Request,
-    /// The store did not take it, or did not say so.
+    /// The store did not accept the job, or did not confirm it.
     Store,
-    /// No planner took it in.
+    /// No planner admitted the job.
     Planner,
-    /// No worker could be used.
+    /// No worker was usable.
     Worker,
-    /// There was no room.
+    /// No room was free.
     Room,
-    /// No rack had room where it is not slow.
+    /// No rack had room where the job runs at full speed.
     Rack,
     /// Runs failed.
     Failed,
     /// Runs were stopped for urgent work.
     Displaced,
-    /// Runs were lost with their workers.
+    /// Runs were lost together with their workers.
     Gone,
-    /// Runs of gangs broke, or waited for members that did not come.
+    /// Runs of a gang ended because a member failed or did not join.
     Broken,
-    /// Runs stood still until they were stopped.
+    /// Runs made no progress and were stopped.
     Stuck,
     /// A run took longer than expected.
     Slow,
-    /// Its end was not written down at once.
+    /// The end of the job was recorded late.
     Noting,
-    /// Nothing of the above: what it asks for takes that long.
+    /// None of the above: the work itself takes that long.
     Work,
 }
 
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Cause::Key => "its key is none",
-            Cause::Request => "what it asked is not understood",
-            Cause::Store => "the store did not take it",
-            Cause::Planner => "no planner took it in",
-            Cause::Worker => "no worker could be used",
-            Cause::Room => "there was no room",
-            Cause::Rack => "no near rack had room",
+            Cause::Key => "the key is not valid",
+            Cause::Request => "the request is not valid",
+            Cause::Store => "the store did not accept the job",
+            Cause::Planner => "no planner admitted the job",
+            Cause::Worker => "no worker was usable",
+            Cause::Room => "no room was free",
+            Cause::Rack => "no nearby rack had room",
             Cause::Failed => "runs failed",
             Cause::Displaced => "runs were stopped for urgent work",
             Cause::Gone => "runs were lost with their workers",
-            Cause::Broken => "runs of a gang broke",
-            Cause::Stuck => "a run stood still",
+            Cause::Broken => "runs of a gang failed as a whole",
+            Cause::Stuck => "a run made no progress",
             Cause::Slow => "a run took longer than expected",
-            Cause::Noting => "its end was not written at once",
-            Cause::Work => "its work takes that long",
+            Cause::Noting => "the end was recorded late",
+            Cause::Work => "the work itself takes that long",
         })
     }
 }
 
-/// Returns the cause that a run's end, other than done, stands for.
+/// Returns the cause for a run that did not end as done. `how` and `why` are
+/// the values of the planner's log lines about the end and the stop.
 pub fn of_end(how: &str, why: Option<&str>) -> Cause {
     match (how, why) {
         (_, Some("room for urgent work")) => Cause::Displaced,
@@ -73,7 +74,7 @@
     }
 }
 
-/// Returns the cause that a status stands for which refuses a request.
+/// Returns the cause for a request that was answered with an error status.
 pub fn of_status(status: i64) -> Cause {
     match status {
         401 => Cause::Key,
@@ -82,7 +83,7 @@
     }
 }
 
-/// Returns the cause that a wait stands for.
+/// Returns the cause for a wait. `on` is the value of the log line.
 pub fn of_wait(on: &str) -> Cause {
     match on {
         "a worker" => Cause::Worker,
--- a/src/explain/history.rs
+++ b/src/explain/history.rs
@@ -1,4 +1,4 @@
-//! All that logs hold of one job, and what it comes to.
+//! The log lines of one job, and the outcome and cause derived from them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,43 +8,45 @@
 use crate::explain::cause::Cause;
 use crate::explain::line::Line;
 
-/// How much longer than expected a run may take before that is a cause.
-const SLOW: f64 = 1.25;
+/// The factor over the expected run time beyond which a run counts as slow.
+const SLOW_RUN_FACTOR: f64 = 1.25;
 
-/// How a job ended for its caller.
+/// The outcome of a job for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Within its objective.
+    /// The job succeeded within its objective.
     InTime,
-    /// Later than that.
+    /// The job succeeded after its objective.
     Late,
-    /// With a failure.
+    /// The job failed.
     Failed,
-    /// By its caller's will.
+    /// The caller cancelled the job.
     Cancelled,
-    /// It was never accepted.
+    /// The job was never accepted.
     Refused,
-    /// The logs do not say.
+    /// The logs hold no end of the job.
     Open,
 }
 
-/// What a story comes to.
+/// The outcome of a job and its main cause.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 pub struct Verdict {
-    /// How it ended.
+    /// How the job ended.
     pub end: Outcome,
-    /// What cost it the most time.
+    /// The cause that cost the job the most time.
     pub cause: Cause,
-    /// How long that was, in ms.
+    /// The time that the cause cost, in milliseconds.
     pub cost_ms: u64,
-    /// From the caller's first request to the end, in ms.
+    /// The time from the caller's first request to the end, or to the last
+    /// line if there is no end, in milliseconds.
     pub took_ms: u64,
-    /// Within which it was to end, in ms, as far as its runs tell.
+    /// The time within which the job was to end, in milliseconds; 0 if the
+    /// logs do not hold it.
     pub objective_ms: u64,
 }
 
-/// The lines about one job.
+/// The log lines of one job.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     lines: Vec<Line>,
@@ -55,50 +57,56 @@
         self.lines.push(line);
     }
 
-    /// Returns its lines in order.
+    /// Returns the lines in the order of their times.
     pub fn lines(&self) -> Vec<&Line> {
         let mut lines: Vec<&Line> = self.lines.iter().collect();
         lines.sort_by_key(|line| line.written_at);
         lines
     }
 
-    /// Returns when the caller first asked.
+    /// Returns the time of the first request, or `None` without lines. The line
+    /// about a request is written at its end and holds its duration.
     pub fn began(&self) -> Option<SystemTime> {
-        let asked = |line: &Line| {
-            let took = line.time("ms").unwrap_or_default();
+        let request_time = |line: &Line| {
+            let took = line.duration("ms").unwrap_or_default();
             line.written_at.checked_sub(took).unwrap_or(line.written_at)
         };
-        self.lines.iter().map(asked).min()
+        self.lines.iter().map(request_time).min()
     }
 
-    /// Returns what it comes to.
+    /// Returns the outcome of the job and its main cause.
     pub fn verdict(&self) -> Verdict {
         let lines = self.lines();
         let began = self.began().unwrap_or(SystemTime::UNIX_EPOCH);
-        let over = lines.iter().find(|line| line.message.ends_with(OVER));
-        let ended =
-            over.or(lines.last()).map_or(began, |line| line.written_at);
+        let end_line = lines
+            .iter()
+            .find(|line| line.message.ends_with(JOB_ENDED_SUFFIX));
+        let ended = end_line
+            .or(lines.last())
+            .map_or(began, |line| line.written_at);
         let took = ended.duration_since(began).unwrap_or_default();
-        let objective = over.and_then(|line| line.time("objective_ms"));
+        let objective =
+            end_line.and_then(|line| line.duration("objective_ms"));
         let objective = objective.unwrap_or_default();
         let accepted = lines
             .iter()
             .any(|line| line.text("outcome") == Some("Accepted"));
-        let end = match over.and_then(|line| line.text("outcome")) {
+        let end = match end_line.and_then(|line| line.text("outcome")) {
             Some("Succeeded") if took <= objective => Outcome::InTime,
             Some("Succeeded") => Outcome::Late,
             Some("Failed") => Outcome::Failed,
             Some(_) => Outcome::Cancelled,
-            None if accepted || taken_in(&lines).is_some() => Outcome::Open,
+            None if accepted || admission(&lines).is_some() => Outcome::Open,
             None => Outcome::Refused,
         };
         let costs = costs(&lines, began);
-        let dearest = costs.iter().max_by_key(|(_, cost)| **cost);
-        // What cost little of what it is late by is not why it is late.
+        let costliest = costs.iter().max_by_key(|(_, cost)| **cost);
+        // A cause that explains less than a quarter of the delay is not the
+        // reason for it.
         let late = took.saturating_sub(objective);
-        let (cause, cost) = match dearest {
+        let (cause, cost) = match costliest {
             _ if end == Outcome::Refused => (refusal(&lines), took),
-            // What else its units went through did not end it.
+            // Other causes delayed the job but did not make it fail.
             _ if end == Outcome::Failed => (Cause::Failed, took),
             Some((_, cost)) if end == Outcome::Late && *cost < late / 4 => {
                 (Cause::Work, late)
@@ -116,33 +124,35 @@
     }
 }
 
-/// The end of the line that says that a job has ended.
-const OVER: &str = "a job has ended";
+/// The end of the message about the end of a job.
+const JOB_ENDED_SUFFIX: &str = "a job has ended";
 
-/// Returns why a request was refused: by the last answer to it.
+/// Returns the cause of a refused request: the status of its last answer.
 fn refusal(lines: &[&Line]) -> Cause {
     let statuses = lines.iter().rev();
     let mut statuses = statuses.filter_map(|line| line.number("status"));
     statuses.next().map_or(Cause::Store, cause::of_status)
 }
 
-fn taken_in<'a>(lines: &[&'a Line]) -> Option<&'a Line> {
+/// Returns the line about the admission of the job by a planner.
+fn admission<'a>(lines: &[&'a Line]) -> Option<&'a Line> {
     let mut lines = lines.iter();
     lines.find(|l| l.message.ends_with("is taken in")).copied()
 }
 
-/// What one unit's lines have shown so far.
+/// The state of one unit while its lines are read.
 #[derive(Default)]
 struct Unit {
-    /// What it waits for, and since when.
-    waits: Option<(Cause, SystemTime)>,
-    /// When its run was given out.
+    /// The cause and the start of the present wait.
+    wait: Option<(Cause, SystemTime)>,
+    /// When the present run was placed.
     placed: Option<SystemTime>,
-    /// Why its run is stopped.
-    why: Option<String>,
-    /// How long its run is expected to take.
+    /// The reason for the stop of the present run, if one was ordered.
+    stop_reason: Option<String>,
+    /// The expected duration of the present run.
     expected: Duration,
     costs: BTreeMap<Cause, Duration>,
+    /// The time of the last line.
     last: Option<SystemTime>,
 }
 
@@ -151,92 +161,95 @@
         *self.costs.entry(cause).or_default() += cost;
     }
 
-    fn take(&mut self, line: &Line) {
+    fn apply(&mut self, line: &Line) {
         self.last = Some(line.written_at);
         match &*line.message {
             "planner: a unit waits" => {
-                self.wait_ends(line.written_at);
+                self.end_wait(line.written_at);
                 let on = line.text("on").unwrap_or_default();
-                self.waits = Some((cause::of_wait(on), line.written_at));
+                self.wait = Some((cause::of_wait(on), line.written_at));
             }
             "planner: room is kept" => {
-                self.wait_ends(line.written_at);
-                self.waits = Some((Cause::Room, line.written_at));
+                self.end_wait(line.written_at);
+                self.wait = Some((Cause::Room, line.written_at));
             }
             "planner: a unit is placed" => {
-                self.wait_ends(line.written_at);
-                self.waits = None;
+                self.end_wait(line.written_at);
+                self.wait = None;
                 self.placed = Some(line.written_at);
-                self.why = None;
-                self.expected = line.time("expected_ms").unwrap_or_default();
+                self.stop_reason = None;
+                self.expected =
+                    line.duration("expected_ms").unwrap_or_default();
             }
             "planner: a run is stopped" => {
-                self.why = line.text("why").map(str::to_owned);
+                self.stop_reason = line.text("why").map(str::to_owned);
             }
-            "planner: a run has ended" => self.run_ends(line),
+            "planner: a run has ended" => self.end_run(line),
             _ => {}
         }
     }
 
-    fn wait_ends(&mut self, at: SystemTime) {
-        if let Some((cause, since)) = self.waits {
+    fn end_wait(&mut self, at: SystemTime) {
+        if let Some((cause, since)) = self.wait {
             self.add(cause, at.duration_since(since).unwrap_or_default());
         }
     }
 
-    fn run_ends(&mut self, line: &Line) {
-        let ran = line.time("ran_ms").unwrap_or_default();
-        // A planner that took the run over counts from then only.
+    fn end_run(&mut self, line: &Line) {
+        let ran = line.duration("ran_ms").unwrap_or_default();
+        // A planner that adopted the run counts only from its takeover on.
         let since = self
             .placed
             .and_then(|p| line.written_at.duration_since(p).ok());
         let ran = ran.max(since.unwrap_or_default());
         let how = line.text("how").unwrap_or_default();
-        // The members of a gang run side by side: the first tells.
+        // The members of a gang run in parallel. Only the first one counts.
         if line.number("member").unwrap_or_default() > 0 {
             return;
         }
         match how {
-            "done" if ran > self.expected.mul_f64(SLOW) => {
+            "done" if ran > self.expected.mul_f64(SLOW_RUN_FACTOR) => {
                 self.add(Cause::Slow, ran - self.expected);
             }
             "done" => {}
             how => {
-                let cause = cause::of_end(how, self.why.as_deref());
+                let cause = cause::of_end(how, self.stop_reason.as_deref());
                 self.add(cause, ran);
             }
         }
     }
 }
 
-/// Returns what each cause cost the unit that ended last, and what it cost
-/// before any unit was there.
+/// Returns the cost of each cause: for the unit that ended last, and for the
+/// time before admission and after the last unit.
 fn costs(lines: &[&Line], began: SystemTime) -> BTreeMap<Cause, Duration> {
     let mut units: BTreeMap<&str, Unit> = BTreeMap::new();
     for line in lines {
         if let Some(unit) = line.text("unit") {
-            units.entry(unit).or_default().take(line);
+            units.entry(unit).or_default().apply(line);
         }
     }
-    let last = units.into_values().max_by_key(|unit| unit.last);
-    let last = last.unwrap_or_default();
-    let mut costs = last.costs;
+    let last_unit = units.into_values().max_by_key(|unit| unit.last);
+    let last_unit = last_unit.unwrap_or_default();
+    let mut costs = last_unit.costs;
     let accepted = lines
         .iter()
         .find(|line| line.text("outcome") == Some("Accepted"));
-    let taken = taken_in(lines).map(|line| line.written_at);
-    let accepted = accepted.map(|line| line.written_at).or(taken);
+    let admitted = admission(lines).map(|line| line.written_at);
+    let accepted = accepted.map(|line| line.written_at).or(admitted);
     let mut add = |cause, from: SystemTime, to: Option<SystemTime>| {
         let cost = to.and_then(|to| to.duration_since(from).ok());
         *costs.entry(cause).or_default() += cost.unwrap_or_default();
     };
     add(Cause::Store, began, accepted);
     if let Some(accepted) = accepted {
-        add(Cause::Planner, accepted, taken);
+        add(Cause::Planner, accepted, admitted);
     }
-    let over = lines.iter().find(|line| line.message.ends_with(OVER));
-    if let (Some(last), Some(over)) = (last.last, over) {
-        add(Cause::Noting, last, Some(over.written_at));
+    let end_line = lines
+        .iter()
+        .find(|line| line.message.ends_with(JOB_ENDED_SUFFIX));
+    if let (Some(last), Some(end)) = (last_unit.last, end_line) {
+        add(Cause::Noting, last, Some(end.written_at));
     }
     costs.retain(|_, cost| !cost.is_zero());
     costs
--- a/src/explain/mod.rs
+++ b/src/explain/mod.rs
@@ -1,8 +1,8 @@
-//! What became of a job, told from the logs of any number of processes.
+//! Explains the outcome of jobs from the logs of any number of processes.
 //!
-//! A [`line::Line`] is one log line; a [`history::History`] is all that the logs
-//! hold of one job, in order; its [`cause::Cause`] says what cost it the
-//! most time. [`Logs`] keeps the stories of many.
+//! A [`line::Line`] is one log line, a [`history::History`] holds the lines of
+//! one job, and its [`history::Verdict`] gives the outcome and the
+//! [`cause::Cause`] that cost the most time. [`Logs`] holds all histories.
 //!
 //! # Examples
 //!
@@ -14,8 +14,8 @@
 //!     "run":1,"waited_ms":900}"#.replace('\n', "");
 //! let mut logs = Logs::default();
 //! logs.read(log.as_bytes())?;
-//! let story = logs.story("a").expect("it is there");
-//! assert_eq!(story.lines().len(), 1);
+//! let history = logs.history("a").expect("the job is in the log");
+//! assert_eq!(history.lines().len(), 1);
 //! # Ok::<(), std::io::Error>(())
 //! ```
 
@@ -29,17 +29,17 @@
 use crate::explain::history::History;
 use crate::explain::line::Line;
 
-/// The stories of all jobs in some logs.
+/// The histories of all jobs in a set of logs.
 #[derive(Debug, Default)]
 pub struct Logs {
     histories: BTreeMap<String, History>,
-    /// Lines that are no log lines of ours.
+    /// The number of lines that are not JSON log lines.
     unreadable: usize,
     lines: usize,
 }
 
 impl Logs {
-    /// Reads lines, as they were written or with a collector's prefix.
+    /// Reads log lines, with or without the prefix of a collector.
     ///
     /// # Errors
     ///
@@ -52,35 +52,34 @@
             }
             self.lines += 1;
             match Line::parse(&String::from_utf8_lossy(&text)) {
-                Some(line) => self.take(line),
+                Some(line) => self.add(line),
                 None => self.unreadable += 1,
             }
         }
         Ok(())
     }
 
-    /// Returns how many lines there were, and how many of them could not be
-    /// read.
+    /// Returns the number of lines read, and how many of them were unreadable.
     pub fn counts(&self) -> (usize, usize) {
         (self.lines, self.unreadable)
     }
 
-    /// Returns what is known of a job.
+    /// Returns the history of a job, or `None` if no line concerns it.
     pub fn history(&self, job: &str) -> Option<&History> {
         self.histories.get(job)
     }
 
-    /// Returns every job with its story.
+    /// Returns every job with its history.
     pub fn histories(&self) -> impl Iterator<Item = (&str, &History)> {
         self.histories
             .iter()
-            .map(|(job, story)| (job.as_str(), story))
+            .map(|(job, history)| (job.as_str(), history))
     }
 
-    fn take(&mut self, line: Line) {
+    fn add(&mut self, line: Line) {
         if let Some(job) = line.job() {
-            let story = self.histories.entry(job.to_owned()).or_default();
-            story.push(line);
+            let history = self.histories.entry(job.to_owned()).or_default();
+            history.push(line);
         }
     }
 }
--- a/src/telemetry/export.rs
+++ b/src/telemetry/export.rs
@@ -1,4 +1,4 @@
-//! Exporters: to a collector by OTLP, and into memory.
+//! Exporters of metrics and spans: to a collector by OTLP, and to memory.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -18,13 +18,13 @@
 
 use crate::telemetry::Error;
 
-/// How long a collector may take over one batch.
+/// How long the export of one batch may take.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(3);
-/// How many spans are kept in memory.
+/// The maximum number of spans that a [`Collector`] keeps.
 const MAX_SPANS: usize = 10_000;
 
-/// An exporter whose client needs the runtime it was made in, while the
-/// library calls it from a thread of its own.
+/// An exporter whose client needs the Tokio runtime. The library calls
+/// exporters on its own thread, so the runtime's handle is kept here.
 #[derive(Debug)]
 pub(super) struct WithRuntime<E> {
     inner: E,
@@ -85,40 +85,41 @@
     }
 }
 
-/// A span that has ended.
+/// A finished span.
 #[derive(Clone, Debug)]
 pub struct FinishedSpan {
-    /// Names the trace.
+    /// The ID of the trace, in hexadecimal.
     pub trace: String,
-    /// Names the span.
+    /// The ID of the span, in hexadecimal.
     pub span: String,
-    /// Names the span above it; zeros for none.
+    /// The ID of the parent span, all zeros for none.
     pub parent: String,
-    /// What it is.
+    /// The name of the span.
     pub name: String,
-    /// When it began.
+    /// When the span began.
     pub began: SystemTime,
-    /// When it ended.
+    /// When the span ended.
     pub ended: SystemTime,
-    /// What is known of it.
+    /// The attributes of the span: keys and values.
     pub attributes: Vec<(String, String)>,
 }
 
-/// Keeps spans in memory, the latest of them.
+/// An exporter that keeps the latest finished spans in memory, for tests and
+/// trials.
 #[derive(Clone, Debug, Default)]
 pub struct Collector {
     spans: Arc<Mutex<Vec<FinishedSpan>>>,
 }
 
 impl Collector {
-    /// Returns the spans of the trace that a span belongs to.
+    /// Returns the kept spans of a trace.
     pub fn trace(&self, trace: &str) -> Vec<FinishedSpan> {
         let spans = self.spans.lock().unwrap_or_else(PoisonError::into_inner);
         let of_trace = spans.iter().filter(|span| span.trace == trace);
         of_trace.cloned().collect()
     }
 
-    /// Returns all spans that are kept.
+    /// Returns all kept spans, in the order in which they ended.
     pub fn spans(&self) -> Vec<FinishedSpan> {
         let spans = self.spans.lock().unwrap_or_else(PoisonError::into_inner);
         spans.clone()
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -1,4 +1,7 @@
 //! The metrics of all programs.
+//!
+//! A field of [`Metrics`] has the name of its metric without the prefix
+//! `landingvalve_`.
 
 use std::sync::OnceLock;
 
@@ -8,34 +11,34 @@
 use opentelemetry::metrics::Histogram;
 use opentelemetry::KeyValue;
 
-/// The name and meaning of a metric, for the operators' page.
+/// The name and help text of a metric.
 #[derive(Clone, Copy, Debug)]
 pub struct Description {
-    /// Its name.
+    /// The exported name.
     pub name: &'static str,
-    /// What it says, with its unit.
+    /// What the metric measures, with its labels.
     pub help: &'static str,
 }
 
-/// Every metric.
+/// The descriptions of all metrics.
 pub const ALL: &[Description] = &[
-    describe("landingvalve_jobs_admitted", "Jobs taken in, by account."),
+    describe("landingvalve_jobs_admitted", "Jobs admitted, by account."),
     describe("landingvalve_jobs_ended", "Jobs that ended, by outcome."),
     describe("landingvalve_starts", "Gangs that were started."),
-    describe("landingvalve_stops", "Gangs told to stop, by reason."),
+    describe("landingvalve_stops", "Stops ordered for gangs, by reason."),
     describe("landingvalve_refused", "Requests refused, by status."),
     describe("landingvalve_store_calls", "Calls of the store, by path."),
     describe(
         "landingvalve_start_seconds",
-        "Submission to all tasks begun.",
+        "Time from submission to the start of all tasks.",
     ),
     describe("landingvalve_step_seconds", "Wall time of one decision."),
-    describe("landingvalve_takeover_seconds", "Claim to first decision."),
-    describe("landingvalve_jobs_waiting", "Jobs that wait."),
-    describe("landingvalve_jobs_running", "Jobs that have accelerators."),
+    describe("landingvalve_takeover_seconds", "Time from claim to first decision."),
+    describe("landingvalve_jobs_waiting", "Jobs waiting."),
+    describe("landingvalve_jobs_running", "Jobs holding accelerators."),
     describe(
         "landingvalve_fragmentation",
-        "Share of free accelerators in no free whole worker, 0 to 1.",
+        "Share of free accelerators on partly used workers, 0 to 1.",
     ),
     describe(
         "landingvalve_guarantee_missing",
@@ -51,7 +54,7 @@
     ),
     describe(
         "landingvalve_request_seconds",
-        "Time of an answer to a caller, by method and status.",
+        "Time to answer a request of a caller, by method and status.",
     ),
     describe("landingvalve_submissions", "Submissions, by outcome."),
     describe(
@@ -61,49 +64,49 @@
     describe("landingvalve_decisions", "Decisions of a planner, by kind."),
     describe(
         "landingvalve_wait_seconds",
-        "Waiting of a unit until it was placed.",
+        "Time that a unit waited until it was placed.",
     ),
     describe(
         "landingvalve_owed_seconds",
-        "The same of first runs within a guarantee, by whether it was late.",
+        "Time that a first run within a guarantee waited, by whether it was late.",
     ),
     describe(
         "landingvalve_run_seconds",
-        "Length of runs that ended, by how.",
+        "Length of ended runs, by how they ended.",
     ),
     describe(
         "landingvalve_job_seconds",
-        "Acceptance to end of a job, by outcome and whether it was late.",
+        "Time from acceptance to end of a job, by outcome and whether it was late.",
     ),
     describe(
         "landingvalve_order_seconds",
         "Time of an order to a worker, by kind and outcome.",
     ),
-    describe("landingvalve_looks", "Looks at the worker, by outcome."),
+    describe("landingvalve_looks", "Queries of the worker's state, by outcome."),
     describe(
         "landingvalve_starts_waiting",
-        "Starts that an agent has kept waiting, by reason.",
+        "Starts delayed by an agent, by reason.",
     ),
     describe(
         "landingvalve_limited",
-        "What was turned away at a limit of this process, by limit.",
+        "Connections and requests rejected at a limit, by limit.",
     ),
     describe(
         "landingvalve_relayed",
-        "Calls of the store by way of another entry, by outcome.",
+        "Calls of the store relayed by another entry, by outcome.",
     ),
     describe(
         "landingvalve_strange",
-        "What came from outside and could not be used, by kind.",
+        "Unusable input from outside, by kind.",
     ),
-    describe("landingvalve_claims", "Claims, by what became of them."),
+    describe("landingvalve_claims", "Claims of the planner role, by outcome."),
     describe(
         "landingvalve_ready",
-        "Whether new callers are taken, 0 or 1.",
+        "Whether new callers are accepted, 0 or 1.",
     ),
     describe(
         "landingvalve_configuration_age_seconds",
-        "Age of the configuration that a request was answered by.",
+        "Age of the configuration used to answer a request.",
     ),
     describe(
         "landingvalve_configuration_bytes",
@@ -111,47 +114,47 @@
     ),
 ];
 
-/// The bounds of histograms, in seconds: from an answer of the store to the
-/// longest job.
+/// The bucket bounds of all histograms, in seconds. They range from a response
+/// of the store to the longest job.
 const BUCKET_BOUNDS_SECONDS: [f64; 13] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 120.0,
 ];
 
-/// Returns what a metric says, if it is one of [`ALL`].
+/// Returns the help text of a metric, or `None` if it is not one of [`ALL`].
 pub fn help(name: &str) -> Option<&'static str> {
-    let about = ALL.iter().find(|about| about.name == name)?;
-    Some(about.help)
+    let metric = ALL.iter().find(|metric| metric.name == name)?;
+    Some(metric.help)
 }
 
 const fn describe(name: &'static str, help: &'static str) -> Description {
     Description { name, help }
 }
 
-/// The instruments behind [`ALL`].
+/// The instruments of the metrics in [`ALL`].
 pub struct Metrics {
-    /// Jobs taken in.
+    /// Jobs admitted.
     pub jobs_admitted: Counter<u64>,
     /// Jobs that ended.
     pub jobs_ended: Counter<u64>,
     /// Gangs that were started.
     pub starts: Counter<u64>,
-    /// Gangs told to stop.
+    /// Stops ordered for gangs.
     pub stops: Counter<u64>,
     /// Requests refused.
     pub refused: Counter<u64>,
     /// Calls of the store.
     pub store_calls: Counter<u64>,
-    /// Submission to all tasks begun, in seconds.
+    /// Time from submission to the start of all tasks, in seconds.
     pub start_seconds: Histogram<f64>,
     /// Wall time of one decision, in seconds.
     pub step_seconds: Histogram<f64>,
-    /// Claim to first decision, in seconds.
+    /// Time from claim to first decision, in seconds.
     pub takeover_seconds: Histogram<f64>,
-    /// Jobs that wait.
+    /// Jobs waiting.
     pub jobs_waiting: Gauge<u64>,
-    /// Jobs that have accelerators.
+    /// Jobs holding accelerators.
     pub jobs_running: Gauge<u64>,
-    /// Fragmentation.
+    /// Share of free accelerators on partly used workers, 0 to 1.
     pub fragmentation: Gauge<f64>,
     /// Guaranteed accelerators without a place.
     pub guarantee_missing: Gauge<u64>,
@@ -159,50 +162,50 @@
     pub configuration: Gauge<i64>,
     /// Accelerators held or in use.
     pub held: Gauge<u64>,
-    /// Answers to callers, in seconds.
+    /// Time to answer a request of a caller, in seconds.
     pub request_seconds: Histogram<f64>,
     /// Submissions.
     pub submissions: Counter<u64>,
-    /// Calls of the platform's store, in seconds.
+    /// Time of a call of the platform's store, in seconds.
     pub store_seconds: Histogram<f64>,
     /// Decisions of a planner.
     pub decisions: Counter<u64>,
-    /// Waiting of units that were placed, in seconds.
+    /// Time that a unit waited until it was placed, in seconds.
     pub wait_seconds: Histogram<f64>,
-    /// Waiting of first runs within a guarantee, in seconds.
+    /// Time that a first run within a guarantee waited, in seconds.
     pub owed_seconds: Histogram<f64>,
-    /// Runs that ended, in seconds.
+    /// Length of ended runs, in seconds.
     pub run_seconds: Histogram<f64>,
-    /// Jobs that ended, in seconds.
+    /// Time from acceptance to end of a job, in seconds.
     pub job_seconds: Histogram<f64>,
-    /// Orders to a worker, in seconds.
+    /// Time of an order to a worker, in seconds.
     pub order_seconds: Histogram<f64>,
-    /// Looks at the worker.
+    /// Queries of the worker's state.
     pub looks: Counter<u64>,
-    /// Starts that were kept waiting.
+    /// Starts delayed by an agent.
     pub starts_waiting: Counter<u64>,
-    /// What was turned away at a limit of this process.
+    /// Connections and requests rejected at a limit of this process.
     pub limited: Counter<u64>,
-    /// Calls of the store by way of another entry.
+    /// Calls of the store relayed by another entry.
     pub relayed: Counter<u64>,
-    /// What came from outside and could not be used, by kind.
+    /// Unusable input from outside.
     pub strange: Counter<u64>,
-    /// Claims.
+    /// Claims of the planner role.
     pub claims: Counter<u64>,
-    /// Whether new callers are taken.
+    /// Whether new callers are accepted, 0 or 1.
     pub ready: Gauge<u64>,
-    /// Age of the configuration of each answer, in seconds.
+    /// Age of the configuration used to answer a request, in seconds.
     pub configuration_age_seconds: Histogram<f64>,
     /// Size of the configuration in force, in bytes.
     pub configuration_bytes: Gauge<u64>,
 }
 
-/// Returns a label of a measurement.
+/// Returns a label with a fixed value.
 pub fn label(key: &'static str, value: &'static str) -> KeyValue {
     KeyValue::new(key, value)
 }
 
-/// Returns the instruments of this process.
+/// Returns the instruments of this process, created at the first call.
 pub fn get() -> &'static Metrics {
     static METRICS: OnceLock<Metrics> = OnceLock::new();
     METRICS.get_or_init(|| {
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -1,8 +1,8 @@
-//! Metrics and traces: what the programs measure, and where it goes.
+//! Metrics and traces of the programs, and their export.
 //!
-//! Metrics are shown on a local page and, like traces, sent by OTLP if the
-//! settings name a collector. A span stands for each hop of a request; the
-//! context goes along in our calls as a W3C `traceparent`.
+//! A local page shows the metrics. If the settings name a collector, metrics
+//! and traces are also sent to it by OTLP. Each hop of a request is a span;
+//! calls between processes carry the context as a W3C `traceparent`.
 
 mod export;
 pub mod metrics;
@@ -19,12 +19,12 @@
 use opentelemetry_sdk::trace::SdkTracerProvider;
 use opentelemetry_sdk::Resource;
 
-/// Telemetry that cannot be set up.
+/// An exporter that cannot be set up.
 #[derive(Debug, thiserror::Error)]
 #[error("telemetry.otlp: {0}")]
 pub struct Error(String);
 
-/// The providers of a process.
+/// The metric and trace providers of a process.
 pub struct Telemetry {
     meters: SdkMeterProvider,
     tracers: SdkTracerProvider,
@@ -32,13 +32,14 @@
 }
 
 impl Telemetry {
-    /// Sets up the telemetry of this process, for all its parts.
+    /// Installs the global metric and trace providers of this process.
     ///
-    /// Must be called within a runtime if `otlp` names a collector.
+    /// `otlp` is the URL of a collector, if any; `collector` keeps spans in
+    /// memory. Must be called within a Tokio runtime if `otlp` is given.
     ///
     /// # Errors
     ///
-    /// If the collector's address cannot be used.
+    /// If the URL of the collector is invalid, or there is no runtime.
     pub fn start(
         process: &str,
         otlp: Option<&str>,
@@ -77,7 +78,7 @@
         self.page.with(self.meters.clone())
     }
 
-    /// Sends what has not been sent yet.
+    /// Exports what is still buffered and shuts the providers down. Blocks.
     pub fn stop(self) {
         let _ = self.tracers.shutdown();
         let _ = self.meters.shutdown();
--- a/src/telemetry/page.rs
+++ b/src/telemetry/page.rs
@@ -1,4 +1,4 @@
-//! The local page of metrics, in the text format that scrapers read.
+//! The local metrics page, in the Prometheus text format.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -19,7 +19,8 @@
 use crate::http;
 use crate::telemetry::metrics;
 
-/// The last state of all metrics, as a page.
+/// A page with the last exported state of all metrics. Clones share the
+/// state.
 #[derive(Clone, Default)]
 pub struct Page {
     text: Arc<Mutex<String>>,
@@ -27,6 +28,7 @@
 }
 
 impl Page {
+    /// Returns a page that collects the metrics of `meters` when it is read.
     pub(super) fn with(&self, meters: SdkMeterProvider) -> Page {
         Page {
             text: self.text.clone(),
@@ -34,10 +36,10 @@
         }
     }
 
-    /// Returns the metrics as they are now, a line each.
+    /// Returns the current metrics, one sample per line.
     pub async fn text(&self) -> String {
         if let Some(meters) = self.meters.clone() {
-            // It waits for the thread that collects.
+            // A flush blocks until the collecting thread has exported.
             let flush = move || meters.force_flush();
             let _ = tokio::task::spawn_blocking(flush).await;
         }
@@ -87,6 +89,7 @@
     }
 }
 
+/// Appends the samples of a metric.
 fn lines<T: Copy + std::fmt::Display>(
     text: &mut String,
     name: &str,
@@ -108,15 +111,16 @@
         MetricData::Histogram(histogram) => {
             for point in histogram.data_points() {
                 let own = pairs(point.attributes());
-                let mut sum = 0;
+                let mut cumulative = 0;
                 let bounds = point.bounds().map(|b| b.to_string());
                 let bounds = bounds.chain(["+Inf".to_owned()]);
                 for (bound, count) in bounds.zip(point.bucket_counts()) {
-                    sum += count;
+                    cumulative += count;
                     let bound = [format!("le=\"{bound}\"")];
                     let all = [own.as_slice(), bound.as_slice()].concat();
                     let labels = braces(&all);
-                    let _ = writeln!(text, "{name}_bucket{labels} {sum}");
+                    let _ =
+                        writeln!(text, "{name}_bucket{labels} {cumulative}");
                 }
                 let labels = braces(&own);
                 let count = point.count();
@@ -129,7 +133,7 @@
     }
 }
 
-/// Returns the type that scrapers know a metric by.
+/// Returns the metric type of the text format.
 fn kind(data: &AggregatedMetrics) -> &'static str {
     match data {
         AggregatedMetrics::F64(data) => kind_of(data),
--- a/src/telemetry/span.rs
+++ b/src/telemetry/span.rs
@@ -1,4 +1,4 @@
-//! Spans, one a hop.
+//! Spans of traces, one for each hop of a request.
 
 use std::collections::HashMap;
 
@@ -11,17 +11,17 @@
 
 use crate::wire::Trace;
 
-/// The header, and the key, of a context.
+/// The name of the W3C header that carries a trace context.
 const TRACEPARENT: &str = "traceparent";
 
-/// A span that has begun; it ends when dropped.
+/// A span in progress. The span ends when the value is dropped.
 #[derive(Debug)]
 pub struct Span {
     context: Context,
 }
 
 impl Span {
-    /// Begins a span below another, or a new trace.
+    /// Begins a span as a child of `parent`, or the root span of a new trace.
     ///
     /// # Examples
     ///
@@ -33,7 +33,7 @@
     /// drop(admit);
     /// ```
     pub fn begin(name: &'static str, parent: Option<&Trace>) -> Span {
-        let above = match parent {
+        let parent = match parent {
             Some(trace) => {
                 let header = (TRACEPARENT.to_owned(), trace.clone());
                 let carrier = HashMap::from([header]);
@@ -42,19 +42,20 @@
             None => Context::new(),
         };
         let tracer = opentelemetry::global::tracer("landingvalve");
-        let span = tracer.start_with_context(name, &above);
+        let span = tracer.start_with_context(name, &parent);
         Span {
-            context: above.with_span(span),
+            context: parent.with_span(span),
         }
     }
 
-    /// Notes something that is known of the span.
+    /// Sets an attribute of the span.
     pub fn set(&self, key: &'static str, value: impl ToString) {
         let value = KeyValue::new(key, value.to_string());
         self.context.span().set_attribute(value);
     }
 
-    /// Returns the context in which spans are below this one.
+    /// Returns the trace context of this span, to be the parent of other
+    /// spans. `None` if no trace provider is installed.
     pub fn trace(&self) -> Option<Trace> {
         let mut carrier = HashMap::new();
         TraceContextPropagator::new()
--- a/src/util/digest.rs
+++ b/src/util/digest.rs
@@ -1,15 +1,15 @@
-//! SHA-256 digests, in hexadecimal.
+//! SHA-256 digests in lowercase hexadecimal.
 
 use sha2::Digest;
 use sha2::Sha256;
 
-/// A digest in hexadecimal.
+/// A digest in lowercase hexadecimal.
 pub type Hex = String;
 
-/// How many characters a digest has.
+/// The length of a digest, in characters.
 pub const HEX_LENGTH: usize = 64;
 
-/// Returns the digest of `bytes`.
+/// Returns the SHA-256 digest of `bytes`.
 ///
 /// # Examples
 ///
@@ -24,13 +24,13 @@
         .collect()
 }
 
-/// Returns whether `text` is a digest.
+/// Returns whether `text` has the form of a digest.
 pub fn is_valid(text: &str) -> bool {
     let hex = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
     text.len() == HEX_LENGTH && text.chars().all(hex)
 }
 
-/// Returns whether two digests are equal, in a time that does not tell
+/// Compares two digests in constant time, so that the time does not reveal
 /// where they differ.
 pub fn equal(left: &str, right: &str) -> bool {
     let differs = left
--- a/src/util/mod.rs
+++ b/src/util/mod.rs
@@ -1,8 +1,8 @@
-//! Small helpers that belong to no part.
+//! Helpers for digests, durations and points in time.
 
 pub mod digest;
 
-/// Spans of time in whole milliseconds.
+/// Serializes durations as whole milliseconds.
 pub mod duration_ms {
     use std::time::Duration;
 
@@ -10,7 +10,7 @@
     use serde::Deserializer;
     use serde::Serializer;
 
-    /// Writes a span of time.
+    /// Serializes a duration; fractions of a millisecond are dropped.
     pub fn serialize<S: Serializer>(
         value: &Duration,
         to: S,
@@ -18,7 +18,7 @@
         to.serialize_u64(value.as_millis() as u64)
     }
 
-    /// Reads a span of time.
+    /// Deserializes a duration.
     pub fn deserialize<'de, D: Deserializer<'de>>(
         from: D,
     ) -> Result<Duration, D::Error> {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Points in time in whole milliseconds since 1970.
+/// Serializes points in time as whole milliseconds since the Unix epoch.
 pub mod time_ms {
     use std::time::Duration;
     use std::time::SystemTime;
@@ -35,7 +35,7 @@
     use serde::Deserializer;
     use serde::Serializer;
 
-    /// Writes a point in time.
+    /// Serializes a point in time; one before the epoch becomes 0.
     pub fn serialize<S: Serializer>(
         value: &SystemTime,
         to: S,
@@ -43,7 +43,7 @@
         to.serialize_u64(super::unix_millis(*value))
     }
 
-    /// Reads a point in time.
+    /// Deserializes a point in time.
     pub fn deserialize<'de, D: Deserializer<'de>>(
         from: D,
     ) -> Result<SystemTime, D::Error> {
@@ -52,7 +52,8 @@
     }
 }
 
-/// Points in time that may be missing.
+/// Serializes optional points in time as whole milliseconds since the Unix
+/// epoch.
 pub mod option_time_ms {
     use std::time::Duration;
     use std::time::SystemTime;
@@ -62,7 +63,7 @@
     use serde::Serialize;
     use serde::Serializer;
 
-    /// Writes a point in time, if there is one.
+    /// Serializes a point in time, or null.
     pub fn serialize<S: Serializer>(
         value: &Option<SystemTime>,
         to: S,
@@ -70,7 +71,7 @@
         value.map(super::unix_millis).serialize(to)
     }
 
-    /// Reads a point in time, if there is one.
+    /// Deserializes a point in time, or null.
     pub fn deserialize<'de, D: Deserializer<'de>>(
         from: D,
     ) -> Result<Option<SystemTime>, D::Error> {
@@ -81,7 +82,7 @@
     }
 }
 
-/// Returns a point in time in milliseconds since 1970.
+/// Returns whole milliseconds since the Unix epoch, 0 for an earlier time.
 pub fn unix_millis(time: std::time::SystemTime) -> u64 {
     time.duration_since(std::time::SystemTime::UNIX_EPOCH)
         .map(|since| since.as_millis() as u64)
