--- a/src/account.rs
+++ b/src/account.rs
@@ -1,4 +1,4 @@
-//! Client accounts: what each is guaranteed and what it may borrow.
+//! Client accounts, as the decision core sees them.
 
 use std::sync::Arc;
 
@@ -10,20 +10,20 @@
 /// The name of a client account.
 pub type Id = Arc<str>;
 
-/// What a client account is guaranteed and what it may borrow.
+/// The guarantee and the borrowing limit of a client account.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
-    /// The shapes that can be had at any moment, all of them together.
+    /// The guaranteed shapes: available at any time, all of them together.
     #[serde(default)]
     pub guarantee: Vec<Shape>,
-    /// How many accelerators it may use past its guarantee.
+    /// The maximum number of accelerators used beyond the guarantee.
     #[serde(default)]
     pub borrow: u32,
 }
 
 impl Account {
-    /// Returns the accelerators of all guaranteed shapes together.
+    /// Returns the total number of accelerators of the guaranteed shapes.
     pub fn guaranteed(&self) -> u32 {
         self.guarantee.iter().map(|shape| shape.accelerators).sum()
     }
--- a/src/bin/landingvalve-agent.rs
+++ b/src/bin/landingvalve-agent.rs
@@ -1,4 +1,4 @@
-//! The process beside an endpoint.
+//! The agent: manages the accelerators of one worker, beside its endpoint.
 
 use clap::Parser;
 
@@ -17,7 +17,7 @@
     }
     let (config, common) = settings::agent::read(&path)?;
     if args.is_check_only() {
-        println!("{}: good", path.display());
+        println!("{}: valid", path.display());
         return Ok(());
     }
     let (telemetry, _page) =
@@ -28,9 +28,12 @@
         ..config
     };
     let agent = Agent::start(config).await?;
-    slog::info!(log, "agent: has started"; "listen" => %agent.address());
+    slog::info!(log, "agent: started"; "listen" => %agent.address());
     let deadline = program::wait_for_stop_signal().await?;
-    slog::info!(log, "agent: takes no new work, and stops once idle");
+    slog::info!(
+        log,
+        "agent: stopping once idle; new work is refused"
+    );
     agent.stop(deadline).await;
     tokio::task::spawn_blocking(|| telemetry.stop()).await?;
     Ok(())
--- a/src/bin/landingvalve-entry.rs
+++ b/src/bin/landingvalve-entry.rs
@@ -1,4 +1,4 @@
-//! The process on an entry VM.
+//! The entry: serves callers and operators, and may host the planner.
 
 use clap::Parser;
 
@@ -17,7 +17,7 @@
     }
     let (config, common) = settings::entry::read(&path)?;
     if args.is_check_only() {
-        println!("{}: good", path.display());
+        println!("{}: valid", path.display());
         return Ok(());
     }
     let (telemetry, _page) =
@@ -28,10 +28,10 @@
         ..config
     };
     let entry = Entry::start(config).await?;
-    slog::info!(log, "entry: has started"; "callers" => %entry.callers(),
+    slog::info!(log, "entry: started"; "callers" => %entry.callers(),
         "peers" => entry.peers());
     let deadline = program::wait_for_stop_signal().await?;
-    slog::info!(log, "entry: stops once every request has its answer");
+    slog::info!(log, "entry: stopping; requests in progress are completed");
     entry.stop(deadline).await;
     tokio::task::spawn_blocking(|| telemetry.stop()).await?;
     Ok(())
--- a/src/bin/landingvalve-replay.rs
+++ b/src/bin/landingvalve-replay.rs
@@ -1,4 +1,4 @@
-//! Replays a recorded trace through the decision core or a baseline.
+//! Replays a recorded trace with the decision core or a baseline policy.
 
 use std::fs::File;
 use std::io::BufReader;
@@ -17,7 +17,7 @@
 use landingvalve::replay::plot;
 use landingvalve::replay::trace::Trace;
 
-/// Replays a recorded trace and prints what came of it.
+/// Replays a recorded trace and prints a report as JSON.
 ///
 /// Examples:
 ///   landingvalve-replay trace.jsonl --json
@@ -26,21 +26,21 @@
 #[derive(Parser)]
 #[command(version, verbatim_doc_comment)]
 struct Args {
-    /// The trace, one JSON object a line.
+    /// The trace, one JSON object per line.
     trace: PathBuf,
-    /// Who decides.
+    /// The policy that decides.
     #[arg(long, value_enum, default_value = "landingvalve")]
     policy: Choice,
-    /// How much whole free workers count against early completion.
+    /// The weight of keeping whole workers free against early completion, 0 to 1.
     #[arg(long, default_value_t = 0.5, value_parser = weight)]
     weight_fragmentation: f64,
-    /// Print JSON on one line; otherwise it is indented.
+    /// Print the report on one line instead of indented.
     #[arg(long)]
     json: bool,
-    /// Add the wall time of decisions, which differs from run to run.
+    /// Include the wall time of decisions, which differs between runs.
     #[arg(long)]
     timing: bool,
-    /// Draw accelerators over time by account, and fragmentation.
+    /// Write a chart of accelerators by account and of fragmentation over time.
     #[arg(long, value_name = "FILE.svg")]
     plot: Option<PathBuf>,
 }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,14 +1,15 @@
-//! Time that goes on while the machine is suspended.
+//! Clocks that tests and simulations can control, and instants that count
+//! suspended time.
 //!
-//! The steady clock, which timers and time limits run on, stands still while
-//! a machine is suspended; the rest of the site does not. Whatever proves
-//! that something is still safe (a claim, a grant, the age of knowledge) is
-//! therefore told by a type of its own, [`BootInstant`], which the compiler keeps
-//! apart from the instants of mere timers. A timer may wake late or early;
-//! what it wakes looks at a stamp before it acts.
+//! The monotonic clock of timers and timeouts stops while the machine is
+//! suspended; the rest of the site goes on. Every check that something is
+//! still safe (a claim, a grant, the age of information) therefore uses
+//! [`BootInstant`], a type that the compiler keeps apart from the instants of
+//! timers. A timer may fire early or late; the code that it wakes compares a
+//! [`BootInstant`] before it acts.
 //!
-//! A stamp is an instant of the runtime's clock, which tests may stop and
-//! move, and what the machine was suspended for before it.
+//! A [`BootInstant`] is an instant of the runtime's clock, which tests can pause
+//! and advance, plus the time that the machine has been suspended so far.
 
 use std::cell::Cell;
 use std::ops::Add;
@@ -20,34 +21,36 @@
 use tokio::time::Instant;
 
 thread_local! {
-    /// Since when this thread's time of day follows the runtime's clock.
+    /// The wall time and the runtime's instant from which on this thread
+    /// derives wall time from the runtime's clock; see
+    /// [`simulate_wall_time`].
     static SIMULATED_WALL_TIME: Cell<Option<(SystemTime, Instant)>> =
         const { Cell::new(None) };
-    /// What [`simulate_suspension`] has added.
+    /// The suspended time added by [`simulate_suspension`].
     static SIMULATED_SUSPENSION: Cell<Duration> = const { Cell::new(Duration::ZERO) };
 }
 
-/// An instant by which safety is proven.
+/// An instant that includes the time during which the machine was suspended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootInstant(Instant);
 
 impl BootInstant {
-    /// Returns the present.
+    /// Returns the current instant.
     pub fn now() -> BootInstant {
         BootInstant(Instant::now() + suspended())
     }
 
-    /// Returns how long ago it was; zero if it is yet to come.
+    /// Returns the time since this instant; zero if it is in the future.
     pub fn elapsed(self) -> Duration {
         BootInstant::now().0.saturating_duration_since(self.0)
     }
 
-    /// Returns how long it is until then; zero if it is past.
+    /// Returns the time until this instant; zero if it is in the past.
     pub fn remaining(self) -> Duration {
         self.0.saturating_duration_since(BootInstant::now().0)
     }
 
-    /// Returns whether it is yet to come.
+    /// Returns whether this instant is in the future.
     pub fn is_future(self) -> bool {
         BootInstant::now() < self
     }
@@ -61,12 +64,13 @@
     }
 }
 
-/// Returns the present of the runtime's clock, which simulations stop.
+/// Returns the current instant of the runtime's clock, which simulations pause.
 pub fn now() -> std::time::Instant {
     Instant::now().into_std()
 }
 
-/// Returns the time of day.
+/// Returns the wall time, simulated if [`simulate_wall_time`] was called on
+/// this thread.
 pub fn wall_time() -> SystemTime {
     match SIMULATED_WALL_TIME.with(Cell::get) {
         Some((wall, since)) => wall + since.elapsed(),
@@ -74,29 +78,30 @@
     }
 }
 
-/// Lets this thread's time of day follow the runtime's clock from `wall` on:
-/// for simulations.
+/// Sets the wall time of this thread to `wall` and lets it advance with the
+/// runtime's clock, for simulations.
 pub fn simulate_wall_time(wall: SystemTime) {
     SIMULATED_WALL_TIME
         .with(|followed| followed.set(Some((wall, Instant::now()))));
 }
 
-/// Lets this thread see the machine as having been suspended for so long:
-/// for tests, where every test has a thread of its own.
+/// Adds `time` to the suspended time that this thread sees, for tests. Every
+/// test runs on its own thread.
 pub fn simulate_suspension(time: Duration) {
     SIMULATED_SUSPENSION
         .with(|suspended| suspended.set(suspended.get() + time));
 }
 
-/// Returns for how long the machine was suspended since it started.
+/// Returns how long the machine has been suspended since it booted.
 fn suspended() -> Duration {
     let read = |clock| clock_gettime(clock).map(Duration::from);
-    // The steady clock first: read later, it would seem to have gone on.
-    let steady = read(ClockId::CLOCK_MONOTONIC);
-    let whole = read(ClockId::CLOCK_BOOTTIME);
-    let real = match (steady, whole) {
-        (Ok(steady), Ok(whole)) => whole.saturating_sub(steady),
-        // A kernel without that clock counts no suspension.
+    // The monotonic clock is read first: read second, it would include the
+    // time between the reads and hide as much suspended time.
+    let monotonic = read(ClockId::CLOCK_MONOTONIC);
+    let boot_time = read(ClockId::CLOCK_BOOTTIME);
+    let real = match (monotonic, boot_time) {
+        (Ok(monotonic), Ok(boot_time)) => boot_time.saturating_sub(monotonic),
+        // A kernel without the boot-time clock reports no suspension.
         _ => Duration::ZERO,
     };
     real + SIMULATED_SUSPENSION.with(Cell::get)
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,8 +1,9 @@
-//! The task interface of an endpoint: plain JSON over HTTP.
+//! A client of the task interface of an endpoint: JSON over HTTP.
 //!
-//! The users have published none yet, so this client is the one place that
-//! knows its paths. A task is named by its starter, and starting it twice
-//! starts it once. It runs under a lease and stops when the lease lapses.
+//! The users have not published this interface yet, so this client is the only
+//! place that knows its paths. The caller that starts a task names it, which
+//! makes starts idempotent. A task runs under a lease and stops when the lease
+//! expires.
 
 use std::time::Duration;
 
@@ -15,64 +16,64 @@
 
 use crate::http;
 
-/// The name of a task.
+/// The name of a task, chosen by the caller that starts it.
 pub type TaskId = String;
 
-/// How long one call may take.
+/// The timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A task to be started.
+/// A request to start a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Start {
-    /// Its name.
+    /// The name of the task.
     pub task: TaskId,
-    /// What to run.
+    /// The command to run.
     pub run: String,
-    /// The caller's parameters.
+    /// The parameters of the job, as its caller gave them.
     pub parameters: serde_json::Value,
-    /// The accelerators, one bit each.
+    /// The accelerators of the task, one bit each.
     pub accelerators: u64,
-    /// How many seconds the lease lasts without renewal.
+    /// The duration of the lease without renewal, in seconds.
     pub lease_seconds: u64,
-    /// The checkpoint to go on from, if any.
+    /// The checkpoint to resume from, if any.
     pub checkpoint: Option<String>,
-    /// What the endpoint shows with the task, for its starter.
+    /// An opaque text that the endpoint returns with the task.
     pub note: String,
 }
 
-/// Where a task is in its life.
+/// The state of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It runs.
+    /// The task runs.
     Running,
-    /// It ran to its end.
+    /// The task ran to its end.
     Done,
-    /// It failed.
+    /// The task failed.
     Failed,
-    /// It was stopped, or its lease lapsed.
+    /// The task was stopped, or its lease expired.
     Stopped,
 }
 
 /// A task as the endpoint reports it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Task {
-    /// Its name.
+    /// The name of the task.
     pub task: TaskId,
-    /// Where it is in its life.
+    /// The state of the task.
     pub state: State,
-    /// The accelerators, one bit each.
+    /// The accelerators of the task, one bit each.
     pub accelerators: u64,
-    /// What it answered, once done.
+    /// The output of the task, once it is done.
     #[serde(default)]
     pub output: Option<String>,
-    /// Its last checkpoint.
+    /// The last checkpoint of the task, if any.
     #[serde(default)]
     pub checkpoint: Option<String>,
-    /// How many milliseconds of its run the checkpoint keeps.
+    /// The part of the run that the checkpoint preserves, in milliseconds.
     #[serde(default)]
     pub kept_ms: u64,
-    /// What its starter gave with it.
+    /// The text given in [`Start::note`].
     #[serde(default)]
     pub note: String,
 }
@@ -93,11 +94,11 @@
         }
     }
 
-    /// Starts a task, unless it has been started.
+    /// Starts a task, unless a task of this name was started before.
     ///
     /// # Errors
     ///
-    /// If the endpoint refuses or does not answer.
+    /// If the endpoint refuses the task or does not answer.
     pub async fn start(&self, start: &Start) -> Result<Task, http::Error> {
         let url = format!("{}/tasks", self.url);
         self.http
@@ -105,7 +106,7 @@
             .await
     }
 
-    /// Returns all tasks, those that have ended among them.
+    /// Lists all tasks, including those that have ended.
     ///
     /// # Errors
     ///
@@ -115,7 +116,7 @@
         self.http.get(&url, Instant::now() + CALL_TIMEOUT).await
     }
 
-    /// Renews the leases of tasks; returns those still known.
+    /// Renews the leases of `tasks`. Returns those that the endpoint knows.
     ///
     /// # Errors
     ///
@@ -130,7 +131,7 @@
             .await
     }
 
-    /// Stops a task, after a checkpoint if it can make one.
+    /// Stops a task. A task that supports it writes a checkpoint first.
     ///
     /// # Errors
     ///
@@ -142,7 +143,8 @@
             .await
     }
 
-    /// Lets the endpoint forget a task that has ended.
+    /// Deletes the record of a task that has ended; succeeds if the endpoint
+    /// does not know the task.
     ///
     /// # Errors
     ///
--- a/src/explain/cause.rs
+++ b/src/explain/cause.rs
@@ -35,7 +35,8 @@
     /// A run took longer than expected.
     Slow,
     /// The end of the job was recorded late.
-    Noting,
+    #[serde(rename = "noting")]
+    EndRecording,
     /// None of the above: the work itself takes that long.
     Work,
 }
@@ -56,7 +57,7 @@
             Cause::Broken => "runs of a gang failed as a whole",
             Cause::Stuck => "a run made no progress",
             Cause::Slow => "a run took longer than expected",
-            Cause::Noting => "the end was recorded late",
+            Cause::EndRecording => "the end was recorded late",
             Cause::Work => "the work itself takes that long",
         })
     }
@@ -64,7 +65,7 @@
 
 /// Returns the cause for a run that did not end as done. `how` and `why` are
 /// the values of the planner's log lines about the end and the stop.
-pub fn of_end(how: &str, why: Option<&str>) -> Cause {
+pub fn for_run_end(how: &str, why: Option<&str>) -> Cause {
     match (how, why) {
         (_, Some("room for urgent work")) => Cause::Displaced,
         (_, Some("stuck")) => Cause::Stuck,
@@ -75,7 +76,7 @@
 }
 
 /// Returns the cause for a request that was answered with an error status.
-pub fn of_status(status: i64) -> Cause {
+pub fn for_status(status: i64) -> Cause {
     match status {
         401 => Cause::Key,
         400..=499 => Cause::Request,
@@ -84,7 +85,7 @@
 }
 
 /// Returns the cause for a wait. `on` is the value of the log line.
-pub fn of_wait(on: &str) -> Cause {
+pub fn for_wait(on: &str) -> Cause {
     match on {
         "a worker" => Cause::Worker,
         "a rack" => Cause::Rack,
--- a/src/explain/history.rs
+++ b/src/explain/history.rs
@@ -131,7 +131,7 @@
 fn refusal(lines: &[&Line]) -> Cause {
     let statuses = lines.iter().rev();
     let mut statuses = statuses.filter_map(|line| line.number("status"));
-    statuses.next().map_or(Cause::Store, cause::of_status)
+    statuses.next().map_or(Cause::Store, cause::for_status)
 }
 
 /// Returns the line about the admission of the job by a planner.
@@ -167,7 +167,7 @@
             "planner: a unit waits" => {
                 self.end_wait(line.written_at);
                 let on = line.text("on").unwrap_or_default();
-                self.wait = Some((cause::of_wait(on), line.written_at));
+                self.wait = Some((cause::for_wait(on), line.written_at));
             }
             "planner: room is kept" => {
                 self.end_wait(line.written_at);
@@ -213,7 +213,8 @@
             }
             "done" => {}
             how => {
-                let cause = cause::of_end(how, self.stop_reason.as_deref());
+                let cause =
+                    cause::for_run_end(how, self.stop_reason.as_deref());
                 self.add(cause, ran);
             }
         }
@@ -249,7 +250,7 @@
         .iter()
         .find(|line| line.message.ends_with(JOB_ENDED_SUFFIX));
     if let (Some(last), Some(end)) = (last_unit.last, end_line) {
-        add(Cause::Noting, last, Some(end.written_at));
+        add(Cause::EndRecording, last, Some(end.written_at));
     }
     costs.retain(|_, cost| !cost.is_zero());
     costs
--- a/src/job.rs
+++ b/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs: what is asked for, and how each ends.
+//! Jobs: their specification and outcome.
 
 use std::fmt;
 use std::sync::Arc;
@@ -15,33 +15,34 @@
 pub type Id = Arc<str>;
 /// The name of a template.
 pub type TemplateId = Arc<str>;
-/// The number of a job's start, counted from 1.
+/// The number of a start of a job, counted from 1.
 pub type Attempt = u32;
 
-/// What the decision core needs to know of a job.
+/// The specification of a job, as the decision core sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Spec {
-    /// Its name.
+    /// The name of the job.
     pub id: Id,
-    /// The client account it belongs to.
+    /// The client account that owns the job.
     pub account: account::Id,
-    /// The template it was made from.
+    /// The template that the job was created from.
     pub template: TemplateId,
-    /// The accelerators that it needs together.
+    /// The accelerators that the job needs at the same time.
     pub shape: Shape,
-    /// How long its caller or template says it runs.
+    /// The expected run time, declared by the caller or the template.
     #[serde(with = "crate::util::duration_ms")]
     pub declared: Duration,
-    /// Whether it may be started again after it may have run.
+    /// Whether a job that may have run already may be started again.
     pub repeatable: bool,
-    /// Whether it can checkpoint, and so keep its progress when stopped.
+    /// Whether the job can write checkpoints and so keep its progress when it
+    /// is stopped.
     pub checkpoint: bool,
-    /// Whether it goes before all work that is not urgent.
+    /// Whether the job takes precedence over all jobs that are not urgent.
     pub urgent: bool,
-    /// When it was accepted.
+    /// When the job was accepted.
     #[serde(with = "crate::util::time_ms")]
     pub submitted: SystemTime,
-    /// When its caller needs it, if it matters.
+    /// When the caller needs the result, if there is a deadline.
     #[serde(default, with = "crate::util::option_time_ms")]
     pub due: Option<SystemTime>,
 }
@@ -49,27 +50,27 @@
 impl Spec {
     /// Returns whether the job may be stopped to give its accelerators back.
     ///
-    /// Only a repeatable job may: what was stopped must be started again,
-    /// and a job that may not repeat is never started twice, not even from
-    /// its own checkpoint.
+    /// Only repeatable jobs may be: a stopped job has to be started again, and
+    /// a job that is not repeatable is never started twice, not even from its
+    /// own checkpoint.
     pub fn is_reclaimable(&self) -> bool {
         self.repeatable
     }
 }
 
-/// How a job ended.
+/// The outcome of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It ran to its end.
+    /// The job ran to its end.
     Done,
-    /// It ran and failed.
+    /// The job ran and failed.
     Failed,
-    /// Its caller cancelled it.
+    /// The caller cancelled the job.
     Cancelled,
-    /// It did not run, and never will.
+    /// The job did not run and never will.
     NotRun,
-    /// It may have run; nobody can say.
+    /// The job may have run; this cannot be determined.
     Unknown,
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,27 +3,34 @@
 //! # Overview
 //!
 //! A *client account* is guaranteed shapes of adjacent accelerators and may
-//! borrow more. A *job* is made from a template and runs as a *gang*: one
+//! borrow more. A *job* is created from a template and runs as a *gang*: one
 //! task on each of its workers, on all of them or on none.
 //!
-//! * [`site`], [`account`], [`job`] and [`config`] are the nouns.
-//! * [`plan`] decides: (state, event, now) -> commands, without clock, I/O
-//!   or randomness. [`replay`] drives it with recorded traces.
-//! * [`planner`] drives it with what agents, callers and operators say, and
-//!   carries its commands out. It is hosted by an [`entry`].
-//! * [`agent`] owns one worker's accelerators; its ledger keeps gangs whole.
-//! * [`wire`] is what these processes say to each other; [`store`], [`vms`]
-//!   and [`endpoint`] are the seams towards the platform; [`http`] both
-//!   sides of HTTP.
-//! * [`graph`] decides about jobs of steps, and [`cell`] carries that out on
-//!   any [`store::Store`]; `landingvalve-platform` brings both to the users'
-//!   platform. The two cores are to become one.
-//! * [`explain`] tells from their logs what became of a job.
-//! * [`settings`], [`log`] and [`telemetry`] make programs of it all.
+//! The crate has two decision cores, which are to be merged. Both are
+//! deterministic: they map a state, an event and the current time to commands,
+//! without a clock, I/O or randomness.
+//!
+//! * [`plan`] is the core for single jobs and the guarantees of accounts.
+//!   [`planner`] feeds it the events of agents, callers and operators and
+//!   executes its commands; an [`entry`] process hosts it. [`replay`] feeds it
+//!   recorded traces.
+//! * [`graph`] is the core for jobs of several steps. [`cell`] runs it on any
+//!   [`store::Store`]; the crate `landingvalve-platform` connects both to the
+//!   users' platform.
+//! * [`agent`] manages the accelerators of one worker. Its ledger ensures that
+//!   a gang runs on all of its workers or on none.
+//! * [`site`], [`account`], [`job`] and [`config`] define the model: workers
+//!   and shapes, client accounts, jobs, and the operators' configuration.
+//! * [`wire`] defines the messages between the processes. [`store`], [`vms`]
+//!   and [`endpoint`] are clients of the platform, [`http`] is the HTTP client
+//!   and server that all of them use.
+//! * [`explain`] derives the outcome of a job from logs.
+//! * [`settings`], [`program`], [`log`] and [`telemetry`] are shared by the
+//!   programs.
 //!
 //! # Deciding
 //!
-//! A plan is told what happened and returns what is to be done:
+//! A plan maps events to commands:
 //!
 //! ```
 //! use std::time::Duration;
@@ -68,7 +75,7 @@
 //! };
 //! let commands = plan.step([Event::Submitted { spec }], now);
 //! let [Command::Start { pieces, .. }] = &commands[..] else {
-//!     panic!("the gang starts whole");
+//!     panic!("expected a start of the whole gang");
 //! };
 //! assert_eq!(pieces.len(), 2);
 //! # Ok::<(), landingvalve::site::Error>(())
@@ -76,7 +83,7 @@
 //!
 //! # Replaying
 //!
-//! The same code runs on a virtual clock:
+//! An engine runs the same code on the virtual clock of a trace:
 //!
 //! ```
 //! use landingvalve::plan::Plan;
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,6 +1,7 @@
-//! Logs: short sentences, each with a fixed prefix for its part.
+//! Loggers and rate limits of log lines.
 //!
-//! The prefixes are `entry:`, `planner:` and `agent:`.
+//! A message is a short sentence after the prefix of its part, such as
+//! `entry:`, `planner:` or `agent:`.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -14,20 +15,21 @@
 use slog::Level;
 use slog::Logger;
 
-/// How many lines may wait to be written before some are dropped.
+/// The maximum number of lines that wait to be written. Further lines are
+/// dropped.
 const MAX_QUEUED_LINES: usize = 4096;
 
-/// How lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Text for people.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Returns a logger that writes off the caller's thread: text for people to
-/// standard error, JSON for collectors to standard output.
+/// Returns the logger of a process. A background thread writes text to
+/// standard error, or JSON to standard output.
 ///
 /// # Examples
 ///
@@ -35,7 +37,7 @@
 /// use landingvalve::log;
 ///
 /// let log = log::root(log::Format::Json, slog::Level::Info, "w1");
-/// slog::info!(log, "agent: has started");
+/// slog::info!(log, "agent: started");
 /// ```
 pub fn root(format: Format, level: Level, process: &str) -> Logger {
     let drain: Box<dyn Drain<Ok = (), Err = slog::Never> + Send> = match format
@@ -58,15 +60,16 @@
     Logger::root(drain, o!("process" => process.to_owned()))
 }
 
-/// Returns a logger that writes nothing.
+/// Returns a logger that discards all lines.
 pub fn none() -> Logger {
     Logger::root(slog::Discard, o!())
 }
 
-/// How often a line is written that others can bring about at will.
+/// The minimum interval between repeated lines that outside parties can
+/// trigger at will.
 const THROTTLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Says when a line that may repeat without end is due: once a second.
+/// A rate limit for a log line that may repeat without end: once a second.
 #[derive(Debug, Default)]
 pub struct Throttle {
     next: Mutex<Option<Instant>>,
@@ -74,7 +77,8 @@
 }
 
 impl Throttle {
-    /// Returns whether the line may be written now, else counts it.
+    /// Returns whether the line may be written now; counts it as suppressed
+    /// otherwise.
     pub fn is_due(&self) -> bool {
         let now = Instant::now();
         let mut next =
@@ -89,7 +93,7 @@
         due
     }
 
-    /// Returns how many lines were left out since this was last asked.
+    /// Returns the number of lines suppressed since the last call.
     pub fn take_suppressed(&self) -> u64 {
         self.suppressed.swap(0, Ordering::Relaxed)
     }
--- a/src/program.rs
+++ b/src/program.rs
@@ -1,4 +1,4 @@
-//! What the long-running programs have in common: arguments and signals.
+//! Arguments, telemetry and signals of the long-running programs.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -15,25 +15,25 @@
 use crate::settings::File;
 use crate::telemetry::Telemetry;
 
-/// How long a planned stop may take.
+/// How long a graceful stop may take.
 pub const STOP_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The arguments of a long-running program.
 #[derive(Debug, Parser)]
 #[command(version)]
 pub struct Args {
-    /// The settings, in INI.
+    /// The settings file, in INI format.
     #[arg(long, global = true, value_name = "FILE")]
     pub settings: Option<PathBuf>,
-    /// Print every setting, with its value and its source, and exit.
+    /// Print every setting with its value and source, and exit.
     #[arg(long)]
     pub print_settings: bool,
-    /// What to do instead of running.
+    /// A command to run instead of the program.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// What a program may do instead of running.
+/// A command that replaces the normal run of a program.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Check the settings and exit.
@@ -41,18 +41,19 @@
 }
 
 impl Args {
-    /// Returns the path of the settings.
+    /// Returns the path of the settings file.
     ///
     /// # Errors
     ///
-    /// If it was not given.
+    /// If `--settings` is missing.
     pub fn path(&self) -> eyre::Result<PathBuf> {
         self.settings
             .clone()
             .ok_or_else(|| eyre::eyre!("--settings FILE is missing"))
     }
 
-    /// Prints the settings if that was asked for, and returns whether.
+    /// Prints the settings if `--print-settings` was given. Returns whether it
+    /// was.
     pub fn print_if_requested(&self, file: &File) -> bool {
         if self.print_settings {
             print!("{}", file.to_ini());
@@ -60,18 +61,19 @@
         self.print_settings
     }
 
-    /// Returns whether the settings were only to be checked.
+    /// Returns whether the command is `check-settings`.
     pub fn is_check_only(&self) -> bool {
         matches!(self.command, Some(Command::CheckSettings))
     }
 }
 
-/// Sets up telemetry as the settings ask, with the local page.
+/// Sets up telemetry as the settings specify, and serves the local metrics
+/// page if they name an address for it.
 ///
 /// # Errors
 ///
-/// If the collector's address cannot be used, or the page's not listened
-/// on.
+/// If the URL of the collector is invalid, or the address of the page cannot
+/// be bound.
 pub async fn start_telemetry(
     process: &str,
     common: &Common,
@@ -88,12 +90,11 @@
     Ok((telemetry, page))
 }
 
-/// Waits until the process is asked to stop, and returns the deadline by
-/// which it must have.
+/// Waits for SIGTERM or SIGINT, and returns the deadline of the graceful stop.
 ///
 /// # Errors
 ///
-/// If signals cannot be received.
+/// If the signal handlers cannot be installed.
 pub async fn wait_for_stop_signal() -> std::io::Result<Instant> {
     let mut term = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/src/record.rs
+++ b/src/record.rs
@@ -1,4 +1,4 @@
-//! The record of a job: what the store keeps of it.
+//! The record of a job in the store.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,41 +11,42 @@
 use crate::wire::gang::Member;
 use crate::wire::gang::Work;
 
-/// What the keys of records start with.
+/// The prefix of the store keys of records.
 pub const PREFIX: &str = "/landingvalve/job/";
 
-/// Says that a start that may not repeat was about to be decided.
+/// A note that a start that must not repeat is about to be decided, written
+/// before the decision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Mark {
-    /// The start.
+    /// The gang of the start.
     pub gang: gang::Id,
-    /// Its members.
+    /// The members of the gang.
     pub members: Vec<Member>,
-    /// The lives of the members' agents, in the same order. An agent in
-    /// the same life that knows nothing of the gang never began it.
+    /// The incarnations of the members' agents, in the same order. An agent
+    /// of the same incarnation that does not know the gang never began it.
     #[serde(default)]
     pub incarnations: Vec<Incarnation>,
 }
 
-/// How a job ended: its answer.
+/// The end of a job and its answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct End {
-    /// How it ended.
+    /// The outcome of the job.
     pub outcome: Outcome,
-    /// Why, in words.
+    /// The reason for the outcome, in words.
     pub reason: String,
-    /// The start that the answer belongs to, 0 for none.
+    /// The start that produced the answer, 0 for none.
     pub attempt: job::Attempt,
-    /// What the job answered.
+    /// The output of the job, if any.
     pub output: Option<String>,
-    /// The length of the output in bytes.
+    /// The length of the output, in bytes.
     pub length: usize,
     /// The digest of the output.
     pub digest: digest::Hex,
 }
 
 impl End {
-    /// Returns an end, with the length and digest of its output.
+    /// Returns an end with the length and digest of `output`.
     pub fn new(
         outcome: Outcome,
         reason: impl Into<String>,
@@ -67,35 +68,35 @@
 /// The record of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// The job.
+    /// The specification of the job.
     pub spec: job::Spec,
-    /// The digest of the request that made it.
+    /// The digest of the request that submitted the job.
     pub request: digest::Hex,
-    /// What its tasks run.
+    /// The work that the tasks of the job run.
     pub work: Work,
-    /// The last start that may not repeat.
+    /// The last start that must not repeat, if there was one.
     #[serde(default)]
     pub mark: Option<Mark>,
-    /// Whether its caller has cancelled it.
+    /// Whether the caller has cancelled the job.
     #[serde(default)]
     pub cancelled: bool,
-    /// How it ended, if it has.
+    /// The end of the job, once it has ended.
     #[serde(default)]
     pub end: Option<End>,
 }
 
 impl Record {
-    /// Returns the key of a job's record.
+    /// Returns the store key of the record of `job`.
     pub fn key(job: &str) -> String {
         format!("{PREFIX}{job}")
     }
 
-    /// Returns the record as the store keeps it.
+    /// Serializes the record for the store.
     pub fn bytes(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Returns the record that the store kept.
+    /// Parses a record from the store. Returns `None` if it is malformed.
     pub fn parse(bytes: &[u8]) -> Option<Record> {
         serde_json::from_slice(bytes).ok()
     }
--- a/src/site.rs
+++ b/src/site.rs
@@ -1,7 +1,7 @@
-//! The site: halls of racks of workers, and shapes that fit in them.
+//! The site: halls of racks of workers, and the shapes that fit on them.
 //!
-//! A [`Site`] only grows. Whether a worker is healthy, leaving or lost is
-//! not its business: the [`plan`](crate::plan) keeps that.
+//! A [`Site`] only grows. It does not know whether a worker is healthy, leaving
+//! or lost; the [`plan`](crate::plan) tracks that.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -16,15 +16,15 @@
 pub type RackId = Arc<str>;
 /// The name of a hall.
 pub type HallId = Arc<str>;
-/// The position of a worker in its [`Site`].
+/// The index of a worker in its [`Site`].
 pub type WorkerIndex = usize;
 /// A set of accelerators of one worker, one bit each.
 pub type Mask = u64;
 
-/// The most accelerators a worker may have: the bits of a [`Mask`].
+/// The maximum number of accelerators of a worker: the bits of a [`Mask`].
 pub const MAX_ACCELERATORS: u32 = Mask::BITS;
 
-/// The smallest part of a site that must hold a whole shape.
+/// The part of a site that must contain a whole shape.
 #[derive(
     Clone,
     Copy,
@@ -64,14 +64,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Shape {
-    /// How many accelerators.
+    /// The number of accelerators.
     pub accelerators: u32,
-    /// Where they must lie together.
+    /// The part of the site that must contain all of them.
     pub within: Within,
 }
 
 impl Shape {
-    /// Returns whether a job of shape `job` may run inside this shape.
+    /// Returns whether a job of shape `job` fits inside this shape.
     ///
     /// # Examples
     ///
@@ -95,7 +95,7 @@
     }
 }
 
-/// A worker's accelerators that belong to one job.
+/// The accelerators of one worker that belong to one job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
     /// The worker.
@@ -105,49 +105,49 @@
 }
 
 impl Piece {
-    /// Returns how many accelerators the piece has.
+    /// Returns the number of accelerators of the piece.
     pub fn len(&self) -> u32 {
         self.mask.count_ones()
     }
 
-    /// Returns whether the piece has no accelerator.
+    /// Returns whether the piece has no accelerators.
     pub fn is_empty(&self) -> bool {
         self.mask == 0
     }
 }
 
-/// A worker and where it stands.
+/// A worker and its location.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// Its name.
+    /// The name of the worker.
     pub id: WorkerId,
-    /// The position of its rack.
+    /// The index of its rack in [`Site::racks`].
     pub rack: usize,
-    /// The position of its hall.
+    /// The index of its hall in [`Site::halls`].
     pub hall: usize,
 }
 
 /// A rack and the workers in it.
 #[derive(Clone, Debug)]
 pub struct Rack {
-    /// Its name.
+    /// The name of the rack.
     pub id: RackId,
-    /// The position of its hall.
+    /// The index of its hall in [`Site::halls`].
     pub hall: usize,
-    /// The positions of its workers.
+    /// The indexes of its workers.
     pub workers: Vec<WorkerIndex>,
 }
 
 /// A hall and the workers in it.
 #[derive(Clone, Debug)]
 pub struct Hall {
-    /// Its name.
+    /// The name of the hall.
     pub id: HallId,
-    /// The positions of its workers.
+    /// The indexes of its workers.
     pub workers: Vec<WorkerIndex>,
 }
 
-/// Halls, racks and workers, and how many accelerators each worker has.
+/// Halls, racks and workers, and the number of accelerators of each worker.
 #[derive(Clone, Debug)]
 pub struct Site {
     accelerators: u32,
@@ -158,7 +158,7 @@
     by_id: BTreeMap<WorkerId, WorkerIndex>,
 }
 
-/// A site that cannot be described.
+/// An invalid description of a site.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The number of accelerators is out of range.
@@ -166,13 +166,14 @@
         "accelerators: {0} is out of range, expected 1 to {MAX_ACCELERATORS}"
     )]
     Accelerators(u32),
-    /// A worker was named twice, at two places.
-    #[error("worker: {0:?} is named twice, expected one place a worker")]
+    /// A worker is listed in two racks.
+    #[error("worker: {0:?} is in two racks, expected one rack per worker")]
     DuplicateWorker(WorkerId),
 }
 
 impl Site {
-    /// Returns a site without workers.
+    /// Returns a site without workers, each of which will have `accelerators`
+    /// accelerators.
     ///
     /// # Errors
     ///
@@ -191,13 +192,12 @@
         })
     }
 
-    /// Adds a worker and returns its position.
-    ///
-    /// A worker that is there already at the same place keeps its position.
+    /// Adds a worker, and its hall and rack if they are new. Returns the index
+    /// of the worker, which stays the same if the worker is added again.
     ///
     /// # Errors
     ///
-    /// If the worker stands in another rack already.
+    /// If the worker is already in another rack.
     pub fn add(
         &mut self,
         hall: &str,
@@ -226,6 +226,7 @@
         Ok(index)
     }
 
+    /// Returns the index of a hall, which is added if it is new.
     fn hall(&mut self, id: &str) -> usize {
         match self.halls.iter().position(|hall| &*hall.id == id) {
             Some(index) => index,
@@ -239,9 +240,11 @@
         }
     }
 
+    /// Returns the index of a rack, which is added if it is new. Racks of
+    /// different halls may share a name.
     fn rack(&mut self, hall: usize, id: &str) -> usize {
-        let known = |rack: &Rack| rack.hall == hall && &*rack.id == id;
-        match self.racks.iter().position(known) {
+        let matches = |rack: &Rack| rack.hall == hall && &*rack.id == id;
+        match self.racks.iter().position(matches) {
             Some(index) => index,
             None => {
                 self.racks.push(Rack {
@@ -254,17 +257,17 @@
         }
     }
 
-    /// Returns how many accelerators each worker has.
+    /// Returns the number of accelerators of each worker.
     pub fn accelerators(&self) -> u32 {
         self.accelerators
     }
 
-    /// Returns the mask of a whole worker.
+    /// Returns the mask of all accelerators of a worker.
     pub fn full_mask(&self) -> Mask {
         Mask::MAX >> (MAX_ACCELERATORS - self.accelerators)
     }
 
-    /// Returns the workers in the order of their positions.
+    /// Returns the workers, in the order of their indexes.
     pub fn workers(&self) -> &[Worker] {
         &self.workers
     }
@@ -279,13 +282,13 @@
         &self.halls
     }
 
-    /// Returns the position of a worker.
+    /// Returns the index of a worker, if it is on the site.
     pub fn index(&self, worker: &str) -> Option<WorkerIndex> {
         self.by_id.get(worker).copied()
     }
 
-    /// Returns the parts of the site that `within` speaks of, each as the
-    /// positions of its workers.
+    /// Returns the parts of the site of the kind `within`, each as the indexes
+    /// of its workers.
     pub fn domains(
         &self,
         within: Within,
@@ -302,7 +305,8 @@
         }
     }
 
-    /// Returns whether `shape` lies within one part of the site, as it asks.
+    /// Returns whether all `pieces` lie within one part of the site of the kind
+    /// `within`.
     pub fn lies_within(&self, pieces: &[Piece], within: Within) -> bool {
         let Some(first) = pieces.first() else {
             return true;
--- a/src/vms.rs
+++ b/src/vms.rs
@@ -1,4 +1,6 @@
-//! The platform's list of live and leaving VMs, which lags.
+//! A client of the platform's list of live and leaving VMs.
+//!
+//! The list lags behind the actual state of the VMs.
 
 use std::time::Duration;
 
@@ -11,10 +13,10 @@
 use crate::site::RackId;
 use crate::site::WorkerId;
 
-/// How long one call may take.
+/// The timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a VM is for.
+/// The role of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
@@ -24,34 +26,34 @@
     Endpoint,
 }
 
-/// Whether a VM is to stay.
+/// Whether a VM is about to leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
-    /// It is live.
+    /// The VM is live.
     Live,
-    /// It is leaving.
+    /// The VM is about to leave.
     Leaving,
 }
 
-/// A VM of the list.
+/// An entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
-    /// Its name; an endpoint's is its worker's.
+    /// The name of the VM. For an endpoint VM this is the name of its worker.
     pub name: WorkerId,
-    /// What it is for.
+    /// The role of the VM.
     pub role: Role,
-    /// Whether it is to stay.
+    /// Whether the VM is live or about to leave.
     pub state: Status,
-    /// Its hall.
+    /// The hall of the VM.
     pub hall: HallId,
-    /// Its rack.
+    /// The rack of the VM.
     pub rack: RackId,
-    /// Where our process on it listens for others of ours.
+    /// The address of the process of this system on the VM, for its peers.
     pub address: String,
 }
 
-/// A client of the list.
+/// A client of the list of VMs.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: http::Client,
@@ -59,7 +61,7 @@
 }
 
 impl Client {
-    /// Returns a client of the list at `url`.
+    /// Returns a client of the list of the platform at `url`.
     pub fn new(http: http::Client, url: impl Into<String>) -> Client {
         Client {
             http,
@@ -67,11 +69,11 @@
         }
     }
 
-    /// Returns the list.
+    /// Returns the current list.
     ///
     /// # Errors
     ///
-    /// If the platform does not answer.
+    /// If the platform does not answer with a valid list.
     pub async fn list(&self) -> Result<Vec<Vm>, http::Error> {
         let deadline = Instant::now() + CALL_TIMEOUT;
         self.http.get(&format!("{}/vms", self.url), deadline).await
