--- a/src/bin/landingvalve-agent.rs
+++ b/src/bin/landingvalve-agent.rs
@@ -30,10 +30,7 @@
     let agent = Agent::start(config).await?;
     slog::info!(log, "agent: started"; "listen" => %agent.address());
     let deadline = program::wait_for_stop_signal().await?;
-    slog::info!(
-        log,
-        "agent: stopping once idle; new work is refused"
-    );
+    slog::info!(log, "agent: stopping once idle; new work is refused");
     agent.stop(deadline).await;
     tokio::task::spawn_blocking(|| telemetry.stop()).await?;
     Ok(())
--- a/src/bin/landingvalve-replay.rs
+++ b/src/bin/landingvalve-replay.rs
@@ -31,7 +31,8 @@
     /// The policy that decides.
     #[arg(long, value_enum, default_value = "landingvalve")]
     policy: Choice,
-    /// The weight of keeping whole workers free against early completion, 0 to 1.
+    /// The weight of keeping whole workers free against early completion, 0 to
+    /// 1.
     #[arg(long, default_value_t = 0.5, value_parser = weight)]
     weight_fragmentation: f64,
     /// Print the report on one line instead of indented.
@@ -40,7 +41,8 @@
     /// Include the wall time of decisions, which differs between runs.
     #[arg(long)]
     timing: bool,
-    /// Write a chart of accelerators by account and of fragmentation over time.
+    /// Write a chart of accelerators by account and of fragmentation over
+    /// time.
     #[arg(long, value_name = "FILE.svg")]
     plot: Option<PathBuf>,
 }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -8,8 +8,9 @@
 //! timers. A timer may fire early or late; the code that it wakes compares a
 //! [`BootInstant`] before it acts.
 //!
-//! A [`BootInstant`] is an instant of the runtime's clock, which tests can pause
-//! and advance, plus the time that the machine has been suspended so far.
+//! A [`BootInstant`] is an instant of the runtime's clock, which tests can
+//! pause and advance, plus the time that the machine has been suspended so
+//! far.
 
 use std::cell::Cell;
 use std::ops::Add;
@@ -64,7 +65,8 @@
     }
 }
 
-/// Returns the current instant of the runtime's clock, which simulations pause.
+/// Returns the current instant of the runtime's clock, which simulations
+/// pause.
 pub fn now() -> std::time::Instant {
     Instant::now().into_std()
 }
--- a/src/explain/history.rs
+++ b/src/explain/history.rs
@@ -64,8 +64,8 @@
         lines
     }
 
-    /// Returns the time of the first request, or `None` without lines. The line
-    /// about a request is written at its end and holds its duration.
+    /// Returns the time of the first request, or `None` without lines. The
+    /// line about a request is written at its end and holds its duration.
     pub fn began(&self) -> Option<SystemTime> {
         let request_time = |line: &Line| {
             let took = line.duration("ms").unwrap_or_default();
--- a/src/replay/baseline.rs
+++ b/src/replay/baseline.rs
@@ -1,8 +1,8 @@
-//! Baselines that know nothing of guarantees: `fifo`, `scatter`, `backfill`.
+//! Baseline policies without guarantees: `fifo`, `scatter` and `backfill`.
 //!
-//! Every healthy accelerator is open to every job, and nothing is
-//! reclaimed. What a lost or failing worker breaks is queued again at its
-//! place of arrival.
+//! Every job may use every healthy accelerator, and no job is stopped for
+//! another. Jobs interrupted by a lost or failing worker return to their
+//! original position in the queue.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,19 +22,20 @@
 use crate::site::Within;
 use crate::site::WorkerIndex;
 
-/// How often a job may fail before it ends so: the default of batch
-/// controllers in common use, so that no baseline retries without end.
+/// The number of failures after which a job ends as failed, so that no
+/// baseline retries forever. This is the default of common batch controllers.
 const MAX_FAILURES: u32 = 6;
 
-/// Which baseline.
+/// The kind of a baseline policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// First fit in arrival order; the head of the line waits.
+    /// First fit in order of arrival. The first job that does not fit blocks
+    /// all later ones.
     Fifo,
-    /// Least loaded worker first, in arrival order, skipping what does not
-    /// fit.
+    /// Least loaded worker first, in order of arrival. Jobs that do not fit
+    /// are skipped.
     Scatter,
-    /// EASY backfill by declared run times, best fit.
+    /// EASY backfill with declared run times, best fit.
     Backfill,
 }
 
@@ -53,11 +54,11 @@
     stopping: bool,
 }
 
-/// A baseline and its books.
+/// A baseline policy and its state.
 pub struct Baseline {
     kind: Kind,
     site: Site,
-    up: Vec<bool>,
+    available: Vec<bool>,
     used: Vec<Mask>,
     jobs: BTreeMap<job::Id, Job>,
     queue: BTreeMap<u64, job::Id>,
@@ -65,13 +66,13 @@
 }
 
 impl Baseline {
-    /// Returns a baseline for a site on which no worker has been seen yet.
+    /// Returns a baseline for a site none of whose workers is available yet.
     pub fn new(kind: Kind, site: Site) -> Baseline {
         let count = site.workers().len();
         Baseline {
             kind,
             site,
-            up: vec![false; count],
+            available: vec![false; count],
             used: vec![0; count],
             jobs: BTreeMap::new(),
             queue: BTreeMap::new(),
@@ -80,21 +81,28 @@
     }
 
     fn free(&self, worker: WorkerIndex) -> Mask {
-        match self.up[worker] {
+        match self.available[worker] {
             true => self.site.full_mask() & !self.used[worker],
             false => 0,
         }
     }
 
-    fn take(&mut self, event: Event, now: SystemTime, out: &mut Vec<Command>) {
+    fn handle(
+        &mut self,
+        event: Event,
+        now: SystemTime,
+        out: &mut Vec<Command>,
+    ) {
         match event {
             Event::Submitted { spec } => self.submitted(spec, out),
             Event::Cancelled { job } => self.cancelled(&job, out),
-            Event::WorkerUp { worker } => self.set_up(&worker, true),
-            Event::WorkerLeaving { worker } => self.set_up(&worker, false),
+            Event::WorkerUp { worker } => self.set_available(&worker, true),
+            Event::WorkerLeaving { worker } => {
+                self.set_available(&worker, false)
+            }
             Event::WorkerLost { worker } => {
-                self.set_up(&worker, false);
-                self.break_jobs(&worker, out);
+                self.set_available(&worker, false);
+                self.stop_jobs_on(&worker, out);
             }
             Event::Completed { job, .. } => {
                 self.finish(&job, Outcome::Done, "", out);
@@ -123,7 +131,7 @@
             },
         );
         if !possible {
-            let reason = "no part of the site holds it";
+            let reason = "the shape fits on no part of the site";
             self.finish(&id, Outcome::NotRun, reason, out);
         }
     }
@@ -154,24 +162,24 @@
         }
     }
 
-    fn set_up(&mut self, worker: &str, up: bool) {
+    fn set_available(&mut self, worker: &str, up: bool) {
         if let Some(index) = self.site.index(worker) {
-            self.up[index] = up;
+            self.available[index] = up;
         }
     }
 
-    fn break_jobs(&mut self, worker: &str, out: &mut Vec<Command>) {
+    fn stop_jobs_on(&mut self, worker: &str, out: &mut Vec<Command>) {
         let Some(index) = self.site.index(worker) else {
             return;
         };
-        let on_it = |job: &Job| {
+        let uses_worker = |job: &Job| {
             let pieces = job.run.iter().flat_map(|run| &run.pieces);
             pieces.into_iter().any(|piece| piece.worker == index)
         };
         let ids: Vec<job::Id> = self
             .jobs
             .iter()
-            .filter(|(_, job)| on_it(job))
+            .filter(|(_, job)| uses_worker(job))
             .map(|(id, _)| id.clone())
             .collect();
         for id in ids {
@@ -269,19 +277,19 @@
 
     fn schedule(&mut self, now: SystemTime, out: &mut Vec<Command>) {
         let mut reserved: Option<(SystemTime, Vec<Piece>)> = None;
-        // A shape that fits nowhere fits nowhere for later jobs either.
-        let mut hopeless: Vec<Shape> = Vec::new();
+        // A shape that fits nowhere does not fit for later jobs either.
+        let mut unplaceable: Vec<Shape> = Vec::new();
         for id in self.queue.values().cloned().collect::<Vec<_>>() {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
             let shape = job.spec.shape;
-            if hopeless.contains(&shape) {
+            if unplaceable.contains(&shape) {
                 continue;
             }
             let ends = now + job.spec.declared;
             let open = |w: WorkerIndex| match &reserved {
-                Some((shadow, pieces)) if ends > *shadow => {
+                Some((start, pieces)) if ends > *start => {
                     let kept = crate::plan::home::mask_on(pieces, w);
                     self.free(w) & !kept
                 }
@@ -291,28 +299,29 @@
                 Some(pieces) => self.start(&id, pieces, now, out),
                 None if self.kind == Kind::Fifo => break,
                 None if self.kind == Kind::Backfill && reserved.is_none() => {
-                    reserved = self.shadow(shape, now);
+                    reserved = self.reservation(shape, now);
                 }
-                None if self.kind == Kind::Scatter => hopeless.push(shape),
+                None if self.kind == Kind::Scatter => unplaceable.push(shape),
                 None => {}
             }
         }
     }
 
-    /// Returns when and where the head of the line will fit, if all jobs
-    /// end as they declared.
-    fn shadow(
+    /// Returns the earliest time and place at which `shape` fits if all
+    /// running jobs end at their declared times.
+    fn reservation(
         &self,
         shape: Shape,
         now: SystemTime,
     ) -> Option<(SystemTime, Vec<Piece>)> {
         let mut frees: Vec<Mask> =
-            (0..self.up.len()).map(|w| self.free(w)).collect();
+            (0..self.available.len()).map(|w| self.free(w)).collect();
         let mut runs: Vec<&Run> =
             self.jobs.values().filter_map(|j| j.run.as_ref()).collect();
         runs.sort_by_key(|run| run.ends);
         for run in runs {
-            for piece in run.pieces.iter().filter(|p| self.up[p.worker]) {
+            for piece in run.pieces.iter().filter(|p| self.available[p.worker])
+            {
                 frees[piece.worker] |= piece.mask;
             }
             if let Some(pieces) = self.fit(shape, &|w| frees[w]) {
@@ -390,15 +399,16 @@
     fn step(&mut self, events: Vec<Event>, now: SystemTime) -> Vec<Command> {
         let mut out = Vec::new();
         for event in events {
-            self.take(event, now, &mut out);
+            self.handle(event, now, &mut out);
         }
         self.schedule(now, &mut out);
         out
     }
 
     fn next_deadline(&self, now: SystemTime) -> Option<SystemTime> {
-        // Declared ends pass without an event; EASY looks at them again.
-        let waits = self.kind == Kind::Backfill && !self.queue.is_empty();
-        waits.then_some(now + Duration::from_secs(60))
+        // A declared end may pass without an event, which allows more
+        // backfilling. EASY therefore decides again at intervals.
+        let needs_tick = self.kind == Kind::Backfill && !self.queue.is_empty();
+        needs_tick.then_some(now + Duration::from_secs(60))
     }
 }
--- a/src/replay/checker.rs
+++ b/src/replay/checker.rs
@@ -1,7 +1,7 @@
-//! An independent check of the promises, from events and commands alone.
+//! An independent check of the guarantees, from events and commands alone.
 //!
-//! It shares no books with any policy: it keeps its own view of who runs
-//! where, and counts what should never be.
+//! The checker shares no state with any policy. It tracks which job runs where
+//! and counts violations.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,18 +16,20 @@
 use crate::site::Shape;
 use crate::site::Site;
 
-/// What should never be, counted.
+/// The violations counted by a [`Checker`]. All counts should be 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Accounts kept waiting for an unused guaranteed shape.
+    /// Jobs that waited longer than the reclaim time although they fit into an
+    /// unused guaranteed shape of their account.
     pub guarantee_violations: u64,
-    /// Starts on other than all accelerators that were asked for.
+    /// Starts on anything other than exactly the requested accelerators, all
+    /// of them free and within one part of the site.
     pub partial_gangs: u64,
-    /// Second starts of jobs that may not repeat.
+    /// Repeated starts of jobs that are not repeatable.
     pub repeated_starts: u64,
 }
 
-/// A worker as the checker sees it.
+/// The state of a worker.
 #[derive(Clone, Copy, Debug, Default)]
 struct Worker {
     healthy: bool,
@@ -40,22 +42,27 @@
     repeatable: bool,
     starts: u32,
     pieces: Vec<Piece>,
+    /// Since when the job waits although it fits into an unused guaranteed
+    /// shape of its account.
     entitled_since: Option<SystemTime>,
-    counted: bool,
+    /// Whether the present wait was counted as a violation.
+    violation_counted: bool,
 }
 
-/// The checker and its own view of the site.
+/// A checker with its own view of the site.
 pub struct Checker {
     site: Site,
     accounts: BTreeMap<account::Id, Account>,
     workers: Vec<Worker>,
     jobs: BTreeMap<job::Id, Job>,
-    enough: Option<bool>,
+    /// Whether all guaranteed shapes fit on the healthy workers; `None` if
+    /// this has to be computed again.
+    guarantees_fit: Option<bool>,
     counts: Counts,
 }
 
 impl Checker {
-    /// Returns a checker for a site of which all workers are healthy.
+    /// Returns a checker for a site whose workers are all healthy.
     pub fn new(
         site: Site,
         accounts: BTreeMap<account::Id, Account>,
@@ -69,26 +76,27 @@
             site,
             accounts,
             jobs: BTreeMap::new(),
-            enough: None,
+            guarantees_fit: None,
             counts: Counts::default(),
         }
     }
 
-    /// Returns what was counted so far.
+    /// Returns the violations counted so far.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Takes in whether a worker is there, takes work and does it.
-    pub fn worker(&mut self, worker: &str, healthy: bool) {
+    /// Records whether a worker is healthy: present, accepting work, and not
+    /// failing its tasks.
+    pub fn set_health(&mut self, worker: &str, healthy: bool) {
         if let Some(index) = self.site.index(worker) {
             self.workers[index].healthy = healthy;
-            self.enough = None;
+            self.guarantees_fit = None;
         }
     }
 
-    /// Takes in that a job was submitted.
-    pub fn submitted(&mut self, spec: &job::Spec) {
+    /// Records the submission of a job.
+    pub fn record_submission(&mut self, spec: &job::Spec) {
         let job = Job {
             account: spec.account.clone(),
             shape: spec.shape,
@@ -96,13 +104,13 @@
             starts: 0,
             pieces: Vec::new(),
             entitled_since: None,
-            counted: false,
+            violation_counted: false,
         };
         self.jobs.insert(spec.id.clone(), job);
     }
 
-    /// Takes in a command to start a job.
-    pub fn started(&mut self, id: &job::Id, pieces: &[Piece]) {
+    /// Records a command to start a job, and checks it.
+    pub fn record_start(&mut self, id: &job::Id, pieces: &[Piece]) {
         let Some(job) = self.jobs.get_mut(id) else {
             self.counts.partial_gangs += 1;
             return;
@@ -127,11 +135,11 @@
         }
         job.pieces = pieces.to_vec();
         job.entitled_since = None;
-        job.counted = false;
+        job.violation_counted = false;
     }
 
-    /// Takes in that a job no longer has its accelerators.
-    pub fn stopped(&mut self, id: &job::Id) {
+    /// Records that a job has released its accelerators.
+    pub fn record_release(&mut self, id: &job::Id) {
         let pieces = self
             .jobs
             .get_mut(id)
@@ -142,19 +150,20 @@
         }
     }
 
-    /// Takes in that a job has ended.
-    pub fn ended(&mut self, id: &job::Id) {
-        self.stopped(id);
+    /// Records the end of a job.
+    pub fn record_end(&mut self, id: &job::Id) {
+        self.record_release(id);
         self.jobs.remove(id);
     }
 
-    /// Looks at the site after all that happened at `now`.
-    pub fn look(&mut self, now: SystemTime) {
-        let enough = match self.enough {
-            Some(enough) => enough,
-            None => self.enough_workers(),
+    /// Checks the guarantees once all events and commands at `now` are
+    /// recorded.
+    pub fn check(&mut self, now: SystemTime) {
+        let guarantees_fit = match self.guarantees_fit {
+            Some(guarantees_fit) => guarantees_fit,
+            None => self.guarantees_fit_now(),
         };
-        self.enough = Some(enough);
+        self.guarantees_fit = Some(guarantees_fit);
         let waiting: BTreeSet<account::Id> = self
             .jobs
             .values()
@@ -165,10 +174,10 @@
             return;
         }
         let mut running: BTreeMap<&account::Id, Vec<Shape>> = BTreeMap::new();
-        let of_waiting = |job: &&Job| {
+        let is_of_waiting_account = |job: &&Job| {
             !job.pieces.is_empty() && waiting.contains(&job.account)
         };
-        for job in self.jobs.values().filter(of_waiting) {
+        for job in self.jobs.values().filter(is_of_waiting_account) {
             running.entry(&job.account).or_default().push(job.shape);
         }
         let unused: BTreeMap<account::Id, Vec<Shape>> = self
@@ -177,21 +186,24 @@
             .filter(|(id, _)| waiting.contains(*id))
             .map(|(id, terms)| {
                 let running = running.remove(id).unwrap_or_default();
-                (id.clone(), unused(terms, running))
+                (id.clone(), unused_shapes(terms, running))
             })
             .collect();
         for job in self.jobs.values_mut().filter(|j| j.pieces.is_empty()) {
             let shapes = unused.get(&job.account);
-            let entitled = enough
+            let entitled = guarantees_fit
                 && shapes.into_iter().flatten().any(|s| s.holds(&job.shape));
             match job.entitled_since {
                 _ if !entitled => {
                     job.entitled_since = None;
-                    job.counted = false;
+                    job.violation_counted = false;
                 }
                 None => job.entitled_since = Some(now),
-                Some(since) if now > since + RECLAIM_TIME && !job.counted => {
-                    job.counted = true;
+                Some(since)
+                    if now > since + RECLAIM_TIME
+                        && !job.violation_counted =>
+                {
+                    job.violation_counted = true;
                     self.counts.guarantee_violations += 1;
                 }
                 Some(_) => {}
@@ -199,8 +211,9 @@
         }
     }
 
-    /// Returns whether all guaranteed shapes fit on the healthy workers.
-    fn enough_workers(&self) -> bool {
+    /// Returns whether all guaranteed shapes fit on the healthy workers
+    /// together, the largest placed first.
+    fn guarantees_fit_now(&self) -> bool {
         let whole = self.site.accelerators();
         let mut rooms: Vec<u32> = self
             .workers
@@ -213,10 +226,14 @@
             .flat_map(|terms| terms.guarantee.iter().copied())
             .collect();
         shapes.sort_by_key(|s| (std::cmp::Reverse(s.accelerators), s.within));
-        shapes.into_iter().all(|shape| self.put(shape, &mut rooms))
+        shapes
+            .into_iter()
+            .all(|shape| self.reserve(shape, &mut rooms))
     }
 
-    fn put(&self, shape: Shape, rooms: &mut [u32]) -> bool {
+    /// Takes room for a shape in the tightest part of the site that holds it.
+    /// Returns whether there is one.
+    fn reserve(&self, shape: Shape, rooms: &mut [u32]) -> bool {
         let tightest = self
             .site
             .domains(shape.within)
@@ -241,9 +258,10 @@
     }
 }
 
-/// Returns the shapes that an account's running jobs leave unused, the jobs
-/// put into the tightest shapes, the largest first.
-fn unused(terms: &Account, mut running: Vec<Shape>) -> Vec<Shape> {
+/// Returns the guaranteed shapes that an account's running jobs leave unused.
+/// Jobs are assigned to the tightest shape that holds them, the largest job
+/// first.
+fn unused_shapes(terms: &Account, mut running: Vec<Shape>) -> Vec<Shape> {
     running.sort_by_key(|s| std::cmp::Reverse(s.accelerators));
     let mut rooms: Vec<(Shape, u32)> = terms
         .guarantee
--- a/src/replay/engine.rs
+++ b/src/replay/engine.rs
@@ -1,4 +1,5 @@
-//! The virtual clock: feeds a trace to a policy and obeys its commands.
+//! A simulation of the site on a virtual clock: feeds the events of a trace to
+//! a policy and executes its commands.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -15,7 +16,7 @@
 use crate::replay::checker::Checker;
 use crate::replay::report;
 use crate::replay::report::Report;
-use crate::replay::report::Steps;
+use crate::replay::report::TimeSeries;
 use crate::replay::trace;
 use crate::replay::trace::Trace;
 use crate::replay::Policy;
@@ -23,26 +24,26 @@
 use crate::site::Site;
 use crate::site::WorkerId;
 
-/// How long a stopped task keeps its accelerators, for its checkpoint.
+/// How long a stopped task keeps its accelerators to write a checkpoint.
 ///
-/// The format says nothing of it. Taking it as nothing would favour every
-/// policy that reclaims over those that do not.
+/// Traces do not record this time. A time of zero would favor policies that
+/// reclaim accelerators over those that do not.
 pub const STOP_TIME: Duration = Duration::from_secs(1);
-/// How often a task checkpoints by itself.
-const CHECKPOINT_EVERY: Duration = Duration::from_secs(60);
-/// How long a task lasts on a worker that fails each of them.
-const BAD_TASK: Duration = Duration::from_secs(1);
-/// How long the clock runs on after the last event.
-const LONGEST: Duration = Duration::from_secs(30 * 24 * 3600);
-/// From how many accelerators on a job counts as large.
-const LARGE: u32 = 16;
-
-/// What the engine has planned to happen.
+/// The interval at which a running task writes checkpoints.
+const CHECKPOINT_INTERVAL: Duration = Duration::from_secs(60);
+/// How long a task runs on a bad worker until it fails.
+const BAD_WORKER_TASK_TIME: Duration = Duration::from_secs(1);
+/// How long the replay continues after the last line of the trace.
+const MAX_TIME_AFTER_LAST_LINE: Duration = Duration::from_secs(30 * 24 * 3600);
+/// The number of accelerators from which on a job counts as large.
+const LARGE_JOB_ACCELERATORS: u32 = 16;
+
+/// A future event of the simulated site.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Planned {
-    Ends(job::Id, job::Attempt),
-    Fails(job::Id, job::Attempt, WorkerId),
-    HasStopped(job::Id, job::Attempt),
+enum Scheduled {
+    TaskEnds(job::Id, job::Attempt),
+    TaskFails(job::Id, job::Attempt, WorkerId),
+    JobStopped(job::Id, job::Attempt),
     Tick,
 }
 
@@ -61,25 +62,25 @@
     stopping: Option<Duration>,
 }
 
-/// The accelerators a client account has at one time, for a plot.
+/// The state of the site at one time, for a plot.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// Seconds from the start.
+    /// The time in seconds from the start of the trace.
     pub at: f64,
-    /// Accelerators by account, in the order of the trace.
+    /// The accelerators in use by each account, in the order of the header.
     pub used: Vec<u32>,
-    /// The fragmentation.
+    /// The share of free accelerators that are on partly used workers.
     pub fragmentation: f64,
 }
 
-/// A replay under way.
+/// A replay of one trace.
 pub struct Engine<'a> {
     trace: &'a Trace,
     site: Site,
     policy: Box<dyn Policy + 'a>,
     checker: Checker,
     now: SystemTime,
-    planned: BinaryHeap<Reverse<(SystemTime, u64, Planned)>>,
+    scheduled: BinaryHeap<Reverse<(SystemTime, u64, Scheduled)>>,
     sequence: u64,
     tick_at: Option<SystemTime>,
     jobs: BTreeMap<job::Id, Job>,
@@ -93,26 +94,27 @@
     large_waits: Vec<u64>,
     urgent_waits: Vec<u64>,
     decisions: Vec<u64>,
-    fragmentation: Steps,
-    in_use: f64,
-    in_health: f64,
+    fragmentation: TimeSeries,
+    used_accelerator_seconds: f64,
+    healthy_accelerator_seconds: f64,
     samples: Option<Vec<Sample>>,
 }
 
-/// What a replay came to.
+/// The result of a replay.
 pub struct Outcomes {
     /// The report.
     pub report: Report,
-    /// Samples for a plot, if they were to be taken.
+    /// The samples for a plot, empty unless [`Engine::with_samples`] was
+    /// called.
     pub samples: Vec<Sample>,
 }
 
 impl<'a> Engine<'a> {
-    /// Returns a replay of `trace` that has not begun.
+    /// Returns a replay of `trace`, not yet started.
     ///
     /// # Errors
     ///
-    /// If the trace's site cannot be described.
+    /// If the description of the site is invalid.
     pub fn new(
         trace: &'a Trace,
         policy: Box<dyn Policy + 'a>,
@@ -126,7 +128,7 @@
             site,
             policy,
             now: SystemTime::UNIX_EPOCH,
-            planned: BinaryHeap::new(),
+            scheduled: BinaryHeap::new(),
             sequence: 0,
             tick_at: None,
             jobs: BTreeMap::new(),
@@ -140,22 +142,23 @@
             large_waits: Vec::new(),
             urgent_waits: Vec::new(),
             decisions: Vec::new(),
-            fragmentation: Steps::default(),
-            in_use: 0.0,
-            in_health: 0.0,
+            fragmentation: TimeSeries::default(),
+            used_accelerator_seconds: 0.0,
+            healthy_accelerator_seconds: 0.0,
             samples: None,
         })
     }
 
-    /// Has samples taken for a plot.
+    /// Enables samples for a plot.
     pub fn with_samples(mut self) -> Engine<'a> {
         self.samples = Some(Vec::new());
         self
     }
 
-    /// Runs the trace to its end.
+    /// Runs the replay to its end. With `timing`, the report includes the wall
+    /// time of decisions.
     pub fn run(mut self, timing: bool) -> Outcomes {
-        let first = self
+        let accounts = self
             .trace
             .header
             .terms()
@@ -164,20 +167,22 @@
         let up = workers.map(|worker| Event::WorkerUp {
             worker: worker.id.clone(),
         });
-        let mut events: Vec<Event> = up.chain(first).collect();
+        let mut events: Vec<Event> = up.chain(accounts).collect();
         let mut lines = self.trace.lines.iter().peekable();
-        let last = self.trace.lines.last().map(|line| at(line.at_ms));
-        let limit = last.unwrap_or(self.now) + LONGEST;
+        let last = self.trace.lines.last().map(|line| trace_time(line.at_ms));
+        let limit = last.unwrap_or(self.now) + MAX_TIME_AFTER_LAST_LINE;
         loop {
-            while let Some(line) = lines.next_if(|l| at(l.at_ms) <= self.now) {
-                self.take_line(&line.event, &mut events);
+            while let Some(line) =
+                lines.next_if(|l| trace_time(l.at_ms) <= self.now)
+            {
+                self.apply_line(&line.event, &mut events);
             }
-            self.take_planned(&mut events);
+            self.run_scheduled(&mut events);
             self.decide(std::mem::take(&mut events));
-            self.plan_tick();
-            let next = lines.peek().map(|line| at(line.at_ms));
-            let planned = self.planned.peek().map(|Reverse(p)| p.0);
-            let next = next.into_iter().chain(planned).min();
+            self.schedule_tick();
+            let next = lines.peek().map(|line| trace_time(line.at_ms));
+            let scheduled = self.scheduled.peek().map(|Reverse(p)| p.0);
+            let next = next.into_iter().chain(scheduled).min();
             match next {
                 Some(next) if next <= limit => self.advance(next),
                 _ => break,
@@ -189,12 +194,12 @@
         self.finish(timing)
     }
 
-    fn take_line(&mut self, event: &trace::Event, events: &mut Vec<Event>) {
+    fn apply_line(&mut self, event: &trace::Event, events: &mut Vec<Event>) {
         match event {
             trace::Event::Submit(submit) => {
                 let spec = submit.spec(self.now);
                 self.report.jobs += 1;
-                self.checker.submitted(&spec);
+                self.checker.record_submission(&spec);
                 let job = Job {
                     submit: submit.clone(),
                     submitted: self.now,
@@ -209,13 +214,13 @@
                 events.push(Event::Cancelled { job: job.clone() });
             }
             trace::Event::WorkerFail { worker } => {
-                self.set(worker, |engine, w| engine.lost[w] = true);
-                self.drop_planned(worker);
+                self.update_worker(worker, |engine, w| engine.lost[w] = true);
+                self.drop_scheduled(worker);
                 let worker = worker.clone();
                 events.push(Event::WorkerLost { worker });
             }
             trace::Event::WorkerReturn { worker } => {
-                self.set(worker, |engine, w| {
+                self.update_worker(worker, |engine, w| {
                     engine.lost[w] = false;
                     engine.leaving[w] = false;
                 });
@@ -223,25 +228,33 @@
                 events.push(Event::WorkerUp { worker });
             }
             trace::Event::WorkerLeaving { worker } => {
-                self.set(worker, |engine, w| engine.leaving[w] = true);
+                self.update_worker(worker, |engine, w| {
+                    engine.leaving[w] = true
+                });
                 let worker = worker.clone();
                 events.push(Event::WorkerLeaving { worker });
             }
-            // No policy is told of these two: it has to find out.
+            // Policies are not notified of bad workers. They have to infer
+            // them from failures.
             trace::Event::WorkerBad { worker } => {
-                self.set(worker, |engine, w| engine.bad[w] = true);
+                self.update_worker(worker, |engine, w| engine.bad[w] = true);
             }
             trace::Event::WorkerGood { worker } => {
-                self.set(worker, |engine, w| engine.bad[w] = false);
+                self.update_worker(worker, |engine, w| engine.bad[w] = false);
             }
         }
     }
 
-    fn set(&mut self, worker: &str, change: impl FnOnce(&mut Self, usize)) {
+    /// Changes the state of a worker and reports its health to the checker.
+    fn update_worker(
+        &mut self,
+        worker: &str,
+        change: impl FnOnce(&mut Self, usize),
+    ) {
         if let Some(index) = self.site.index(worker) {
             change(self, index);
             let healthy = self.is_healthy(index);
-            self.checker.worker(worker, healthy);
+            self.checker.set_health(worker, healthy);
         }
     }
 
@@ -249,14 +262,14 @@
         !self.lost[worker] && !self.leaving[worker] && !self.bad[worker]
     }
 
-    /// Takes it that nothing more comes of tasks on a worker just lost.
-    fn drop_planned(&mut self, worker: &str) {
+    /// Drops the scheduled ends and failures of jobs on a lost worker.
+    fn drop_scheduled(&mut self, worker: &str) {
         let index = self.site.index(worker);
         let jobs = &self.jobs;
-        self.planned
-            .retain(|Reverse((_, _, planned))| match planned {
-                Planned::Ends(id, attempt)
-                | Planned::Fails(id, attempt, _) => {
+        self.scheduled
+            .retain(|Reverse((_, _, scheduled))| match scheduled {
+                Scheduled::TaskEnds(id, attempt)
+                | Scheduled::TaskFails(id, attempt, _) => {
                     let run = jobs.get(id).and_then(|job| job.run.as_ref());
                     !run.is_some_and(|run| {
                         let mut pieces = run.pieces.iter();
@@ -264,36 +277,40 @@
                             && pieces.any(|p| Some(p.worker) == index)
                     })
                 }
-                Planned::HasStopped(..) | Planned::Tick => true,
+                Scheduled::JobStopped(..) | Scheduled::Tick => true,
             });
     }
 
-    fn take_planned(&mut self, events: &mut Vec<Event>) {
-        while let Some(Reverse((due, _, _))) = self.planned.peek() {
+    fn run_scheduled(&mut self, events: &mut Vec<Event>) {
+        while let Some(Reverse((due, _, _))) = self.scheduled.peek() {
             if *due > self.now {
                 break;
             }
-            let Some(Reverse((_, _, planned))) = self.planned.pop() else {
+            let Some(Reverse((_, _, scheduled))) = self.scheduled.pop() else {
                 break;
             };
-            self.happen(planned, events);
+            self.fire(scheduled, events);
         }
     }
 
-    fn happen(&mut self, planned: Planned, events: &mut Vec<Event>) {
-        match planned {
-            Planned::Tick => {
+    /// Turns a scheduled event into an event for the policy, unless the run
+    /// that it belongs to is over.
+    fn fire(&mut self, scheduled: Scheduled, events: &mut Vec<Event>) {
+        match scheduled {
+            Scheduled::Tick => {
                 self.tick_at = None;
                 events.push(Event::Tick);
             }
-            Planned::Ends(job, attempt) if self.runs(&job, attempt) => {
+            Scheduled::TaskEnds(job, attempt)
+                if self.is_running(&job, attempt) =>
+            {
                 self.vacate(&job);
                 events.push(Event::Completed { job, attempt });
             }
-            Planned::Fails(job, attempt, worker)
-                if self.runs(&job, attempt) =>
+            Scheduled::TaskFails(job, attempt, worker)
+                if self.is_running(&job, attempt) =>
             {
-                self.lose(&job, Duration::ZERO);
+                self.settle_progress(&job, Duration::ZERO);
                 self.vacate(&job);
                 events.push(Event::Failed {
                     job,
@@ -301,7 +318,7 @@
                     worker,
                 });
             }
-            Planned::HasStopped(job, attempt) => {
+            Scheduled::JobStopped(job, attempt) => {
                 let kept = self.jobs.get(&job).and_then(|job| {
                     let run = job.run.as_ref()?;
                     run.stopping.filter(|_| run.attempt == attempt)
@@ -317,25 +334,27 @@
                     });
                 }
             }
-            Planned::Ends(..) | Planned::Fails(..) => {}
+            Scheduled::TaskEnds(..) | Scheduled::TaskFails(..) => {}
         }
     }
 
-    fn runs(&self, id: &job::Id, attempt: job::Attempt) -> bool {
+    fn is_running(&self, id: &job::Id, attempt: job::Attempt) -> bool {
         let run = self.jobs.get(id).and_then(|job| job.run.as_ref());
         run.is_some_and(|run| run.attempt == attempt && run.stopping.is_none())
     }
 
+    /// Releases the accelerators of a job.
     fn vacate(&mut self, id: &job::Id) {
         let run = self.jobs.get_mut(id).and_then(|job| job.run.take());
         for piece in run.iter().flat_map(|run| &run.pieces) {
             self.used[piece.worker] &= !piece.mask;
         }
-        self.checker.stopped(id);
+        self.checker.record_release(id);
     }
 
-    /// Takes `kept` of a job's present run as progress, the rest as lost.
-    fn lose(&mut self, id: &job::Id, kept: Duration) {
+    /// Adds `kept` of a job's present run to its progress and counts the rest
+    /// as lost. A job without checkpoints loses all of its progress.
+    fn settle_progress(&mut self, id: &job::Id, kept: Duration) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -361,15 +380,16 @@
             let took = began.elapsed().as_micros() as u64;
             self.decisions.push(took);
             for command in commands {
-                self.obey(command);
+                self.execute(command);
             }
-            // What a stop frees at once is told at once.
-            self.take_planned(&mut events);
+            // A stop on lost workers frees its accelerators at once, which the
+            // policy has to see in the same instant.
+            self.run_scheduled(&mut events);
         }
-        self.checker.look(self.now);
+        self.checker.check(self.now);
     }
 
-    fn obey(&mut self, command: Command) {
+    fn execute(&mut self, command: Command) {
         match command {
             Command::Start {
                 job,
@@ -394,7 +414,7 @@
         attempt: job::Attempt,
         pieces: Vec<Piece>,
     ) {
-        self.checker.started(&id, &pieces);
+        self.checker.record_start(&id, &pieces);
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -403,7 +423,7 @@
         if job.first_start.is_none() {
             job.first_start = Some(now);
             let waited = waited.as_millis() as u64;
-            if job.submit.accelerators >= LARGE {
+            if job.submit.accelerators >= LARGE_JOB_ACCELERATORS {
                 self.large_waits.push(waited);
             }
             if job.submit.urgent {
@@ -413,13 +433,13 @@
         let actual = Duration::from_millis(job.submit.actual_ms);
         let left = actual.saturating_sub(job.progress);
         let bad = pieces.iter().find(|piece| self.bad[piece.worker]);
-        let planned = match bad {
-            Some(piece) if BAD_TASK < left => {
+        let scheduled = match bad {
+            Some(piece) if BAD_WORKER_TASK_TIME < left => {
                 let worker = self.site.workers()[piece.worker].id.clone();
-                let fails = Planned::Fails(id.clone(), attempt, worker);
-                (now + BAD_TASK, fails)
+                let fails = Scheduled::TaskFails(id.clone(), attempt, worker);
+                (now + BAD_WORKER_TASK_TIME, fails)
             }
-            _ => (now + left, Planned::Ends(id.clone(), attempt)),
+            _ => (now + left, Scheduled::TaskEnds(id.clone(), attempt)),
         };
         for piece in &pieces {
             self.used[piece.worker] |= piece.mask;
@@ -430,18 +450,18 @@
             started: now,
             stopping: None,
         });
-        self.plan(planned.0, planned.1);
+        self.schedule(scheduled.0, scheduled.1);
     }
 
     fn stop(&mut self, id: &job::Id, attempt: job::Attempt, reason: Reason) {
-        if !self.runs(id, attempt) {
+        if !self.is_running(id, attempt) {
             return;
         }
         if matches!(reason, Reason::Reclaim | Reason::Compact) {
             self.report.reclaims += 1;
         }
         let kept = self.kept(id, reason);
-        self.lose(id, kept);
+        self.settle_progress(id, kept);
         let lost = &self.lost;
         let Some(run) = self.jobs.get_mut(id).and_then(|j| j.run.as_mut())
         else {
@@ -453,11 +473,13 @@
             true => Duration::ZERO,
             false => STOP_TIME,
         };
-        let stopped = Planned::HasStopped(id.clone(), attempt);
-        self.plan(self.now + takes, stopped);
+        let stopped = Scheduled::JobStopped(id.clone(), attempt);
+        self.schedule(self.now + takes, stopped);
     }
 
-    /// Returns how much of its present run a stopped job keeps.
+    /// Returns how much of its present run a stopped job keeps: nothing without
+    /// checkpoints, the part up to the last checkpoint if the gang broke, and
+    /// otherwise all of it, because the stop writes a final checkpoint.
     fn kept(&self, id: &job::Id, reason: Reason) -> Duration {
         let Some(job) = self.jobs.get(id) else {
             return Duration::ZERO;
@@ -467,7 +489,7 @@
             .as_ref()
             .and_then(|run| self.now.duration_since(run.started).ok())
             .unwrap_or_default();
-        let every = CHECKPOINT_EVERY.as_millis() as u64;
+        let every = CHECKPOINT_INTERVAL.as_millis() as u64;
         match reason {
             _ if !job.submit.checkpoint => Duration::ZERO,
             Reason::Broken => {
@@ -480,7 +502,7 @@
 
     fn end(&mut self, id: &job::Id, outcome: Outcome) {
         self.vacate(id);
-        self.checker.ended(id);
+        self.checker.record_end(id);
         let Some(job) = self.jobs.remove(id) else {
             return;
         };
@@ -499,19 +521,21 @@
         }
     }
 
-    fn plan(&mut self, due: SystemTime, planned: Planned) {
+    fn schedule(&mut self, due: SystemTime, scheduled: Scheduled) {
         self.sequence += 1;
-        self.planned.push(Reverse((due, self.sequence, planned)));
+        self.scheduled
+            .push(Reverse((due, self.sequence, scheduled)));
     }
 
-    fn plan_tick(&mut self) {
+    fn schedule_tick(&mut self) {
         let wanted = self.policy.next_deadline(self.now);
         if let (Some(due), None) = (wanted, self.tick_at) {
             self.tick_at = Some(due);
-            self.plan(due, Planned::Tick);
+            self.schedule(due, Scheduled::Tick);
         }
     }
 
+    /// Moves the clock to `next` and adds up the time that has passed.
     fn advance(&mut self, next: SystemTime) {
         let held = next.duration_since(self.now).unwrap_or_default();
         let fragmentation = self.fragmentation_now();
@@ -520,8 +544,9 @@
         let in_use: u32 = self.used.iter().map(|m| m.count_ones()).sum();
         let healthy = workers.filter(|&w| self.is_healthy(w)).count();
         let healthy = healthy as f64 * f64::from(self.site.accelerators());
-        self.in_use += f64::from(in_use) * held.as_secs_f64();
-        self.in_health += healthy * held.as_secs_f64();
+        self.used_accelerator_seconds +=
+            f64::from(in_use) * held.as_secs_f64();
+        self.healthy_accelerator_seconds += healthy * held.as_secs_f64();
         self.sample(fragmentation);
         self.now = next;
     }
@@ -531,14 +556,14 @@
         let frees = (0..self.used.len())
             .filter(|&w| self.is_healthy(w))
             .map(|w| whole - self.used[w].count_ones());
-        let (mut free, mut in_wholes) = (0, 0);
+        let (mut free, mut in_whole_workers) = (0, 0);
         for room in frees {
             free += room;
-            in_wholes += if room == whole { room } else { 0 };
+            in_whole_workers += if room == whole { room } else { 0 };
         }
         match free {
             0 => 0.0,
-            free => f64::from(free - in_wholes) / f64::from(free),
+            free => f64::from(free - in_whole_workers) / f64::from(free),
         }
     }
 
@@ -573,14 +598,14 @@
         self.decisions.sort_unstable();
         let done = self.report.done.max(1);
         let counts = self.checker.counts();
-        let at = report::percentile::<u64>;
+        let percentile = report::percentile::<u64>;
         let report = Report {
             unfinished: self.jobs.len() as u64,
             completion_ms: report::Completion {
                 mean: self.completions.iter().sum::<u64>() / done,
-                p50: at(&self.completions, 50),
-                p95: at(&self.completions, 95),
-                p99: at(&self.completions, 99),
+                p50: percentile(&self.completions, 50),
+                p95: percentile(&self.completions, 95),
+                p99: percentile(&self.completions, 99),
             },
             slowdown: report::Slowdown {
                 mean: report::rounded(
@@ -589,26 +614,31 @@
                 p99: report::rounded(report::percentile(&self.slowdowns, 99)),
             },
             wait_large_ms: report::Wait {
-                p50: at(&self.large_waits, 50),
-                p99: at(&self.large_waits, 99),
+                p50: percentile(&self.large_waits, 50),
+                p99: percentile(&self.large_waits, 99),
             },
             urgent_start_ms: report::Start {
-                p99: at(&self.urgent_waits, 99),
+                p99: percentile(&self.urgent_waits, 99),
             },
             fragmentation: report::Fragmentation {
                 mean: report::rounded(self.fragmentation.mean()),
                 p95: report::rounded(self.fragmentation.quantile(0.95)),
             },
-            utilisation: report::rounded(match self.in_health > 0.0 {
-                true => self.in_use / self.in_health,
-                false => 0.0,
-            }),
+            utilisation: report::rounded(
+                match self.healthy_accelerator_seconds > 0.0 {
+                    true => {
+                        self.used_accelerator_seconds
+                            / self.healthy_accelerator_seconds
+                    }
+                    false => 0.0,
+                },
+            ),
             guarantee_violations: counts.guarantee_violations,
             partial_gangs: counts.partial_gangs,
             repeated_starts: counts.repeated_starts,
             decision_us: timing.then(|| report::Decision {
-                p50: at(&self.decisions, 50),
-                p99: at(&self.decisions, 99),
+                p50: percentile(&self.decisions, 50),
+                p99: percentile(&self.decisions, 99),
             }),
             ..self.report
         };
@@ -619,6 +649,6 @@
     }
 }
 
-fn at(at_ms: u64) -> SystemTime {
+fn trace_time(at_ms: u64) -> SystemTime {
     SystemTime::UNIX_EPOCH + Duration::from_millis(at_ms)
 }
--- a/src/replay/mod.rs
+++ b/src/replay/mod.rs
@@ -1,7 +1,7 @@
-//! Replays of recorded traces through the decision core and baselines.
+//! Replays of recorded traces with the decision core or a baseline policy.
 //!
-//! The format of traces and of the report is fixed: one JSON object a line
-//! in, one JSON object out, the same for the same trace, byte for byte.
+//! The formats are fixed: a trace has one JSON object per line, and the report
+//! is one JSON object. The same trace gives the same report, byte for byte.
 
 pub mod baseline;
 pub mod checker;
@@ -16,12 +16,12 @@
 use crate::plan::event::Event;
 use crate::plan::Plan;
 
-/// Anything that decides on a trace: the decision core or a baseline.
+/// A scheduling policy: the decision core or a baseline.
 pub trait Policy {
-    /// Takes in what happened and returns what is to be done.
+    /// Processes events and returns the commands to execute.
     fn step(&mut self, events: Vec<Event>, now: SystemTime) -> Vec<Command>;
 
-    /// Returns when time alone may call for a step, if it may.
+    /// Returns the time of the next step that is due without an event, if any.
     fn next_deadline(&self, now: SystemTime) -> Option<SystemTime>;
 }
 
--- a/src/replay/plot.rs
+++ b/src/replay/plot.rs
@@ -1,4 +1,4 @@
-//! Charts of a replay: accelerators by account, fragmentation below.
+//! Charts of a replay: accelerators by account above, fragmentation below.
 
 use std::path::Path;
 
@@ -7,11 +7,11 @@
 use crate::replay::engine::Sample;
 
 /// The size of a chart, in pixels.
-const SIZE: (u32, u32) = (1200, 700);
-/// How much of the height the upper chart takes.
-const UPPER: u32 = 450;
-/// The most points that a line has.
-const POINTS: usize = 2000;
+const CHART_SIZE: (u32, u32) = (1200, 700);
+/// The height of the upper chart, in pixels.
+const UPPER_HEIGHT: u32 = 450;
+/// The maximum number of points of a line.
+const MAX_POINTS: usize = 2000;
 
 /// A chart that cannot be drawn.
 #[derive(Debug, thiserror::Error)]
@@ -42,12 +42,14 @@
     accounts: &[String],
     samples: &[Sample],
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let every = samples.len().div_ceil(POINTS).max(1);
+    let every = samples.len().div_ceil(MAX_POINTS).max(1);
     let samples: Vec<&Sample> = samples.iter().step_by(every).collect();
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, CHART_SIZE).into_drawing_area();
     root.fill(&WHITE)?;
-    let (upper, lower) = root.split_vertically(UPPER);
+    let (upper, lower) = root.split_vertically(UPPER_HEIGHT);
     let end = samples.last().map(|sample| sample.at).unwrap_or(1.0);
+    // Areas are drawn from the topmost account down, each up to the sum of its
+    // own accelerators and those of the accounts below it.
     let stacked = |sample: &Sample, to: usize| {
         f64::from(sample.used[..=to].iter().sum::<u32>())
     };
--- a/src/replay/trace.rs
+++ b/src/replay/trace.rs
@@ -1,4 +1,4 @@
-//! Reading a recorded trace.
+//! The format of recorded traces, and a reader that validates it.
 
 use std::io::BufRead;
 use std::time::Duration;
@@ -17,68 +17,68 @@
 use crate::site::Within;
 use crate::site::WorkerId;
 
-/// The first line: the site and its client accounts.
+/// The first line of a trace: the site and its client accounts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Header {
-    /// The site's name.
+    /// The name of the site.
     pub site: String,
-    /// How many accelerators each worker has.
+    /// The number of accelerators of each worker.
     pub accelerators: u32,
     /// The halls.
     pub halls: Vec<Hall>,
     /// The client accounts.
     #[serde(default)]
-    pub accounts: Vec<Terms>,
+    pub accounts: Vec<AccountTerms>,
 }
 
 /// A hall of the site.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hall {
-    /// Its name.
+    /// The name of the hall.
     pub hall: HallId,
-    /// Its racks.
+    /// The racks of the hall.
     pub racks: Vec<Rack>,
 }
 
 /// A rack of a hall.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Rack {
-    /// Its name.
+    /// The name of the rack.
     pub rack: RackId,
-    /// The names of its workers.
+    /// The names of the workers in the rack.
     pub workers: Vec<WorkerId>,
 }
 
-/// A client account's name, guarantee and borrowing limit.
+/// The name, guarantee and borrowing limit of a client account.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Terms {
-    /// Its name.
+pub struct AccountTerms {
+    /// The name of the account.
     pub account: account::Id,
-    /// Its guaranteed shapes.
+    /// The guaranteed shapes.
     #[serde(default)]
     pub guarantee: Vec<Shape>,
-    /// The accelerators that it may use past its guarantee.
+    /// The maximum number of accelerators used beyond the guarantee.
     #[serde(default)]
     pub borrow: u32,
 }
 
-/// A line after the first: when something happened, and what.
+/// A line after the first: an event and its time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Line {
-    /// When, in milliseconds from the start.
+    /// The time of the event, in milliseconds from the start of the trace.
     pub at_ms: u64,
-    /// What happened.
+    /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// Something that happened on the recorded site.
+/// An event on the recorded site.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
     /// A job was submitted.
     Submit(Submit),
-    /// A caller took its job back.
+    /// A caller cancelled a job.
     Cancel {
         /// The job.
         job: job::Id,
@@ -93,12 +93,12 @@
         /// The worker.
         worker: WorkerId,
     },
-    /// A worker was about to leave: no new work.
+    /// A worker was about to leave and accepts no new work.
     WorkerLeaving {
         /// The worker.
         worker: WorkerId,
     },
-    /// A worker began to fail each task a second after its start.
+    /// A worker began to fail every task one second after its start.
     WorkerBad {
         /// The worker.
         worker: WorkerId,
@@ -110,35 +110,35 @@
     },
 }
 
-/// A job as it was submitted, with the run time it turned out to have.
+/// A submitted job, with its actual run time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Submit {
-    /// Its name.
+    /// The name of the job.
     pub job: job::Id,
-    /// Its client account.
+    /// The client account that owns the job.
     pub account: account::Id,
-    /// Its template.
+    /// The template that the job was created from.
     pub template: job::TemplateId,
-    /// How many accelerators it needs.
+    /// The number of accelerators that the job needs.
     pub accelerators: u32,
-    /// What must hold them all.
+    /// The part of the site that must contain all of them.
     pub within: Within,
-    /// The run time that was declared.
+    /// The declared run time, in milliseconds.
     pub declared_ms: u64,
-    /// The run time that it has; hidden from every policy.
+    /// The actual run time, in milliseconds. No policy sees this value.
     pub actual_ms: u64,
-    /// Whether it may be started again.
+    /// Whether the job may be started again.
     pub repeatable: bool,
-    /// Whether it can checkpoint.
+    /// Whether the job can write checkpoints.
     #[serde(default)]
     pub checkpoint: bool,
-    /// Whether it is urgent.
+    /// Whether the job is urgent.
     #[serde(default)]
     pub urgent: bool,
 }
 
 impl Submit {
-    /// Returns what a policy may know of the job.
+    /// Returns the part of the job that policies see.
     pub fn spec(&self, submitted: SystemTime) -> job::Spec {
         job::Spec {
             id: self.job.clone(),
@@ -158,19 +158,19 @@
     }
 }
 
-/// A whole trace.
+/// A complete trace.
 #[derive(Clone, Debug)]
 pub struct Trace {
-    /// The site.
+    /// The site and its client accounts.
     pub header: Header,
-    /// What happened, in the order of time.
+    /// The events, in the order of their times.
     pub lines: Vec<Line>,
 }
 
-/// A trace that cannot be read.
+/// An unreadable or invalid trace.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The file could not be read.
+    /// The input could not be read.
     #[error("line {line}: cannot be read: {source}")]
     Read {
         /// The number of the line, from 1.
@@ -178,61 +178,68 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// A line is not what the format asks for.
+    /// A line does not have the expected format.
     #[error("line {line}: {source}")]
-    Line {
+    Parse {
         /// The number of the line, from 1.
         line: usize,
         /// The cause.
         source: serde_json::Error,
     },
-    /// There is no first line.
-    #[error("line 1: missing, expected the site")]
+    /// The trace is empty.
+    #[error("line 1: missing, expected the site and its accounts")]
     Empty,
-    /// Time runs backwards.
-    #[error("line {line}: at_ms: {at_ms} is before the line above it")]
-    Order {
+    /// The time of a line is before that of the previous line.
+    #[error(
+        "line {line}: at_ms: {at_ms} is before the previous line, expected \
+         lines in order of time"
+    )]
+    OutOfOrder {
         /// The number of the line, from 1.
         line: usize,
-        /// The time that it names.
+        /// The time of the line.
         at_ms: u64,
     },
-    /// A job is submitted twice.
-    #[error("line {line}: job: {job:?} is submitted twice")]
-    Twice {
+    /// Two submissions have the same job name.
+    #[error(
+        "line {line}: job: {job:?} is submitted twice, expected a new name"
+    )]
+    DuplicateJob {
         /// The number of the line, from 1.
         line: usize,
         /// The job.
         job: job::Id,
     },
-    /// A line names a worker that the site does not have.
-    #[error("line {line}: worker: {worker:?} is not on the site")]
-    Worker {
+    /// A line names a worker that is not on the site.
+    #[error("line {line}: worker: {worker:?} is not on the site, expected a worker \
+         of line 1")]
+    UnknownWorker {
         /// The number of the line, from 1.
         line: usize,
         /// The worker.
         worker: WorkerId,
     },
-    /// A job asks for no accelerator.
+    /// A job requests no accelerators.
     #[error("line {line}: accelerators: 0, expected 1 or more")]
-    Nothing {
+    NoAccelerators {
         /// The number of the line, from 1.
         line: usize,
     },
-    /// The site cannot be described.
+    /// The description of the site is invalid.
     #[error("line 1: {0}")]
     Site(#[from] crate::site::Error),
 }
 
 impl Trace {
-    /// Reads a trace.
+    /// Reads and validates a trace.
     ///
     /// # Errors
     ///
-    /// If a line cannot be read, names the line and the field.
+    /// If a line cannot be read or is invalid. The error names the line and
+    /// the field.
     pub fn read(input: impl BufRead) -> Result<Trace, Error> {
-        let mut lines = input.lines().enumerate().map(|(at, text)| {
-            let line = at + 1;
+        let mut lines = input.lines().enumerate().map(|(index, text)| {
+            let line = index + 1;
             text.map(|text| (line, text))
                 .map_err(|source| Error::Read { line, source })
         });
@@ -242,7 +249,7 @@
             header,
             lines: Vec::new(),
         };
-        let mut check = Check {
+        let mut checker = Checker {
             site: trace.header.site()?,
             jobs: Default::default(),
             at_ms: 0,
@@ -253,7 +260,7 @@
                 continue;
             }
             let parsed: Line = parse(line, &text)?;
-            check.line(line, &parsed)?;
+            checker.check_line(line, &parsed)?;
             trace.lines.push(parsed);
         }
         Ok(trace)
@@ -264,31 +271,32 @@
     line: usize,
     text: &str,
 ) -> Result<T, Error> {
-    serde_json::from_str(text).map_err(|source| Error::Line { line, source })
+    serde_json::from_str(text).map_err(|source| Error::Parse { line, source })
 }
 
-/// What lines are checked against.
-struct Check {
+/// The state for the validation of a line: the site, and what earlier lines
+/// held.
+struct Checker {
     site: Site,
     jobs: std::collections::BTreeSet<job::Id>,
     at_ms: u64,
 }
 
-impl Check {
-    fn line(&mut self, line: usize, parsed: &Line) -> Result<(), Error> {
+impl Checker {
+    fn check_line(&mut self, line: usize, parsed: &Line) -> Result<(), Error> {
         let at_ms = parsed.at_ms;
         if at_ms < self.at_ms {
-            return Err(Error::Order { line, at_ms });
+            return Err(Error::OutOfOrder { line, at_ms });
         }
         self.at_ms = at_ms;
         match &parsed.event {
             Event::Submit(submit) if submit.accelerators == 0 => {
-                Err(Error::Nothing { line })
+                Err(Error::NoAccelerators { line })
             }
             Event::Submit(submit) => {
                 match self.jobs.insert(submit.job.clone()) {
                     true => Ok(()),
-                    false => Err(Error::Twice {
+                    false => Err(Error::DuplicateJob {
                         line,
                         job: submit.job.clone(),
                     }),
@@ -301,7 +309,7 @@
             | Event::WorkerBad { worker }
             | Event::WorkerGood { worker } => match self.site.index(worker) {
                 Some(_) => Ok(()),
-                None => Err(Error::Worker {
+                None => Err(Error::UnknownWorker {
                     line,
                     worker: worker.clone(),
                 }),
@@ -311,11 +319,12 @@
 }
 
 impl Header {
-    /// Returns the site.
+    /// Builds the site.
     ///
     /// # Errors
     ///
-    /// If a worker is named twice, or accelerators are out of range.
+    /// If a worker is listed in two racks, or the number of accelerators is
+    /// out of range.
     pub fn site(&self) -> Result<Site, crate::site::Error> {
         let mut site = Site::new(self.accelerators)?;
         for hall in &self.halls {
@@ -328,7 +337,7 @@
         Ok(site)
     }
 
-    /// Returns the client accounts.
+    /// Returns the name and terms of each client account.
     pub fn terms(&self) -> impl Iterator<Item = (account::Id, Account)> + '_ {
         self.accounts.iter().map(|terms| {
             let account = Account {
--- a/src/site.rs
+++ b/src/site.rs
@@ -1,7 +1,7 @@
 //! The site: halls of racks of workers, and the shapes that fit on them.
 //!
-//! A [`Site`] only grows. It does not know whether a worker is healthy, leaving
-//! or lost; the [`plan`](crate::plan) tracks that.
+//! A [`Site`] only grows. It does not know whether a worker is healthy,
+//! leaving or lost; the [`plan`](crate::plan) tracks that.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -305,8 +305,8 @@
         }
     }
 
-    /// Returns whether all `pieces` lie within one part of the site of the kind
-    /// `within`.
+    /// Returns whether all `pieces` lie within one part of the site of the
+    /// kind `within`.
     pub fn lies_within(&self, pieces: &[Piece], within: Within) -> bool {
         let Some(first) = pieces.first() else {
             return true;
--- a/tests/it/plan_property.rs
+++ b/tests/it/plan_property.rs
@@ -95,9 +95,11 @@
                 | Event::Stopped { job, .. } => {
                     self.running.remove(job);
                     self.stopping.remove(job);
-                    self.checker.stopped(job);
+                    self.checker.record_release(job);
+                }
+                Event::Submitted { spec } => {
+                    self.checker.record_submission(spec)
                 }
-                Event::Submitted { spec } => self.checker.submitted(spec),
                 _ => {}
             }
         }
@@ -108,7 +110,7 @@
                     attempt,
                     pieces,
                 } => {
-                    self.checker.started(&job, &pieces);
+                    self.checker.record_start(&job, &pieces);
                     let workers = pieces.iter().map(|p| p.worker);
                     let run = (attempt, workers.collect());
                     self.running.insert(job, run);
@@ -119,7 +121,7 @@
                 Command::Finish { job, .. } => {
                     self.running.remove(&job);
                     self.stopping.remove(&job);
-                    self.checker.ended(&job);
+                    self.checker.record_end(&job);
                 }
                 Command::Quarantine { .. } | Command::Restore { .. } => {}
             }
