--- a/src/clock.rs
+++ b/src/clock.rs
@@ -22,13 +22,13 @@
 use tokio::time::Instant;
 
 thread_local! {
-    /// The wall time and the runtime's instant from which on this thread
-    /// derives wall time from the runtime's clock; see
-    /// [`simulate_wall_time`].
+    /// The wall time set by [`simulate_wall_time`], and the instant of the
+    /// runtime's clock at which it was set.
     static SIMULATED_WALL_TIME: Cell<Option<(SystemTime, Instant)>> =
         const { Cell::new(None) };
     /// The suspended time added by [`simulate_suspension`].
-    static SIMULATED_SUSPENSION: Cell<Duration> = const { Cell::new(Duration::ZERO) };
+    static SIMULATED_SUSPENSION: Cell<Duration> =
+        const { Cell::new(Duration::ZERO) };
 }
 
 /// An instant that includes the time during which the machine was suspended.
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -108,7 +108,7 @@
 pub struct Item<T> {
     /// The account or template.
     pub value: T,
-    /// The edits of the item, latest first. The oldest are dropped.
+    /// The edits of the item, latest first; only the latest are kept.
     pub edits: Vec<Edit>,
 }
 
--- a/src/explain/history.rs
+++ b/src/explain/history.rs
@@ -64,8 +64,10 @@
         lines
     }
 
-    /// Returns the time of the first request, or `None` without lines. The
-    /// line about a request is written at its end and holds its duration.
+    /// Returns the time of the first request, or `None` without lines.
+    ///
+    /// A line about a request is written when the request ends and holds its
+    /// duration, which is subtracted here.
     pub fn began(&self) -> Option<SystemTime> {
         let request_time = |line: &Line| {
             let took = line.duration("ms").unwrap_or_default();
@@ -103,13 +105,13 @@
         let costliest = costs.iter().max_by_key(|(_, cost)| **cost);
         // A cause that explains less than a quarter of the delay is not the
         // reason for it.
-        let late = took.saturating_sub(objective);
+        let delay = took.saturating_sub(objective);
         let (cause, cost) = match costliest {
             _ if end == Outcome::Refused => (refusal(&lines), took),
             // Other causes delayed the job but did not make it fail.
             _ if end == Outcome::Failed => (Cause::Failed, took),
-            Some((_, cost)) if end == Outcome::Late && *cost < late / 4 => {
-                (Cause::Work, late)
+            Some((_, cost)) if end == Outcome::Late && *cost < delay / 4 => {
+                (Cause::Work, delay)
             }
             Some((cause, cost)) => (*cause, *cost),
             None => (Cause::Work, took),
@@ -151,6 +153,7 @@
     stop_reason: Option<String>,
     /// The expected duration of the present run.
     expected: Duration,
+    /// The time that each cause has cost so far.
     costs: BTreeMap<Cause, Duration>,
     /// The time of the last line.
     last: Option<SystemTime>,
@@ -189,12 +192,14 @@
         }
     }
 
+    /// Adds the time since the start of the present wait to its cause.
     fn end_wait(&mut self, at: SystemTime) {
         if let Some((cause, since)) = self.wait {
             self.add(cause, at.duration_since(since).unwrap_or_default());
         }
     }
 
+    /// Adds the cost of a run that has ended, unless it ended as expected.
     fn end_run(&mut self, line: &Line) {
         let ran = line.duration("ran_ms").unwrap_or_default();
         // A planner that adopted the run counts only from its takeover on.
@@ -221,8 +226,8 @@
     }
 }
 
-/// Returns the cost of each cause: for the unit that ended last, and for the
-/// time before admission and after the last unit.
+/// Returns the time that each cause cost the unit that ended last, the time
+/// until the job was admitted, and the time until its end was recorded.
 fn costs(lines: &[&Line], began: SystemTime) -> BTreeMap<Cause, Duration> {
     let mut units: BTreeMap<&str, Unit> = BTreeMap::new();
     for line in lines {
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -23,7 +23,7 @@
 /// How long establishing a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long an idle connection stays in the pool.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// The maximum size of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
@@ -126,7 +126,7 @@
         let inner =
             hyper_util::client::legacy::Client::builder(TokioExecutor::new())
                 .pool_timer(TokioTimer::new())
-                .pool_idle_timeout(IDLE_TIMEOUT)
+                .pool_idle_timeout(POOL_IDLE_TIMEOUT)
                 .build(connector);
         Client { inner }
     }
--- a/src/replay/baseline.rs
+++ b/src/replay/baseline.rs
@@ -41,6 +41,7 @@
 
 struct Job {
     spec: job::Spec,
+    /// The position in the queue, counted over all submissions.
     arrival: u64,
     attempts: job::Attempt,
     failures: u32,
@@ -50,6 +51,7 @@
 
 struct Run {
     pieces: Vec<Piece>,
+    /// The end by the declared run time.
     ends: SystemTime,
     stopping: bool,
 }
@@ -58,7 +60,9 @@
 pub struct Baseline {
     kind: Kind,
     site: Site,
+    /// Whether each worker may be used, by its index.
     available: Vec<bool>,
+    /// The accelerators in use of each worker.
     used: Vec<Mask>,
     jobs: BTreeMap<job::Id, Job>,
     queue: BTreeMap<u64, job::Id>,
@@ -168,6 +172,7 @@
         }
     }
 
+    /// Orders a stop of every job that uses a lost worker.
     fn stop_jobs_on(&mut self, worker: &str, out: &mut Vec<Command>) {
         let Some(index) = self.site.index(worker) else {
             return;
@@ -331,6 +336,8 @@
         None
     }
 
+    /// Returns where a shape fits on accelerators for which `open` returns a
+    /// mask: on one worker if possible, otherwise as the shape requires.
     fn fit(
         &self,
         shape: Shape,
--- a/src/replay/engine.rs
+++ b/src/replay/engine.rs
@@ -51,6 +51,7 @@
     submit: trace::Submit,
     submitted: SystemTime,
     first_start: Option<SystemTime>,
+    /// The part of the actual run time that earlier runs have preserved.
     progress: Duration,
     run: Option<Run>,
 }
@@ -59,6 +60,7 @@
     attempt: job::Attempt,
     pieces: Vec<Piece>,
     started: SystemTime,
+    /// How much of the run is preserved, once it is being stopped.
     stopping: Option<Duration>,
 }
 
@@ -81,12 +83,19 @@
     checker: Checker,
     now: SystemTime,
     scheduled: BinaryHeap<Reverse<(SystemTime, u64, Scheduled)>>,
+    /// The number of the last scheduled event, which orders events of the same
+    /// time.
     sequence: u64,
+    /// The time of the scheduled tick, if there is one.
     tick_at: Option<SystemTime>,
     jobs: BTreeMap<job::Id, Job>,
+    /// Whether each worker is lost, by its index.
     lost: Vec<bool>,
+    /// Whether each worker is leaving.
     leaving: Vec<bool>,
+    /// Whether each worker fails its tasks.
     bad: Vec<bool>,
+    /// The mask of accelerators in use of each worker.
     used: Vec<u64>,
     report: Report,
     completions: Vec<u64>,
--- a/src/replay/trace.rs
+++ b/src/replay/trace.rs
@@ -211,8 +211,10 @@
         job: job::Id,
     },
     /// A line names a worker that is not on the site.
-    #[error("line {line}: worker: {worker:?} is not on the site, expected a worker \
-         of line 1")]
+    #[error(
+        "line {line}: worker: {worker:?} is not on the site, expected a worker \
+         of line 1"
+    )]
     UnknownWorker {
         /// The number of the line, from 1.
         line: usize,
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -26,7 +26,7 @@
 /// A failed call of the store.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The call did not reach the store and had no effect.
+    /// The call had no effect: it did not reach the store, or was refused.
     #[error("the store cannot be reached: {0}")]
     Unreached(http::Error),
     /// The response was lost. The call may have taken effect; only a read
@@ -303,14 +303,14 @@
                 start_revision: from,
             },
         };
-        self.count("/v3/watch");
+        self.count_call("/v3/watch");
         let url = format!("{}/v3/watch", self.url);
         let deadline = Instant::now() + IDLE_TIMEOUT;
         let stream = self.http.stream(&url, &request, deadline).await?;
         Ok(Watch { stream })
     }
 
-    fn count(&self, path: &'static str) {
+    fn count_call(&self, path: &'static str) {
         self.calls.fetch_add(1, Ordering::Relaxed);
         let label = KeyValue::new("path", path);
         metrics::get().store_calls.add(1, &[label]);
@@ -321,7 +321,7 @@
         path: &'static str,
         request: &impl serde::Serialize,
     ) -> Result<A, Error> {
-        self.count(path);
+        self.count_call(path);
         let url = format!("{}{path}", self.url);
         Ok(self
             .http
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -33,7 +33,10 @@
         "Time from submission to the start of all tasks.",
     ),
     describe("landingvalve_step_seconds", "Wall time of one decision."),
-    describe("landingvalve_takeover_seconds", "Time from claim to first decision."),
+    describe(
+        "landingvalve_takeover_seconds",
+        "Time from claim to first decision.",
+    ),
     describe("landingvalve_jobs_waiting", "Jobs waiting."),
     describe("landingvalve_jobs_running", "Jobs holding accelerators."),
     describe(
@@ -68,7 +71,7 @@
     ),
     describe(
         "landingvalve_owed_seconds",
-        "Time that a first run within a guarantee waited, by whether it was late.",
+        "Time that a first run within a guarantee waited, by lateness.",
     ),
     describe(
         "landingvalve_run_seconds",
@@ -76,13 +79,16 @@
     ),
     describe(
         "landingvalve_job_seconds",
-        "Time from acceptance to end of a job, by outcome and whether it was late.",
+        "Time from acceptance to end of a job, by outcome and lateness.",
     ),
     describe(
         "landingvalve_order_seconds",
         "Time of an order to a worker, by kind and outcome.",
     ),
-    describe("landingvalve_looks", "Queries of the worker's state, by outcome."),
+    describe(
+        "landingvalve_looks",
+        "Queries of the worker's state, by outcome.",
+    ),
     describe(
         "landingvalve_starts_waiting",
         "Starts delayed by an agent, by reason.",
@@ -99,7 +105,10 @@
         "landingvalve_strange",
         "Unusable input from outside, by kind.",
     ),
-    describe("landingvalve_claims", "Claims of the planner role, by outcome."),
+    describe(
+        "landingvalve_claims",
+        "Claims of the planner role, by outcome.",
+    ),
     describe(
         "landingvalve_ready",
         "Whether new callers are accepted, 0 or 1.",
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -75,7 +75,7 @@
 
     /// Returns the local page of metrics.
     pub fn page(&self) -> Page {
-        self.page.with(self.meters.clone())
+        self.page.with_meters(self.meters.clone())
     }
 
     /// Exports what is still buffered and shuts the providers down. Blocks.
--- a/src/telemetry/page.rs
+++ b/src/telemetry/page.rs
@@ -29,7 +29,7 @@
 
 impl Page {
     /// Returns a page that collects the metrics of `meters` when it is read.
-    pub(super) fn with(&self, meters: SdkMeterProvider) -> Page {
+    pub(super) fn with_meters(&self, meters: SdkMeterProvider) -> Page {
         Page {
             text: self.text.clone(),
             meters: Some(meters),
@@ -65,7 +65,8 @@
             let name = metric.name();
             let help = metrics::help(name).unwrap_or_default();
             let _ = writeln!(text, "# HELP {name} {help}");
-            let _ = writeln!(text, "# TYPE {name} {}", kind(metric.data()));
+            let _ =
+                writeln!(text, "# TYPE {name} {}", metric_type(metric.data()));
             match metric.data() {
                 AggregatedMetrics::F64(data) => lines(&mut text, name, data),
                 AggregatedMetrics::U64(data) => lines(&mut text, name, data),
@@ -110,19 +111,20 @@
         }
         MetricData::Histogram(histogram) => {
             for point in histogram.data_points() {
-                let own = pairs(point.attributes());
+                let own_labels = pairs(point.attributes());
                 let mut cumulative = 0;
                 let bounds = point.bounds().map(|b| b.to_string());
                 let bounds = bounds.chain(["+Inf".to_owned()]);
                 for (bound, count) in bounds.zip(point.bucket_counts()) {
                     cumulative += count;
                     let bound = [format!("le=\"{bound}\"")];
-                    let all = [own.as_slice(), bound.as_slice()].concat();
+                    let all =
+                        [own_labels.as_slice(), bound.as_slice()].concat();
                     let labels = braces(&all);
                     let _ =
                         writeln!(text, "{name}_bucket{labels} {cumulative}");
                 }
-                let labels = braces(&own);
+                let labels = braces(&own_labels);
                 let count = point.count();
                 let total = point.sum();
                 let _ = writeln!(text, "{name}_count{labels} {count}");
@@ -134,15 +136,15 @@
 }
 
 /// Returns the metric type of the text format.
-fn kind(data: &AggregatedMetrics) -> &'static str {
+fn metric_type(data: &AggregatedMetrics) -> &'static str {
     match data {
-        AggregatedMetrics::F64(data) => kind_of(data),
-        AggregatedMetrics::U64(data) => kind_of(data),
-        AggregatedMetrics::I64(data) => kind_of(data),
+        AggregatedMetrics::F64(data) => data_type(data),
+        AggregatedMetrics::U64(data) => data_type(data),
+        AggregatedMetrics::I64(data) => data_type(data),
     }
 }
 
-fn kind_of<T>(data: &MetricData<T>) -> &'static str {
+fn data_type<T>(data: &MetricData<T>) -> &'static str {
     match data {
         MetricData::Gauge(_) => "gauge",
         MetricData::Sum(_) => "counter",
