--- a/crates/landingvalve-cli/src/trial.rs
+++ b/crates/landingvalve-cli/src/trial.rs
@@ -8,8 +8,8 @@
 use hyper::Method;
 use landingvalve::entry::operators::View;
 use landingvalve::job::Outcome;
-use landingvalve::telemetry::Collector;
 use landingvalve::telemetry::FinishedSpan;
+use landingvalve::telemetry::MemoryExporter;
 use landingvalve::telemetry::Telemetry;
 use landingvalve::util::digest;
 use landingvalve::wire::entry::Status;
@@ -54,7 +54,7 @@
 ///
 /// If it does not come up.
 pub async fn run(args: Args) -> eyre::Result<ExitCode> {
-    let spans = Collector::default();
+    let spans = MemoryExporter::default();
     let telemetry = Telemetry::start("try", None, Some(spans.clone()))?;
     let mut plan = site::Plan::today(args.entries.clamp(1, 9));
     if args.verbose {
@@ -280,7 +280,7 @@
 }
 
 /// Prints the spans of the gang's request, each below the one above it.
-fn print_trace(spans: &Collector) {
+fn print_trace(spans: &MemoryExporter) {
     let all = spans.spans();
     let is_gang = |span: &&FinishedSpan| {
         let of_gang =
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -333,7 +333,7 @@
     /// # Errors
     ///
     /// If the connection breaks.
-    pub async fn line(&mut self) -> Result<Option<Vec<u8>>, Error> {
+    pub async fn next_line(&mut self) -> Result<Option<Vec<u8>>, Error> {
         loop {
             if let Some(end) = self.buffer.iter().position(|b| *b == b'\n') {
                 let mut line: Vec<u8> = self.buffer.drain(..=end).collect();
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -40,7 +40,7 @@
 pub struct ConnectionLimit {
     /// The maximum number of open connections. The server closes any further
     /// connection at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// The logger for rejected connections.
     pub log: slog::Logger,
 }
@@ -66,7 +66,7 @@
         }
         *last_logged = Some(now);
         slog::warn!(self.log, "http: connections are rejected";
-            "limit" => limit, "most" => self.connections,
+            "limit" => limit, "most" => self.max_connections,
             "error" => error.map(|error| error.to_string()));
     }
 }
@@ -99,7 +99,7 @@
         handler: Arc<impl Handler>,
     ) -> io::Result<Server> {
         let limit = ConnectionLimit {
-            connections: DEFAULT_MAX_CONNECTIONS,
+            max_connections: DEFAULT_MAX_CONNECTIONS,
             log: crate::log::none(),
         };
         Server::start_with_limit(address, handler, limit).await
@@ -173,7 +173,7 @@
             Some(_) = connections.join_next() => continue,
             _ = stopped.changed() => break,
         };
-        if connections.len() >= limit.connections {
+        if connections.len() >= limit.max_connections {
             limit.report_rejection(&mut last_logged, None);
             continue;
         }
--- a/src/log.rs
+++ b/src/log.rs
@@ -79,7 +79,7 @@
 impl Throttle {
     /// Returns whether the line may be written now; counts it as suppressed
     /// otherwise.
-    pub fn is_due(&self) -> bool {
+    pub fn try_acquire(&self) -> bool {
         let now = Instant::now();
         let mut next =
             self.next.lock().unwrap_or_else(PoisonError::into_inner);
--- a/src/replay/checker.rs
+++ b/src/replay/checker.rs
@@ -20,7 +20,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Jobs that waited longer than the reclaim time although they fit into an
-    /// unused guaranteed shape of their account.
+    /// unused guaranteed shape of their account, and although the healthy
+    /// workers have room for all guaranteed shapes.
     pub guarantee_violations: u64,
     /// Starts on anything other than exactly the requested accelerators, all
     /// of them free and within one part of the site.
--- a/src/replay/trace.rs
+++ b/src/replay/trace.rs
@@ -212,8 +212,8 @@
     },
     /// A line names a worker that is not on the site.
     #[error(
-        "line {line}: worker: {worker:?} is not on the site, expected a worker \
-         of line 1"
+        "line {line}: worker: {worker:?} is not on the site, expected a \
+         worker of line 1"
     )]
     UnknownWorker {
         /// The number of the line, from 1.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -160,7 +160,12 @@
         let ini = match ini::Ini::load_from_file(path) {
             Ok(ini) => ini,
             Err(error) => {
-                file.problem("", "", "", format!("a readable file: {error}"));
+                file.add_problem(
+                    "",
+                    "",
+                    "",
+                    format!("a readable file: {error}"),
+                );
                 ini::Ini::new()
             }
         };
@@ -172,7 +177,7 @@
                 (None, Some(value)) => (value.to_owned(), Source::Default),
                 (None, None) => {
                     let expected = field.expected;
-                    file.problem(field.section, field.key, "", expected);
+                    file.add_problem(field.section, field.key, "", expected);
                     continue;
                 }
             };
@@ -197,13 +202,13 @@
                         .map(|f| format!("[{}] {}", f.section, f.key))
                         .collect();
                     let expected = format!("one of {}", names.join(", "));
-                    self.problem(section, key, value, expected);
+                    self.add_problem(section, key, value, expected);
                 }
             }
         }
     }
 
-    fn problem(
+    fn add_problem(
         &mut self,
         section: &str,
         key: &str,
@@ -228,7 +233,7 @@
     ) {
         let value = self.values.get(&(section, key));
         let text = value.map(|(text, _)| text.clone()).unwrap_or_default();
-        self.problem(section, key, &text, expected);
+        self.add_problem(section, key, &text, expected);
     }
 
     /// Parses a value with `parse`; adds a problem if it returns `None`.
@@ -246,7 +251,7 @@
                 .iter()
                 .find(|f| f.section == section && f.key == key)
                 .map_or("", |field| field.expected);
-            self.problem(section, key, &text, expected);
+            self.add_problem(section, key, &text, expected);
         }
         value
     }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -416,7 +416,7 @@
     ///
     /// If the watch was interrupted. Changes may have been missed.
     pub async fn next(&mut self) -> Result<Vec<Change>, Error> {
-        let line = self.stream.line().await?;
+        let line = self.stream.next_line().await?;
         let parsed = line
             .as_deref()
             .and_then(|line| serde_json::from_slice(line).ok());
--- a/src/telemetry/export.rs
+++ b/src/telemetry/export.rs
@@ -20,7 +20,7 @@
 
 /// How long the export of one batch may take.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(3);
-/// The maximum number of spans that a [`Collector`] keeps.
+/// The maximum number of spans that a [`MemoryExporter`] keeps.
 const MAX_SPANS: usize = 10_000;
 
 /// An exporter whose client needs the Tokio runtime. The library calls
@@ -107,11 +107,11 @@
 /// An exporter that keeps the latest finished spans in memory, for tests and
 /// trials.
 #[derive(Clone, Debug, Default)]
-pub struct Collector {
+pub struct MemoryExporter {
     spans: Arc<Mutex<Vec<FinishedSpan>>>,
 }
 
-impl Collector {
+impl MemoryExporter {
     /// Returns the kept spans of a trace.
     pub fn trace(&self, trace: &str) -> Vec<FinishedSpan> {
         let spans = self.spans.lock().unwrap_or_else(PoisonError::into_inner);
@@ -126,7 +126,7 @@
     }
 }
 
-impl opentelemetry_sdk::trace::SpanExporter for Collector {
+impl opentelemetry_sdk::trace::SpanExporter for MemoryExporter {
     async fn export(&self, batch: Vec<SpanData>) -> OTelSdkResult {
         let mut spans =
             self.spans.lock().unwrap_or_else(PoisonError::into_inner);
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -9,8 +9,8 @@
 mod page;
 mod span;
 
-pub use export::Collector;
 pub use export::FinishedSpan;
+pub use export::MemoryExporter;
 pub use page::Page;
 pub use span::Span;
 
@@ -34,8 +34,9 @@
 impl Telemetry {
     /// Installs the global metric and trace providers of this process.
     ///
-    /// `otlp` is the URL of a collector, if any; `collector` keeps spans in
-    /// memory. Must be called within a Tokio runtime if `otlp` is given.
+    /// `otlp` is the URL of a collector, and `memory` an additional exporter
+    /// of spans, each if any. Must be called within a Tokio runtime if `otlp`
+    /// is given.
     ///
     /// # Errors
     ///
@@ -43,7 +44,7 @@
     pub fn start(
         process: &str,
         otlp: Option<&str>,
-        collector: Option<Collector>,
+        memory: Option<MemoryExporter>,
     ) -> Result<Telemetry, Error> {
         let resource = || {
             let name = format!("landingvalve/{process}");
@@ -60,8 +61,8 @@
             meters = meters.with_periodic_exporter(export::metrics(url)?);
             tracers = tracers.with_batch_exporter(export::spans(url)?);
         }
-        if let Some(collector) = collector {
-            tracers = tracers.with_simple_exporter(collector);
+        if let Some(memory) = memory {
+            tracers = tracers.with_simple_exporter(memory);
         }
         let (meters, tracers) = (meters.build(), tracers.build());
         opentelemetry::global::set_meter_provider(meters.clone());
--- a/tests/it/limits.rs
+++ b/tests/it/limits.rs
@@ -120,7 +120,7 @@
 #[tokio::test]
 async fn a_caller_above_the_limit_is_closed_and_the_others_are_served() {
     let limit = http::ConnectionLimit {
-        connections: 1,
+        max_connections: 1,
         log: log::none(),
     };
     let any = ([127, 0, 0, 1], 0).into();
--- a/tests/telemetry/main.rs
+++ b/tests/telemetry/main.rs
@@ -9,7 +9,7 @@
 use hyper::StatusCode;
 use landingvalve::http;
 use landingvalve::telemetry::metrics;
-use landingvalve::telemetry::Collector;
+use landingvalve::telemetry::MemoryExporter;
 use landingvalve::telemetry::Span;
 use landingvalve::telemetry::Telemetry;
 
@@ -36,7 +36,7 @@
     let server = http::Server::start(address, receiver.clone());
     let server = server.await.unwrap();
     let url = format!("http://{}", server.address());
-    let spans = Collector::default();
+    let spans = MemoryExporter::default();
     let telemetry =
         Telemetry::start("test", Some(&url), Some(spans.clone())).unwrap();
     let call = Span::begin("call", None);
