--- a/src/replay/baseline.rs
+++ b/src/replay/baseline.rs
@@ -280,6 +280,8 @@
         });
     }
 
+    /// Starts queued jobs that fit, in the order and with the reservation of
+    /// the kind of baseline.
     fn schedule(&mut self, now: SystemTime, out: &mut Vec<Command>) {
         let mut reserved: Option<(SystemTime, Vec<Piece>)> = None;
         // A shape that fits nowhere does not fit for later jobs either.
@@ -336,8 +338,8 @@
         None
     }
 
-    /// Returns where a shape fits on accelerators for which `open` returns a
-    /// mask: on one worker if possible, otherwise as the shape requires.
+    /// Returns where a shape fits on the accelerators that `open` allows of
+    /// each worker: on one worker if possible, otherwise as the shape requires.
     fn fit(
         &self,
         shape: Shape,
@@ -355,6 +357,8 @@
         }
     }
 
+    /// Returns where a shape fits within one part of the site of the kind
+    /// `within`, chosen as the kind of baseline prefers.
     fn fit_within(
         &self,
         shape: Shape,
