--- a/src/replay/baseline.rs
+++ b/src/replay/baseline.rs
@@ -339,7 +339,8 @@
     }
 
     /// Returns where a shape fits on the accelerators that `open` allows of
-    /// each worker: on one worker if possible, otherwise as the shape requires.
+    /// each worker: on one worker if possible, otherwise as the shape
+    /// requires.
     fn fit(
         &self,
         shape: Shape,
--- a/src/replay/engine.rs
+++ b/src/replay/engine.rs
@@ -487,8 +487,9 @@
     }
 
     /// Returns how much of its present run a stopped job keeps: nothing
-    /// without checkpoints, the part up to the last checkpoint if the gang broke, and
-    /// otherwise all of it, because the stop writes a final checkpoint.
+    /// without checkpoints, the part up to the last checkpoint if the gang
+    /// broke, and otherwise all of it, because the stop writes a final
+    /// checkpoint.
     fn kept(&self, id: &job::Id, reason: Reason) -> Duration {
         let Some(job) = self.jobs.get(id) else {
             return Duration::ZERO;
