--- a/src/agent/ledger.rs
+++ b/src/agent/ledger.rs
@@ -113,7 +113,8 @@
         worker: WorkerId,
         accelerators: u32,
     ) -> Result<Ledger, crate::site::Error> {
-        let all_accelerators = crate::site::Site::new(accelerators)?.whole();
+        let all_accelerators =
+            crate::site::Site::new(accelerators)?.full_mask();
         Ok(Ledger {
             worker,
             all_accelerators,
--- a/src/bin/landingvalve-agent.rs
+++ b/src/bin/landingvalve-agent.rs
@@ -1,4 +1,4 @@
-//! The process beside an endpoint.
+//! The agent: manages the accelerators of one worker, beside its endpoint.
 
 use clap::Parser;
 
@@ -12,25 +12,25 @@
 async fn main() -> eyre::Result<()> {
     let args = program::Args::parse();
     let path = args.path()?;
-    if args.print(&settings::agent::file(&path)) {
+    if args.print_if_requested(&settings::agent::file(&path)) {
         return Ok(());
     }
     let (config, common) = settings::agent::read(&path)?;
-    if args.only_check() {
-        println!("{}: good", path.display());
+    if args.is_check_only() {
+        println!("{}: valid", path.display());
         return Ok(());
     }
     let (telemetry, _page) =
-        program::telemetry(&config.worker, &common).await?;
+        program::start_telemetry(&config.worker, &common).await?;
     let log = log::root(common.format, common.level, &config.worker);
     let config = Config {
         log: log.clone(),
         ..config
     };
     let agent = Agent::start(config).await?;
-    slog::info!(log, "agent: has started"; "listen" => %agent.address());
-    let deadline = program::stopped().await?;
-    slog::info!(log, "agent: takes no new work, and stops once idle");
+    slog::info!(log, "agent: started"; "listen" => %agent.address());
+    let deadline = program::wait_for_stop_signal().await?;
+    slog::info!(log, "agent: stopping once idle; new work is refused");
     agent.stop(deadline).await;
     tokio::task::spawn_blocking(|| telemetry.stop()).await?;
     Ok(())
--- a/src/bin/landingvalve-entry.rs
+++ b/src/bin/landingvalve-entry.rs
@@ -1,4 +1,4 @@
-//! The process on an entry VM.
+//! The entry: serves callers and operators, and may host the planner.
 
 use clap::Parser;
 
@@ -12,25 +12,26 @@
 async fn main() -> eyre::Result<()> {
     let args = program::Args::parse();
     let path = args.path()?;
-    if args.print(&settings::entry::file(&path)) {
+    if args.print_if_requested(&settings::entry::file(&path)) {
         return Ok(());
     }
     let (config, common) = settings::entry::read(&path)?;
-    if args.only_check() {
-        println!("{}: good", path.display());
+    if args.is_check_only() {
+        println!("{}: valid", path.display());
         return Ok(());
     }
-    let (telemetry, _page) = program::telemetry(&config.name, &common).await?;
+    let (telemetry, _page) =
+        program::start_telemetry(&config.name, &common).await?;
     let log = log::root(common.format, common.level, &config.name);
     let config = Config {
         log: log.clone(),
         ..config
     };
     let entry = Entry::start(config).await?;
-    slog::info!(log, "entry: has started"; "callers" => %entry.callers_address(),
+    slog::info!(log, "entry: started"; "callers" => %entry.callers_address(),
         "peers" => entry.peers_address());
-    let deadline = program::stopped().await?;
-    slog::info!(log, "entry: stops once every request has its answer");
+    let deadline = program::wait_for_stop_signal().await?;
+    slog::info!(log, "entry: stopping; requests in progress are completed");
     entry.stop(deadline).await;
     tokio::task::spawn_blocking(|| telemetry.stop()).await?;
     Ok(())
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -85,7 +85,8 @@
         rest: &[&str],
     ) -> http::Response {
         let document = self.shared.document.borrow().clone();
-        let owner = bearer_token(&request).and_then(|t| document.owner(t));
+        let owner =
+            bearer_token(&request).and_then(|t| document.account_of_token(t));
         let Some(id) = owner else {
             return responses::failure(
                 StatusCode::UNAUTHORIZED,
@@ -144,7 +145,7 @@
         let parent = parent.map(str::to_owned);
         let span = Span::begin("call", parent.as_ref());
         span.set("account", &self.id);
-        let body = match http::read(request, MAX_BODY_BYTES).await {
+        let body = match http::read_body(request, MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(error) => {
                 let status = StatusCode::PAYLOAD_TOO_LARGE;
@@ -181,7 +182,7 @@
         };
         let empty = Value::Object(Default::default());
         let parameters = submission.parameters.clone().unwrap_or(empty);
-        let mut problems = template.problems(&parameters);
+        let mut problems = template.check_parameters(&parameters);
         let request_id = submission
             .request_id
             .clone()
--- a/src/entry/edits.rs
+++ b/src/entry/edits.rs
@@ -11,14 +11,14 @@
 use crate::config::Document;
 use crate::config::EditId;
 use crate::config::Item;
-use crate::config::Name;
+use crate::config::ItemId;
 use crate::config::Problem;
 use crate::config::Template;
 use crate::entry::configuration;
 use crate::entry::Shared;
 use crate::store;
 use crate::store::Compare;
-use crate::store::Put;
+use crate::store::Mutation;
 use crate::store::Revision;
 use crate::store::Swap;
 
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Edit {
     /// The name of the item.
-    pub name: Name,
+    pub name: ItemId,
     /// The new value of the item.
     pub value: Value,
     /// The revision of the item that the edit is based on; 0 for a new item.
@@ -78,7 +78,7 @@
 ) -> Vec<Problem> {
     let site = configuration::site(shared);
     match (&edit.name, &edit.value) {
-        (Name::Account(id), Value::Account(account)) => {
+        (ItemId::Account(id), Value::Account(account)) => {
             let mut problems = config::check_account(id, account);
             let others = document
                 .accounts
@@ -89,7 +89,7 @@
             problems.extend(config::check_guarantees(&site, all));
             problems
         }
-        (Name::Template(id), Value::Template(template)) => {
+        (ItemId::Template(id), Value::Template(template)) => {
             config::check_template(id, template, &site)
         }
         (_, Value::Deleted) => Vec::new(),
@@ -129,12 +129,12 @@
     edit: &Edit,
 ) -> Result<Option<Revision>, Error> {
     let listing = shared.store.list(config::PREFIX, 0).await?;
-    let guarantees = shared.store.get(config::GUARANTEES).await?;
-    let document = Document::read(&listing.items);
+    let guarantees = shared.store.get(config::GUARANTEES_KEY).await?;
+    let document = Document::from_items(&listing.items);
     let key = edit.name.key();
     let find = |key: &str| listing.items.iter().find(|i| i.key == key);
     let item = find(&key);
-    let last_edit = find(config::LAST);
+    let last_edit = find(config::LAST_EDIT_KEY);
     if let Some(revision) = applied_revision(item, last_edit, edit) {
         return Ok(Some(revision));
     }
@@ -151,14 +151,15 @@
     let mut conditions =
         vec![Compare::Modified(key.clone(), edit.base_revision)];
     let last_edit = edit.id.clone().into_bytes();
-    let last_edit = Put::Value(config::LAST.to_owned(), last_edit, 0);
+    let last_edit =
+        Mutation::Value(config::LAST_EDIT_KEY.to_owned(), last_edit, 0);
     let mut puts = vec![item_mutation(key, item, edit), last_edit];
-    if matches!(edit.name, Name::Account(_)) {
+    if matches!(edit.name, ItemId::Account(_)) {
         let modified = guarantees.map_or(0, |item| item.modified);
-        let guarantees = config::GUARANTEES.to_owned();
+        let guarantees = config::GUARANTEES_KEY.to_owned();
         conditions.push(Compare::Modified(guarantees.clone(), modified));
         let value = edit.id.clone().into_bytes();
-        puts.push(Put::Value(guarantees, value, 0));
+        puts.push(Mutation::Value(guarantees, value, 0));
     }
     match shared.store.swap(&conditions, puts).await? {
         Swap::Written(revision) => Ok(Some(revision)),
@@ -190,17 +191,19 @@
     key: String,
     previous: Option<&store::Item>,
     edit: &Edit,
-) -> Put {
+) -> Mutation {
     let time = SystemTime::now();
     let name = edit.id.clone();
     match &edit.value {
         Value::Account(account) => {
-            Put::Value(key, edited_item(previous, account, name, time), 0)
+            Mutation::Value(key, edited_item(previous, account, name, time), 0)
         }
-        Value::Template(template) => {
-            Put::Value(key, edited_item(previous, template, name, time), 0)
-        }
-        Value::Deleted => Put::Delete(key),
+        Value::Template(template) => Mutation::Value(
+            key,
+            edited_item(previous, template, name, time),
+            0,
+        ),
+        Value::Deleted => Mutation::Delete(key),
     }
 }
 
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -13,7 +13,7 @@
 use serde_json::Value as Json;
 
 use crate::config::Account;
-use crate::config::Name;
+use crate::config::ItemId;
 use crate::config::Template;
 use crate::entry::callers;
 use crate::entry::edits;
@@ -129,7 +129,7 @@
     check: bool,
 ) -> http::Response {
     let is_deleted = request.method() == Method::DELETE;
-    let body = match http::read(request, MAX_BODY_BYTES).await {
+    let body = match http::read_body(request, MAX_BODY_BYTES).await {
         Ok(body) => body,
         Err(error) => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
@@ -197,8 +197,8 @@
     is_deleted: bool,
 ) -> Result<Edit, String> {
     let name = match kind {
-        "accounts" => Name::Account(item.into()),
-        "templates" => Name::Template(item.into()),
+        "accounts" => ItemId::Account(item.into()),
+        "templates" => ItemId::Template(item.into()),
         _ => {
             return Err(format!(
                 "kind: {kind:?}, expected accounts or templates"
@@ -208,12 +208,12 @@
     let invalid = |error: serde_json::Error| format!("value: {error}");
     let value = match &name {
         _ if is_deleted => Value::Deleted,
-        Name::Account(_) => {
+        ItemId::Account(_) => {
             let account: Account =
                 serde_json::from_value(request_body.value).map_err(invalid)?;
             Value::Account(account)
         }
-        Name::Template(_) => {
+        ItemId::Template(_) => {
             let template: Template =
                 serde_json::from_value(request_body.value).map_err(invalid)?;
             Value::Template(template)
--- a/src/plan/admit.rs
+++ b/src/plan/admit.rs
@@ -17,7 +17,7 @@
     let fits = |open: &dyn Fn(WorkerIndex) -> u64| {
         place::find(&state.site, shape, Spread::Remainders, open).is_some()
     };
-    if !fits(&|_| state.site.whole()) {
+    if !fits(&|_| state.site.full_mask()) {
         return Some(format!(
             "accelerators: no part of the site holds {shape}"
         ));
@@ -34,7 +34,7 @@
             terms.borrow
         ));
     }
-    if !spec.reclaimable() && !fits(&|w| state.nominal_unguaranteed[w]) {
+    if !spec.is_reclaimable() && !fits(&|w| state.nominal_unguaranteed[w]) {
         return Some(format!(
             "accelerators: {shape} may not repeat, is in no guaranteed \
              shape of the account, and is too large for the accelerators \
--- a/src/plan/block.rs
+++ b/src/plan/block.rs
@@ -56,7 +56,9 @@
         let open = |worker_index: WorkerIndex| {
             let worker = &self.workers[worker_index];
             match worker.is_open() {
-                true => self.site.whole() & !worker.home & !worker.unstoppable,
+                true => {
+                    self.site.full_mask() & !worker.home & !worker.unstoppable
+                }
                 false => 0,
             }
         };
--- a/src/plan/home.rs
+++ b/src/plan/home.rs
@@ -93,7 +93,7 @@
 /// Returns places for `shapes` on an empty site in full health, in the order
 /// of `shapes`; `None` for each that does not fit.
 pub fn pack(site: &Site, shapes: &[Shape]) -> Vec<Option<Vec<Piece>>> {
-    let mut open = vec![site.whole(); site.workers().len()];
+    let mut open = vec![site.full_mask(); site.workers().len()];
     let mut places = vec![None; shapes.len()];
     for index in largest_first(shapes) {
         let spread = Spread::Whole;
@@ -166,7 +166,7 @@
             .filter(|home| home.owner.is_some())
             .map(|home| home.shape)
             .collect();
-        let whole = self.site.whole();
+        let whole = self.site.full_mask();
         self.nominal_unguaranteed = vec![whole; self.workers.len()];
         let places = pack(&self.site, &shapes);
         for piece in places.iter().flatten().flatten() {
@@ -243,7 +243,7 @@
         });
         let movable = runs.iter().all(|id| {
             let job = self.jobs.get(id);
-            job.is_some_and(|job| job.spec.reclaimable())
+            job.is_some_and(|job| job.spec.is_reclaimable())
         });
         (movable && !has_booking).then_some(runs)
     }
--- a/src/plan/intake.rs
+++ b/src/plan/intake.rs
@@ -459,7 +459,7 @@
     let unstoppable = state
         .jobs
         .get(id)
-        .is_some_and(|job| !job.spec.reclaimable());
+        .is_some_and(|job| !job.spec.is_reclaimable());
     if unstoppable && state.unplaced().next().is_some() {
         state.homes_dirty = true;
     }
--- a/src/plan/reclaim.rs
+++ b/src/plan/reclaim.rs
@@ -95,7 +95,9 @@
         let worker = &self.state.workers[index];
         match worker.is_open() {
             true => {
-                (self.region)(index) & self.state.site.whole() & !worker.booked
+                (self.region)(index)
+                    & self.state.site.full_mask()
+                    & !worker.booked
             }
             false => 0,
         }
--- a/src/plan/reserve.rs
+++ b/src/plan/reserve.rs
@@ -90,7 +90,7 @@
     ) -> Mask {
         match &self.reservation {
             Some(reservation)
-                if !job.spec.reclaimable()
+                if !job.spec.is_reclaimable()
                     && ends_at > reservation.ready_at =>
             {
                 mask_on(&reservation.pieces, worker)
--- a/src/plan/schedule.rs
+++ b/src/plan/schedule.rs
@@ -87,7 +87,7 @@
                 accelerators: job.spec.shape.accelerators,
                 within: job.spec.shape.within,
                 rank: entry.rank,
-                reclaimable: job.spec.reclaimable(),
+                reclaimable: job.spec.is_reclaimable(),
             };
             if self.unplaceable.contains(&class) {
                 continue;
@@ -187,7 +187,7 @@
         job: &Job,
         ends_at: SystemTime,
     ) -> bool {
-        if job.spec.reclaimable() {
+        if job.spec.is_reclaimable() {
             return false;
         }
         let state = &*self.state;
@@ -266,7 +266,7 @@
         if !self.may_borrow(job) || !job.failures.is_empty() {
             return false;
         }
-        let reclaimable = job.spec.reclaimable();
+        let reclaimable = job.spec.is_reclaimable();
         let region = |state: &State, w: WorkerIndex| match reclaimable {
             true => Mask::MAX,
             false => !state.workers[w].home,
@@ -321,7 +321,7 @@
     /// Starts a repeatable job that found no other place on a quarantined
     /// worker whose probe is due.
     fn probe(&mut self, job: &Job) -> bool {
-        if !job.spec.reclaimable() || !self.may_borrow(job) {
+        if !job.spec.is_reclaimable() || !self.may_borrow(job) {
             return false;
         }
         let state = &*self.state;
@@ -373,7 +373,7 @@
     /// Returns the accelerators of a worker on which a job may run outside its
     /// account's home blocks.
     pub(super) fn region(&self, job: &Job, worker: WorkerIndex) -> Mask {
-        match job.spec.reclaimable() {
+        match job.spec.is_reclaimable() {
             true => Mask::MAX,
             false => !self.state.workers[worker].home,
         }
--- a/src/plan/state.rs
+++ b/src/plan/state.rs
@@ -168,7 +168,7 @@
 
     /// Returns whether the job runs and may be stopped for another.
     pub fn is_reclaimable(&self) -> bool {
-        self.spec.reclaimable() && matches!(self.phase, Phase::Running(_))
+        self.spec.is_reclaimable() && matches!(self.phase, Phase::Running(_))
     }
 }
 
@@ -231,7 +231,7 @@
 
     /// Adds the workers that have joined the site.
     pub fn add_missing_workers(&mut self) {
-        let whole = self.site.whole();
+        let whole = self.site.full_mask();
         self.workers
             .resize_with(self.site.workers().len(), Worker::new);
         self.nominal_unguaranteed.resize(self.workers.len(), whole);
@@ -251,7 +251,7 @@
     /// booked, whether it takes new work or not.
     pub fn vacant(&self, index: WorkerIndex) -> Mask {
         let worker = &self.workers[index];
-        self.site.whole() & !worker.used & !worker.booked
+        self.site.full_mask() & !worker.used & !worker.booked
     }
 
     /// Returns the free accelerators of a worker that are in no home block.
@@ -392,7 +392,7 @@
 
     fn is_unstoppable(&self, id: &job::Id) -> bool {
         let job = self.jobs.get(id);
-        job.is_some_and(|job| !job.spec.reclaimable())
+        job.is_some_and(|job| !job.spec.is_reclaimable())
     }
 
     fn charge(
--- a/src/planner/actor/platform.rs
+++ b/src/planner/actor/platform.rs
@@ -15,7 +15,7 @@
 use crate::planner::links;
 use crate::planner::links::Link;
 use crate::vms::Role;
-use crate::vms::Stay;
+use crate::vms::Status;
 use crate::vms::Vm;
 
 impl State {
@@ -44,7 +44,7 @@
             }
             if let Some(worker_state) = self.workers.get_mut(&vm.name) {
                 worker_state.listed = true;
-                worker_state.listed_leaving = vm.state == Stay::Leaving;
+                worker_state.listed_leaving = vm.state == Status::Leaving;
             }
         }
         let interval = links::heartbeat_interval(self.workers.len());
--- a/src/telemetry/page.rs
+++ b/src/telemetry/page.rs
@@ -1,4 +1,4 @@
-//! The local page of metrics, in the text format that scrapers read.
+//! The local metrics page, in the Prometheus text format.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -19,7 +19,8 @@
 use crate::http;
 use crate::telemetry::metrics;
 
-/// The last state of all metrics, as a page.
+/// A page with the last exported state of all metrics. Clones share the
+/// state.
 #[derive(Clone, Default)]
 pub struct Page {
     text: Arc<Mutex<String>>,
@@ -27,17 +28,18 @@
 }
 
 impl Page {
-    pub(super) fn with(&self, meters: SdkMeterProvider) -> Page {
+    /// Returns a page that collects the metrics of `meters` when it is read.
+    pub(super) fn with_meters(&self, meters: SdkMeterProvider) -> Page {
         Page {
             text: self.text.clone(),
             meters: Some(meters),
         }
     }
 
-    /// Returns the metrics as they are now, a line each.
+    /// Returns the current metrics, one sample per line.
     pub async fn text(&self) -> String {
         if let Some(meters) = self.meters.clone() {
-            // It waits for the thread that collects.
+            // A flush blocks until the collecting thread has exported.
             let flush = move || meters.force_flush();
             let _ = tokio::task::spawn_blocking(flush).await;
         }
@@ -63,7 +65,8 @@
             let name = metric.name();
             let help = metrics::help(name).unwrap_or_default();
             let _ = writeln!(text, "# HELP {name} {help}");
-            let _ = writeln!(text, "# TYPE {name} {}", kind(metric.data()));
+            let _ =
+                writeln!(text, "# TYPE {name} {}", metric_type(metric.data()));
             match metric.data() {
                 AggregatedMetrics::F64(data) => lines(&mut text, name, data),
                 AggregatedMetrics::U64(data) => lines(&mut text, name, data),
@@ -87,6 +90,7 @@
     }
 }
 
+/// Appends the samples of a metric.
 fn lines<T: Copy + std::fmt::Display>(
     text: &mut String,
     name: &str,
@@ -107,18 +111,20 @@
         }
         MetricData::Histogram(histogram) => {
             for point in histogram.data_points() {
-                let own = pairs(point.attributes());
-                let mut sum = 0;
+                let own_labels = pairs(point.attributes());
+                let mut cumulative = 0;
                 let bounds = point.bounds().map(|b| b.to_string());
                 let bounds = bounds.chain(["+Inf".to_owned()]);
                 for (bound, count) in bounds.zip(point.bucket_counts()) {
-                    sum += count;
+                    cumulative += count;
                     let bound = [format!("le=\"{bound}\"")];
-                    let all = [own.as_slice(), bound.as_slice()].concat();
+                    let all =
+                        [own_labels.as_slice(), bound.as_slice()].concat();
                     let labels = braces(&all);
-                    let _ = writeln!(text, "{name}_bucket{labels} {sum}");
+                    let _ =
+                        writeln!(text, "{name}_bucket{labels} {cumulative}");
                 }
-                let labels = braces(&own);
+                let labels = braces(&own_labels);
                 let count = point.count();
                 let total = point.sum();
                 let _ = writeln!(text, "{name}_count{labels} {count}");
@@ -129,16 +135,16 @@
     }
 }
 
-/// Returns the type that scrapers know a metric by.
-fn kind(data: &AggregatedMetrics) -> &'static str {
+/// Returns the metric type of the text format.
+fn metric_type(data: &AggregatedMetrics) -> &'static str {
     match data {
-        AggregatedMetrics::F64(data) => kind_of(data),
-        AggregatedMetrics::U64(data) => kind_of(data),
-        AggregatedMetrics::I64(data) => kind_of(data),
+        AggregatedMetrics::F64(data) => data_type(data),
+        AggregatedMetrics::U64(data) => data_type(data),
+        AggregatedMetrics::I64(data) => data_type(data),
     }
 }
 
-fn kind_of<T>(data: &MetricData<T>) -> &'static str {
+fn data_type<T>(data: &MetricData<T>) -> &'static str {
     match data {
         MetricData::Gauge(_) => "gauge",
         MetricData::Sum(_) => "counter",
