--- a/benches/pass.rs
+++ b/benches/pass.rs
@@ -16,17 +16,17 @@
 use criterion::criterion_main;
 use criterion::BenchmarkId;
 use criterion::Criterion;
-use landingvalve::graph::Book;
 use landingvalve::graph::Ended;
-use landingvalve::graph::How;
 use landingvalve::graph::Job;
 use landingvalve::graph::Lists;
-use landingvalve::graph::Moment;
+use landingvalve::graph::Options;
 use landingvalve::graph::Report;
 use landingvalve::graph::Resources;
+use landingvalve::graph::RunOutcome;
 use landingvalve::graph::Running;
+use landingvalve::graph::Scheduler;
 use landingvalve::graph::Step;
-use landingvalve::graph::Terms;
+use landingvalve::graph::Timestamp;
 use landingvalve::graph::WorkerReport;
 
 /// Workers, and units that wait.
@@ -44,8 +44,8 @@
 const TASKS: u32 = 40;
 
 struct Cell {
-    book: Book,
-    now: Moment,
+    book: Scheduler,
+    now: Timestamp,
     jobs: usize,
     sequence: u64,
     running: Vec<Vec<Running>>,
@@ -79,12 +79,12 @@
 
 impl Cell {
     fn new(workers: usize, waiting: usize) -> Cell {
-        let now = Moment {
+        let now = Timestamp {
             now: Instant::now(),
             wall: SystemTime::now(),
         };
         let mut cell = Cell {
-            book: Book::new(Terms::default(), now),
+            book: Scheduler::new(Options::default(), now),
             now,
             jobs: 0,
             sequence: 0,
@@ -142,7 +142,7 @@
                 number: self.ended[at],
                 task: running.task,
                 run: running.run,
-                how: How::Done,
+                how: RunOutcome::Done,
                 saved: String::new(),
             }
         });
--- a/crates/landingvalve-experiment/src/fleet.rs
+++ b/crates/landingvalve-experiment/src/fleet.rs
@@ -4,7 +4,6 @@
 use std::time::Duration;
 
 use landingvalve::graph::Ended;
-use landingvalve::graph::How;
 use landingvalve::graph::Lists;
 use landingvalve::graph::Orders;
 use landingvalve::graph::Refusal;
@@ -12,6 +11,7 @@
 use landingvalve::graph::Report;
 use landingvalve::graph::Resources;
 use landingvalve::graph::Run;
+use landingvalve::graph::RunOutcome;
 use landingvalve::graph::Running;
 use landingvalve::graph::Start;
 use landingvalve::graph::Task;
@@ -174,7 +174,7 @@
     }
 
     /// Ends a task; returns what it was.
-    pub fn end(&mut self, task: &Task, how: How) -> Option<Work> {
+    pub fn end(&mut self, task: &Task, how: RunOutcome) -> Option<Work> {
         let work = self.running.remove(task)?;
         self.bar(task, work.run);
         self.number += 1;
--- a/crates/landingvalve-experiment/src/lib.rs
+++ b/crates/landingvalve-experiment/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`load`] file says what kinds of jobs come, to which fleet, and what
 //! goes wrong. A [`day`] is drawn from it by a seed; [`play`] plays it on a
-//! virtual clock with [`landingvalve::graph::Book`] and workers that do what
+//! virtual clock with [`landingvalve::graph::Scheduler`] and workers that do what
 //! they are told; [`score`] says how callers were served. [`compare`] plays
 //! the same days under two policies and tells the mean difference with its
 //! standard error.
--- a/crates/landingvalve-experiment/src/play.rs
+++ b/crates/landingvalve-experiment/src/play.rs
@@ -9,20 +9,20 @@
 use std::time::SystemTime;
 
 use fastrand::Rng;
-use landingvalve::graph::Book;
-use landingvalve::graph::How;
-use landingvalve::graph::Id;
 use landingvalve::graph::Job;
-use landingvalve::graph::Moment;
+use landingvalve::graph::JobId;
+use landingvalve::graph::Options;
 use landingvalve::graph::Orders;
 use landingvalve::graph::Outcome;
 use landingvalve::graph::Policy;
 use landingvalve::graph::Resources;
 use landingvalve::graph::Run;
+use landingvalve::graph::RunOutcome;
+use landingvalve::graph::Scheduler;
+use landingvalve::graph::SharedStr;
 use landingvalve::graph::Step;
 use landingvalve::graph::Task;
-use landingvalve::graph::Terms;
-use landingvalve::graph::Text;
+use landingvalve::graph::Timestamp;
 
 use crate::day::Arrival;
 use crate::day::Blow;
@@ -69,9 +69,9 @@
     /// A worker reports.
     Reports(usize),
     /// Progress is written.
-    Written(Id, u64),
+    Written(JobId, u64),
     /// A job has to have begun if its account is guaranteed it.
-    Owed(Id),
+    Owed(JobId),
     /// Time passes.
     Tick,
 }
@@ -97,13 +97,13 @@
 struct Play<'a> {
     load: &'a Load,
     day: &'a Day,
-    book: Book,
+    book: Scheduler,
     workers: Vec<Worker>,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
     count: u64,
     now: Time,
-    start: Moment,
-    truths: BTreeMap<Id, Truth>,
+    start: Timestamp,
+    truths: BTreeMap<JobId, Truth>,
     by_agent: BTreeMap<String, usize>,
     due: BTreeSet<usize>,
     random: Rng,
@@ -114,16 +114,16 @@
 
 /// Plays a day under a policy.
 pub fn play(load: &Load, day: &Day, policy: Policy, seed: u64) -> Score {
-    let start = Moment {
+    let start = Timestamp {
         now: Instant::now(),
         wall: SystemTime::UNIX_EPOCH + Duration::from_secs(1 << 30),
     };
-    let terms = Terms {
+    let terms = Options {
         policy,
         far: FAR,
         stop: load.fleet.stop,
         reclaim: load.accounts.reclaim,
-        ..Terms::default()
+        ..Options::default()
     };
     let workers = Worker::all(&load.fleet);
     let names = workers.iter().enumerate();
@@ -131,7 +131,7 @@
     let mut play = Play {
         load,
         day,
-        book: Book::new(terms, start),
+        book: Scheduler::new(terms, start),
         workers,
         events: BinaryHeap::new(),
         count: 0,
@@ -153,7 +153,7 @@
 }
 
 /// Returns the name of an account.
-fn account(number: usize) -> Text {
+fn account(number: usize) -> SharedStr {
     format!("account-{number}").into()
 }
 
@@ -169,8 +169,8 @@
         self.events.push(Reverse((when, self.count, event)));
     }
 
-    fn moment(&self) -> Moment {
-        Moment {
+    fn moment(&self) -> Timestamp {
+        Timestamp {
             now: self.start.now + self.now,
             wall: self.start.wall + self.now,
         }
@@ -267,7 +267,7 @@
     fn arrives(&mut self, number: usize) {
         let arrival = self.day.arrivals[number].clone();
         let queue = &self.load.queues[arrival.queue];
-        let id: Id = format!("{number:06}").into();
+        let id: JobId = format!("{number:06}").into();
         let job = Job {
             id: id.clone(),
             account: account(arrival.account),
@@ -313,7 +313,7 @@
     }
 
     /// Looks whether a job has begun that its account is guaranteed.
-    fn owed(&mut self, id: &Id) {
+    fn owed(&mut self, id: &JobId) {
         let troubled = self.day.blows.iter().any(|(at, ..)| {
             *at <= self.now && self.now < *at + self.load.accounts.reclaim * 2
         });
@@ -361,7 +361,7 @@
     fn lose(&mut self, worker: usize, until: Time) {
         for (task, work) in self.workers[worker].lose(until) {
             self.throw(&task, &work, worker);
-            self.break_gang(&task, work.run, How::Broken);
+            self.break_gang(&task, work.run, RunOutcome::Broken);
         }
         self.due.insert(worker);
     }
@@ -474,9 +474,9 @@
             return;
         };
         let how = match ending {
-            Ending::Done => How::Done,
-            Ending::Failed => How::Failed,
-            Ending::Stopped => How::Stopped,
+            Ending::Done => RunOutcome::Done,
+            Ending::Failed => RunOutcome::Failed,
+            Ending::Stopped => RunOutcome::Stopped,
         };
         self.workers[worker].end(task, how);
         self.at(self.now + WAY, Event::Reports(worker));
@@ -489,20 +489,20 @@
             }
         }
         let others = match ending {
-            Ending::Done => How::Done,
-            _ => How::Broken,
+            Ending::Done => RunOutcome::Done,
+            _ => RunOutcome::Broken,
         };
         self.break_gang(task, run, others);
     }
 
     /// Ends what is left of a gang's run.
-    fn break_gang(&mut self, task: &Task, run: Run, how: How) {
+    fn break_gang(&mut self, task: &Task, run: Run, how: RunOutcome) {
         if !self.is_gang(task) {
             return;
         }
         for (at, member) in self.places(task, run) {
             if let Some(work) = self.workers[at].end(&member, how) {
-                if how != How::Done {
+                if how != RunOutcome::Done {
                     self.throw(&member, &work, at);
                 }
                 self.at(self.now + WAY, Event::Reports(at));
@@ -532,7 +532,7 @@
     }
 
     fn score(&self) -> Score {
-        let job = |(id, truth): (&Id, &Truth)| {
+        let job = |(id, truth): (&JobId, &Truth)| {
             let arrival = &truth.arrival;
             let queue = &self.load.queues[arrival.queue];
             let cores = queue.cpu as f64 / 1000.0
--- a/crates/landingvalve-sim/src/day.rs
+++ b/crates/landingvalve-sim/src/day.rs
@@ -17,13 +17,13 @@
 use landingvalve::cell::Admission;
 use landingvalve::cell::Submitted;
 use landingvalve::clock;
-use landingvalve::graph::Id;
 use landingvalve::graph::Job;
+use landingvalve::graph::JobId;
+use landingvalve::graph::Options;
 use landingvalve::graph::Resources;
 use landingvalve::graph::Run;
 use landingvalve::graph::Step;
 use landingvalve::graph::Task;
-use landingvalve::graph::Terms;
 use landingvalve::log;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
@@ -140,7 +140,7 @@
     entries: Vec<Option<Program>>,
     doors: Doors,
     agents: Vec<Agent>,
-    jobs: BTreeMap<Id, (Job, Duration)>,
+    jobs: BTreeMap<JobId, (Job, Duration)>,
     faults: BTreeMap<&'static str, u32>,
     /// What is undone, and when.
     undo: Vec<(Instant, Undo)>,
@@ -273,7 +273,7 @@
             host,
             source: Source::new(),
             advice: None,
-            terms: Terms::default(),
+            terms: Options::default(),
             log: log::none(),
         };
         // Nobody stops it in an orderly way: who drops the other end would.
@@ -301,7 +301,7 @@
         let agent = &mut self.agents[at];
         let config = Config {
             agent: format!("agent-{at}").into(),
-            survival: Terms::default().survival,
+            survival: Options::default().survival,
             lease: Duration::from_secs(6),
             dial: self.network.dial(process),
             log: log::none(),
@@ -353,8 +353,8 @@
         }
         for (task, run, how) in over {
             let how = match how {
-                landingvalve::graph::How::Done => how,
-                _ => landingvalve::graph::How::Broken,
+                landingvalve::graph::RunOutcome::Done => how,
+                _ => landingvalve::graph::RunOutcome::Broken,
             };
             for agent in &self.agents {
                 agent.site.end_gang(&task, run, how);
--- a/crates/landingvalve-sim/src/promise.rs
+++ b/crates/landingvalve-sim/src/promise.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use landingvalve::cell::Stage;
-use landingvalve::graph::How;
-use landingvalve::graph::Id;
 use landingvalve::graph::Job;
+use landingvalve::graph::JobId;
 use landingvalve::graph::Outcome;
 use landingvalve::graph::Run;
+use landingvalve::graph::RunOutcome;
 use landingvalve::graph::Task;
 use tokio::time::Instant;
 
@@ -43,9 +43,9 @@
 #[derive(Default)]
 struct Data {
     began: Option<Instant>,
-    jobs: BTreeMap<Id, Job>,
-    accepted: BTreeSet<Id>,
-    cancelled: BTreeMap<Id, Instant>,
+    jobs: BTreeMap<JobId, Job>,
+    accepted: BTreeSet<JobId>,
+    cancelled: BTreeMap<JobId, Instant>,
     /// Where each task runs now.
     running: BTreeMap<Task, Vec<String>>,
     ended: BTreeSet<Task>,
@@ -58,7 +58,7 @@
     crashes: BTreeMap<Task, (u32, u32)>,
     /// Runs that are not counted, and where.
     uncounted: BTreeSet<(Key, String)>,
-    shown: BTreeMap<Id, Outcome>,
+    shown: BTreeMap<JobId, Outcome>,
     starts: u64,
     broken: Vec<String>,
     lines: Vec<String>,
@@ -86,21 +86,21 @@
     }
 
     /// Takes in that a job was accepted.
-    pub fn accepts(&self, id: &Id) {
+    pub fn accepts(&self, id: &JobId) {
         let mut data = lock(&self.0);
         data.tell(format!("{id} is accepted"));
         data.accepted.insert(id.clone());
     }
 
     /// Takes in that a cancel was acknowledged.
-    pub fn cancels(&self, id: &Id) {
+    pub fn cancels(&self, id: &JobId) {
         let mut data = lock(&self.0);
         data.tell(format!("{id} is cancelled"));
         data.cancelled.entry(id.clone()).or_insert(Instant::now());
     }
 
     /// Takes in how a job stands, as its caller is told.
-    pub fn shows(&self, id: &Id, stage: Option<Stage>) {
+    pub fn shows(&self, id: &JobId, stage: Option<Stage>) {
         let mut data = lock(&self.0);
         let Some(stage) = stage else {
             data.breaks(format!("LOST: {id} is accepted and not known"));
@@ -140,7 +140,7 @@
     }
 
     /// Takes in that a run ends.
-    pub fn ends(&self, key: &Key, life: &str, how: Option<How>) {
+    pub fn ends(&self, key: &Key, life: &str, how: Option<RunOutcome>) {
         let mut data = lock(&self.0);
         let (task, run) = key;
         data.tell(format!("{task} run {run} ends on {life}: {how:?}"));
@@ -152,10 +152,10 @@
             lives.retain(|other| other != life);
         }
         match how {
-            Some(How::Done) => {
+            Some(RunOutcome::Done) => {
                 data.ended.insert(task.clone());
             }
-            Some(How::Failed) => {
+            Some(RunOutcome::Failed) => {
                 let runs = data.failed.entry(task.clone()).or_default();
                 runs.insert(*run);
             }
@@ -167,11 +167,11 @@
     }
 
     /// Takes in that an answer lists the end of a run.
-    pub fn lists(&self, key: &Key, life: &str, how: How) {
+    pub fn lists(&self, key: &Key, life: &str, how: RunOutcome) {
         let mut data = lock(&self.0);
         let (task, run) = key;
         data.tell(format!("{task} run {run} is listed by {life}: {how:?}"));
-        if how == How::Done {
+        if how == RunOutcome::Done {
             data.listed.insert(task.clone());
         }
     }
@@ -207,9 +207,9 @@
     }
 
     /// Returns the accepted jobs that are not shown as ended.
-    pub fn open(&self) -> Vec<Id> {
+    pub fn open(&self) -> Vec<JobId> {
         let data = lock(&self.0);
-        let open = |id: &&Id| !data.shown.contains_key(*id);
+        let open = |id: &&JobId| !data.shown.contains_key(*id);
         data.accepted.iter().filter(open).cloned().collect()
     }
 
@@ -281,7 +281,7 @@
         }
     }
 
-    fn check_outcome(&mut self, id: &Id, outcome: Outcome) {
+    fn check_outcome(&mut self, id: &JobId, outcome: Outcome) {
         let Some(job) = self.jobs.get(id).cloned() else {
             return;
         };
--- a/crates/landingvalve-sim/src/worker.rs
+++ b/crates/landingvalve-sim/src/worker.rs
@@ -12,13 +12,13 @@
 use landingvalve::cell::worker::Worker;
 use landingvalve::cell::worker::WorkerTime;
 use landingvalve::graph::Ended;
-use landingvalve::graph::How;
 use landingvalve::graph::Life;
 use landingvalve::graph::Lists;
 use landingvalve::graph::Pace;
 use landingvalve::graph::Refusal;
 use landingvalve::graph::Resources;
 use landingvalve::graph::Run;
+use landingvalve::graph::RunOutcome;
 use landingvalve::graph::Running;
 use landingvalve::graph::Start;
 use landingvalve::graph::Stop;
@@ -245,11 +245,11 @@
         time: Duration,
         whole: impl Fn(&Task, Run) -> Option<bool>,
         work: impl Fn(&Task) -> Duration,
-    ) -> Vec<(Task, Run, How)> {
+    ) -> Vec<(Task, Run, RunOutcome)> {
         let mut data = lock(&self.data);
         let now = Instant::now();
         let lapsed = now >= data.leased;
-        let mut over: Vec<(Task, How)> = Vec::new();
+        let mut over: Vec<(Task, RunOutcome)> = Vec::new();
         let mut gangs = Vec::new();
         let fails = data.mode.fails;
         let bad = data.bad.clone();
@@ -268,13 +268,17 @@
         for (task, running) in &data.running {
             let gang = whole(task, running.run);
             let how = match gang {
-                _ if lapsed => How::Lapsed,
-                _ if running.stops.is_some_and(|at| now >= at) => How::Stopped,
-                Some(false) if running.whole => How::Broken,
-                Some(false) if now > running.since + ALONE => How::Alone,
+                _ if lapsed => RunOutcome::Lapsed,
+                _ if running.stops.is_some_and(|at| now >= at) => {
+                    RunOutcome::Stopped
+                }
+                Some(false) if running.whole => RunOutcome::Broken,
+                Some(false) if now > running.since + ALONE => {
+                    RunOutcome::Alone
+                }
                 Some(false) => continue,
-                _ if fails && !running.worked.is_zero() => How::Failed,
-                _ if running.worked >= work(task) => How::Done,
+                _ if fails && !running.worked.is_zero() => RunOutcome::Failed,
+                _ if running.worked >= work(task) => RunOutcome::Done,
                 _ => continue,
             };
             over.push((task.clone(), how));
@@ -292,7 +296,7 @@
     }
 
     /// Ends what is here of a gang's run.
-    pub fn end_gang(&self, of: &Task, run: Run, how: How) {
+    pub fn end_gang(&self, of: &Task, run: Run, how: RunOutcome) {
         let mut data = lock(&self.data);
         let same = |task: &Task, work: &Work| {
             let one = (&task.job, task.time, task.step, work.run);
@@ -305,7 +309,7 @@
         }
     }
 
-    fn end(&self, data: &mut Data, task: &Task, how: How) {
+    fn end(&self, data: &mut Data, task: &Task, how: RunOutcome) {
         let Some(work) = data.running.remove(task) else {
             return;
         };
@@ -497,8 +501,9 @@
         // A look that was meant for the birth before makes this one forget
         // ends that nobody has read: no agent can call it back.
         let meant = when != When::LaterBirth;
-        let counts =
-            |e: &&Ended| meant && e.how == How::Done && e.number > lapsed;
+        let counts = |e: &&Ended| {
+            meant && e.how == RunOutcome::Done && e.number > lapsed
+        };
         for end in over.iter().filter(counts) {
             self.promise.notes(&end.task);
         }
--- a/src/cell/admission.rs
+++ b/src/cell/admission.rs
@@ -12,8 +12,8 @@
 use crate::cell::pause;
 use crate::cell::reach::Reach;
 use crate::graph;
-use crate::graph::Id;
 use crate::graph::Job;
+use crate::graph::JobId;
 use crate::graph::Outcome;
 use crate::graph::Progress;
 use crate::store::Change;
@@ -81,7 +81,7 @@
     reach: Reach,
     patience: Duration,
     /// Jobs whose write had no answer here, and when.
-    unsure: Arc<Mutex<HashMap<Id, Instant>>>,
+    unsure: Arc<Mutex<HashMap<JobId, Instant>>>,
     log: slog::Logger,
 }
 
@@ -311,13 +311,13 @@
         }
     }
 
-    fn is_unsure(&self, id: &graph::Id) -> bool {
+    fn is_unsure(&self, id: &graph::JobId) -> bool {
         let unsure = self.unsure.lock();
         let unsure = unsure.unwrap_or_else(PoisonError::into_inner);
         unsure.contains_key(id)
     }
 
-    fn set_unsure(&self, id: &graph::Id) {
+    fn set_unsure(&self, id: &graph::JobId) {
         let now = Instant::now();
         let unsure = self.unsure.lock();
         let mut unsure = unsure.unwrap_or_else(PoisonError::into_inner);
--- a/src/cell/configuration.rs
+++ b/src/cell/configuration.rs
@@ -18,7 +18,7 @@
 use crate::cell::watch::Watch;
 use crate::clock::Stamp;
 use crate::graph::Advice;
-use crate::graph::Text;
+use crate::graph::SharedStr;
 use crate::store::Change;
 use crate::store::Error;
 use crate::store::Item;
@@ -36,13 +36,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Queue {
     /// Its name.
-    pub name: Text,
+    pub name: SharedStr,
     /// The host that callers name.
-    pub host: Text,
+    pub host: SharedStr,
     /// What the paths of its jobs start with.
-    pub prefix: Text,
+    pub prefix: SharedStr,
     /// The pool whose workers run its jobs.
-    pub pool: Text,
+    pub pool: SharedStr,
     /// Whether workers of the pool refuse what does not fit.
     pub guarded: bool,
     /// The lower, the sooner.
@@ -69,9 +69,9 @@
     /// The queues.
     pub queues: Vec<Arc<Queue>>,
     /// The client account of each key.
-    pub keys: HashMap<String, Text>,
+    pub keys: HashMap<String, SharedStr>,
     /// The accelerators that each client account is guaranteed.
-    pub guarantees: BTreeMap<Text, i64>,
+    pub guarantees: BTreeMap<SharedStr, i64>,
     /// The longest body of a request, in bytes.
     pub max_body: usize,
 }
@@ -103,7 +103,7 @@
 struct Known {
     current: Option<Arc<Configuration>>,
     /// The halls that are to be given no new work.
-    closed: BTreeSet<Text>,
+    closed: BTreeSet<SharedStr>,
     revision: Revision,
     /// The last revision that was seen, whether it could be read or not.
     seen: Revision,
@@ -133,7 +133,7 @@
     }
 
     /// Returns the halls that are to be given no new work.
-    pub fn closed(&self) -> BTreeSet<Text> {
+    pub fn closed(&self) -> BTreeSet<SharedStr> {
         self.lock().closed.clone()
     }
 
--- a/src/cell/member/known.rs
+++ b/src/cell/member/known.rs
@@ -8,10 +8,10 @@
 
 use crate::cell::member::Heartbeat;
 use crate::cell::worker::WorkerTime;
-use crate::graph::Before;
 use crate::graph::Ended;
 use crate::graph::Life;
 use crate::graph::Lists;
+use crate::graph::PastLife;
 use crate::graph::Refusal;
 use crate::graph::Refused;
 use crate::graph::Resources;
@@ -182,11 +182,11 @@
     }
 
     /// Returns what is told of this life once it is over.
-    pub(super) fn before(&self) -> Before {
+    pub(super) fn before(&self) -> PastLife {
         // What it has done and was read is not done again for its end.
         let ended = self.lists.as_ref().map_or(&self.read, |l| &l.ended);
         let untold = ended.iter().filter(|end| end.number > self.noted);
-        Before {
+        PastLife {
             ended: untold.cloned().collect(),
             life: self.beat.life.clone(),
             begun: self.begun.keys().cloned().collect(),
--- a/src/cell/member/mod.rs
+++ b/src/cell/member/mod.rs
@@ -28,7 +28,7 @@
 use crate::graph::AgentId;
 use crate::graph::Life;
 use crate::graph::Resources;
-use crate::graph::Text;
+use crate::graph::SharedStr;
 use crate::store::Store;
 use crate::telemetry::metrics;
 use crate::telemetry::metrics::label;
@@ -60,15 +60,15 @@
     /// Rises with each heartbeat of this life.
     pub sequence: u64,
     /// The pool it belongs to.
-    pub pool: Text,
+    pub pool: SharedStr,
     /// The machine it runs on, if it says.
-    pub machine: Option<Text>,
+    pub machine: Option<SharedStr>,
     /// Its hall.
-    pub hall: Text,
+    pub hall: SharedStr,
     /// Its rack.
-    pub rack: Text,
+    pub rack: SharedStr,
     /// Its labels.
-    pub labels: Vec<Text>,
+    pub labels: Vec<SharedStr>,
     /// Its whole room.
     pub capacity: Resources,
     /// Whether it is leaving.
--- a/src/cell/member/state.rs
+++ b/src/cell/member/state.rs
@@ -14,10 +14,10 @@
 use crate::cell::worker::Look;
 use crate::cell::worker::WorkerTime;
 use crate::clock::Stamp;
-use crate::graph::Before;
 use crate::graph::Life;
 use crate::graph::Lists;
 use crate::graph::Orders;
+use crate::graph::PastLife;
 use crate::graph::Report;
 use crate::graph::Resources;
 use crate::graph::Run;
@@ -82,7 +82,7 @@
     /// Before when no heartbeat of another life is news.
     strange: Option<Instant>,
     /// What had begun in the life before, and until when that is told.
-    before: Option<(Before, Instant)>,
+    before: Option<(PastLife, Instant)>,
 }
 
 impl State {
@@ -184,7 +184,7 @@
         let told = told.filter(|_| sure).map(|(before, _)| before.clone());
         let before = match over {
             Some(known) if known.seen => Some(known.before()),
-            Some(known) => told.map(|before| Before {
+            Some(known) => told.map(|before| PastLife {
                 // Its leases have run out with those of its successor.
                 over: known.lapsed,
                 ..before
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! * [`Admission`] writes accepted jobs and cancellations to the store.
 //! * One entry at a time holds the claim ([`claim`]) and hosts the planner
-//!   ([`planner`]), which drives [`crate::graph::Book`].
+//!   ([`planner`]), which drives [`crate::graph::Scheduler`].
 //! * [`Member`](member::Member) is the agent beside a worker: it alone calls
 //!   the worker, and reports to the planner that the claim names.
 //! * [`relay`] reaches the store by way of other entries while there is no
--- a/src/cell/planner/calls.rs
+++ b/src/cell/planner/calls.rs
@@ -15,9 +15,9 @@
 use crate::cell::writer;
 use crate::clock;
 use crate::graph::AgentId;
-use crate::graph::Id;
-use crate::graph::Moment;
+use crate::graph::JobId;
 use crate::graph::Report;
+use crate::graph::Timestamp;
 use crate::store::Put;
 use crate::store::Store;
 
@@ -32,7 +32,7 @@
         let Some(desk) = self.advice.clone().filter(|_| !self.asking) else {
             return;
         };
-        let Some(question) = self.book.question(Moment::present()) else {
+        let Some(question) = self.book.question(Timestamp::present()) else {
             return;
         };
         self.asking = true;
@@ -72,7 +72,7 @@
         kept: Vec<Report>,
         sent: Instant,
     ) {
-        let now = Moment::present();
+        let now = Timestamp::present();
         let mut kept: BTreeMap<AgentId, Report> =
             kept.into_iter().map(|r| (r.agent.clone(), r)).collect();
         for agent in agents {
@@ -107,11 +107,11 @@
     /// Removes the records of jobs that ended long ago.
     pub(super) fn remove(&mut self, myself: &ActorRef<Message>) {
         let before = clock::wall().checked_sub(KEPT);
-        let ids: Vec<Id> = match before {
+        let ids: Vec<JobId> = match before {
             Some(before) if !self.removing => self.book.ended_before(before),
             _ => return,
         };
-        let ids: Vec<Id> = ids.into_iter().take(REMOVED).collect();
+        let ids: Vec<JobId> = ids.into_iter().take(REMOVED).collect();
         if ids.is_empty() {
             return;
         }
--- a/src/cell/planner/mod.rs
+++ b/src/cell/planner/mod.rs
@@ -24,17 +24,17 @@
 use crate::cell::writer::Known;
 use crate::cell::writer::Written;
 use crate::graph::AgentId;
-use crate::graph::Book;
-use crate::graph::Id;
 use crate::graph::Job;
-use crate::graph::Moment;
+use crate::graph::JobId;
+use crate::graph::Options;
 use crate::graph::Progress;
 use crate::graph::Question;
 use crate::graph::Report;
+use crate::graph::Scheduler;
+use crate::graph::SharedStr;
 use crate::graph::Step;
-use crate::graph::Terms;
-use crate::graph::Text;
 use crate::graph::Ticket;
+use crate::graph::Timestamp;
 use crate::store::Change;
 use crate::store::Item;
 use crate::store::Listing;
@@ -63,7 +63,7 @@
     /// A batch is written, or the claim is lost.
     Written(Result<Written, writer::Lost>),
     /// Records were removed, or not.
-    Removed(Vec<Id>),
+    Removed(Vec<JobId>),
     /// What silent agents have kept was read, by a call sent at that time.
     Inquired(Vec<AgentId>, Vec<Report>, Instant),
     /// A question was answered, or not, that was put at that time.
@@ -95,7 +95,7 @@
     /// Where to ask who may run a step, if anybody says.
     pub advice: Option<Desk>,
     /// The times that decisions rest on.
-    pub terms: Terms,
+    pub terms: Options,
     /// What entries have told so far.
     pub intake: Listing,
     /// What earlier planners have kept.
@@ -113,7 +113,7 @@
     source: Source,
     advice: Option<Desk>,
     asking: bool,
-    book: Book,
+    book: Scheduler,
     known: Known,
     /// Progress of jobs whose acceptance was not listed yet.
     kept: BTreeMap<String, Progress>,
@@ -132,7 +132,7 @@
     held: BTreeMap<AgentId, Held>,
     /// Agents whose orders have changed while they asked for none.
     due: BTreeSet<AgentId>,
-    guarantees: BTreeMap<Text, i64>,
+    guarantees: BTreeMap<SharedStr, i64>,
     lost: watch::Sender<bool>,
     teller: Teller,
     log: slog::Logger,
@@ -204,7 +204,7 @@
             source: start.source,
             advice: start.advice,
             asking: false,
-            book: Book::new(start.terms, Moment::present()),
+            book: Scheduler::new(start.terms, Timestamp::present()),
             known: Known::default(),
             kept: BTreeMap::new(),
             unread: BTreeSet::new(),
@@ -253,7 +253,7 @@
     }
 
     fn changes(&mut self, changes: Vec<Change>) {
-        let now = Moment::present();
+        let now = Timestamp::present();
         let mut cancelled = Vec::new();
         for change in changes {
             let Change::Put(item) = change else {
@@ -274,7 +274,7 @@
         }
     }
 
-    fn accept(&mut self, id: &str, value: &[u8], now: Moment) {
+    fn accept(&mut self, id: &str, value: &[u8], now: Timestamp) {
         match serde_json::from_slice::<Job>(value) {
             Ok(job) => {
                 let progress = self.kept.remove(id);
@@ -313,7 +313,7 @@
             send(&self.log, held.reply, Answer::NotPlanner);
             return;
         }
-        self.book.report(report, Moment::present());
+        self.book.report(report, Timestamp::present());
         if let Some(earlier) = self.held.insert(agent, held) {
             // Its agent has given it up for the one just come.
             send(&self.log, earlier.reply, Answer::NotPlanner);
@@ -339,7 +339,7 @@
         }
     }
 
-    fn removed(&mut self, ids: &[Id]) {
+    fn removed(&mut self, ids: &[JobId]) {
         self.removing = false;
         for id in ids {
             self.book.forget(id);
@@ -397,7 +397,7 @@
             }
         }
         self.book.set_closed(self.source.closed());
-        self.book.step(Moment::present());
+        self.book.step(Timestamp::present());
         let token = self.claim.token;
         for decision in self.book.take_decisions() {
             self.teller.tell(&decision, token);
--- a/src/cell/session.rs
+++ b/src/cell/session.rs
@@ -29,8 +29,8 @@
 use crate::cell::relay::Carrier;
 use crate::cell::rpc::Answer;
 use crate::cell::rpc::CellServer;
+use crate::graph::Options;
 use crate::graph::Report;
-use crate::graph::Terms;
 use crate::store::Changes;
 use crate::store::Error;
 use crate::store::Listing;
@@ -137,7 +137,7 @@
     /// Where to ask who may run a step, if anybody says.
     pub advice: Option<Desk>,
     /// The times that decisions rest on.
-    pub terms: Terms,
+    pub terms: Options,
     /// Where logs go.
     pub log: slog::Logger,
 }
--- a/src/cell/teller.rs
+++ b/src/cell/teller.rs
@@ -5,11 +5,11 @@
 use tokio::time::Instant;
 
 use crate::graph::Decision;
+use crate::graph::GuaranteeStatus;
 use crate::graph::Life;
 use crate::graph::Outcome;
-use crate::graph::Standing;
 use crate::graph::Subject;
-use crate::graph::Wait;
+use crate::graph::WaitReason;
 use crate::store::Revision;
 use crate::telemetry::metrics;
 use crate::telemetry::metrics::label;
@@ -98,9 +98,9 @@
         Decision::Apart { .. } => "worker kept apart",
         Decision::Paced { .. } => "paced",
         Decision::Waits { what, .. } => match what {
-            Wait::Worker => "waits for a worker",
-            Wait::Room => "waits for room",
-            Wait::Rack => "waits for a rack",
+            WaitReason::Worker => "waits for a worker",
+            WaitReason::Room => "waits for room",
+            WaitReason::Rack => "waits for a rack",
         },
         Decision::Kept { .. } => "room kept",
         Decision::Placed {
@@ -260,7 +260,7 @@
 }
 
 /// How a unit stands to what its account is guaranteed, if it is urgent.
-struct Promise(Option<Standing>);
+struct Promise(Option<GuaranteeStatus>);
 
 impl slog::KV for Promise {
     fn serialize(
@@ -300,10 +300,10 @@
     names.join(",")
 }
 
-fn word(what: Wait) -> &'static str {
+fn word(what: WaitReason) -> &'static str {
     match what {
-        Wait::Worker => "a worker",
-        Wait::Room => "room",
-        Wait::Rack => "a rack",
+        WaitReason::Worker => "a worker",
+        WaitReason::Room => "room",
+        WaitReason::Rack => "a rack",
     }
 }
--- a/src/cell/writer.rs
+++ b/src/cell/writer.rs
@@ -7,7 +7,7 @@
 use crate::cell::claim::Claim;
 use crate::cell::keys;
 use crate::cell::pause;
-use crate::graph::Id;
+use crate::graph::JobId;
 use crate::graph::Unwritten;
 use crate::http::carriage;
 use crate::store::Compare;
@@ -30,9 +30,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Known {
     /// The revision of each job's progress.
-    pub revisions: BTreeMap<Id, Revision>,
+    pub revisions: BTreeMap<JobId, Revision>,
     /// The jobs that no longer count as waiting.
-    pub begun: BTreeSet<Id>,
+    pub begun: BTreeSet<JobId>,
 }
 
 impl Known {
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub struct Written {
     /// The jobs, with the version and revision of each.
-    pub jobs: Vec<(Id, u64, Revision)>,
+    pub jobs: Vec<(JobId, u64, Revision)>,
 }
 
 /// The claim is lost, or somebody else has written.
@@ -114,7 +114,7 @@
 
 fn all(
     batch: &[Unwritten],
-    revision: impl Fn(&Id) -> Option<Revision>,
+    revision: impl Fn(&JobId) -> Option<Revision>,
 ) -> Written {
     let jobs = batch.iter().filter_map(|job| {
         Some((job.id.clone(), job.version, revision(&job.id)?))
@@ -140,7 +140,7 @@
     if !ours {
         return Err(Lost("another has written".to_owned()));
     }
-    let revision = |id: &Id| {
+    let revision = |id: &JobId| {
         let key = keys::progress(id);
         items.iter().find(|i| i.key == key).map(|i| i.modified)
     };
--- a/src/graph/advice.rs
+++ b/src/graph/advice.rs
@@ -12,10 +12,10 @@
 use crate::graph::entry::Entry;
 use crate::graph::place::Request;
 use crate::graph::unit::Phase;
-use crate::graph::Book;
-use crate::graph::Id;
+use crate::graph::JobId;
 use crate::graph::Life;
-use crate::graph::Moment;
+use crate::graph::Scheduler;
+use crate::graph::Timestamp;
 
 /// The most workers that one question names; the users reckon with as many
 /// a step.
@@ -27,7 +27,7 @@
 const AGAIN: Duration = Duration::from_millis(500);
 
 /// One time of a step of a job.
-pub type StepKey = (Id, u32, usize);
+pub type StepKey = (JobId, u32, usize);
 
 /// A leave to run a step on a life of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -90,7 +90,7 @@
     }
 }
 
-impl Book {
+impl Scheduler {
     /// Returns where a unit may run, as far as leave goes.
     pub(super) fn leave_of(&self, request: &Request) -> Needed<'_> {
         let entry = self.jobs.get(&request.id);
@@ -101,20 +101,20 @@
     }
 
     /// Returns what is to be asked next, if anything is.
-    pub fn question(&mut self, now: Moment) -> Option<Question> {
+    pub fn question(&mut self, now: Timestamp) -> Option<Question> {
         let question = self.next_question(now)?;
         let leave = self.leave.entry(question.step.clone()).or_default();
         leave.not_before = Some(now.now + AGAIN);
         Some(question)
     }
 
-    fn next_question(&self, now: Moment) -> Option<Question> {
+    fn next_question(&self, now: Timestamp) -> Option<Question> {
         self.live()
             .filter(|entry| entry.job.advice.is_some() && !entry.over())
             .find_map(|entry| self.question_of(entry, now))
     }
 
-    fn question_of(&self, entry: &Entry, now: Moment) -> Option<Question> {
+    fn question_of(&self, entry: &Entry, now: Timestamp) -> Option<Question> {
         let waits = entry
             .units
             .iter()
@@ -145,7 +145,7 @@
         &self,
         request: &Request,
         leave: &Leave,
-        now: Moment,
+        now: Timestamp,
     ) -> Vec<Life> {
         let mut open: Vec<(bool, &Life)> = self
             .workers
--- a/src/graph/birth.rs
+++ b/src/graph/birth.rs
@@ -4,13 +4,13 @@
 
 use crate::graph::unit::Phase;
 use crate::graph::AgentId;
-use crate::graph::Book;
 use crate::graph::Life;
 use crate::graph::Lists;
 use crate::graph::Run;
+use crate::graph::Scheduler;
 use crate::graph::Task;
 
-impl Book {
+impl Scheduler {
     /// Gives the members that are here under an earlier birth the present
     /// one, where it is theirs.
     ///
--- a/src/graph/price.rs
+++ b/src/graph/budget.rs
@@ -17,7 +17,7 @@
 
 /// What an urgent unit has to gain.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stake {
+pub struct Need {
     /// Its own work, in core-seconds.
     pub work: f64,
     /// What is left until it would have to start, in ms.
@@ -27,7 +27,7 @@
 }
 
 /// Returns the core-seconds that may be thrown away for a unit.
-pub fn limit(policy: &Policy, stake: &Stake) -> f64 {
+pub fn limit(policy: &Policy, stake: &Need) -> f64 {
     let stop = stake.stop.as_millis() as i64;
     match stake.slack_ms >= stop {
         true => policy.most_lost.max(stake.work * policy.lost_in_time),
--- a/src/graph/crash.rs
+++ b/src/graph/crash.rs
@@ -9,19 +9,19 @@
 
 use std::time::Duration;
 
-use crate::graph::book::Worker;
 use crate::graph::entry::Entry;
 use crate::graph::place::Request;
+use crate::graph::scheduler::Worker;
 use crate::graph::unit::Member;
 use crate::graph::unit::Phase;
 use crate::graph::AgentId;
-use crate::graph::Book;
 use crate::graph::Decision;
 use crate::graph::Loss;
-use crate::graph::Moment;
 use crate::graph::Place;
 use crate::graph::Resources;
 use crate::graph::Run;
+use crate::graph::Scheduler;
+use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
 /// How long a task must have been seen at work before the loss of its worker
@@ -148,7 +148,7 @@
     }
 }
 
-impl Book {
+impl Scheduler {
     /// Counts the loss of a member's worker against its task.
     pub(super) fn blame(&mut self, id: &str, key: &UnitKey, member: &Member) {
         let begun = self.begun(id, key, member);
@@ -253,7 +253,7 @@
         id: &str,
         key: &UnitKey,
         places: &[Place],
-        now: Moment,
+        now: Timestamp,
     ) {
         if !self.jobs.get(id).is_some_and(|entry| entry.is_suspect(key)) {
             return;
@@ -271,7 +271,7 @@
         &self,
         request: &Request,
         sound: Vec<(&'a AgentId, &'a Worker)>,
-        now: Moment,
+        now: Timestamp,
     ) -> Vec<(&'a AgentId, &'a Worker)> {
         if !request.suspect {
             return sound;
--- a/src/graph/decision.rs
+++ b/src/graph/decision.rs
@@ -3,33 +3,33 @@
 use std::time::Duration;
 
 use crate::graph::AgentId;
-use crate::graph::Id;
+use crate::graph::GuaranteeStatus;
+use crate::graph::JobId;
 use crate::graph::Life;
 use crate::graph::Loss;
 use crate::graph::Outcome;
 use crate::graph::Resources;
 use crate::graph::Run;
+use crate::graph::SharedStr;
 use crate::graph::Shortage;
-use crate::graph::Standing;
-use crate::graph::Text;
 use crate::graph::UnitKey;
 
 /// Which unit is meant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Subject {
     /// Its job.
-    pub job: Id,
+    pub job: JobId,
     /// The client account of the job.
-    pub account: Text,
+    pub account: SharedStr,
     /// The queue of the job.
-    pub queue: Text,
+    pub queue: SharedStr,
     /// The unit within the job.
     pub unit: UnitKey,
 }
 
 /// What a unit waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wait {
+pub enum WaitReason {
     /// Workers that may be used at all.
     Worker,
     /// Room on one of them.
@@ -80,13 +80,13 @@
         /// The unit.
         of: Subject,
         /// What for.
-        what: Wait,
+        what: WaitReason,
         /// What is left until it would have to start, in ms.
         slack: i64,
         /// How many workers it may use.
         workers: usize,
         /// How it stands to what its account is guaranteed, if it is urgent.
-        standing: Option<Standing>,
+        standing: Option<GuaranteeStatus>,
         /// What it lacks, where there are such workers.
         shortage: Option<Shortage>,
     },
@@ -116,7 +116,7 @@
         /// How long it is expected to run.
         expected: Duration,
         /// How it stands to what its account is guaranteed, if it is urgent.
-        standing: Option<Standing>,
+        standing: Option<GuaranteeStatus>,
     },
     /// A run is stopped.
     Stopped {
@@ -171,11 +171,11 @@
     /// A job has ended.
     Over {
         /// The job.
-        job: Id,
+        job: JobId,
         /// Its client account.
-        account: Text,
+        account: SharedStr,
         /// Its queue.
-        queue: Text,
+        queue: SharedStr,
         /// How.
         outcome: Outcome,
         /// How long after it was accepted.
--- a/src/graph/guarantee.rs
+++ b/src/graph/guarantee.rs
@@ -8,12 +8,12 @@
 use crate::graph::entry::Entry;
 use crate::graph::place::Request;
 use crate::graph::unit::Phase;
-use crate::graph::Book;
-use crate::graph::Id;
 use crate::graph::Job;
-use crate::graph::Moment;
+use crate::graph::JobId;
+use crate::graph::Scheduler;
+use crate::graph::SharedStr;
 use crate::graph::Step;
-use crate::graph::Text;
+use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
 /// What it takes beside stops until a unit begins that was given room: the
@@ -22,7 +22,7 @@
 
 /// How an urgent unit stands to what its account is guaranteed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct GuaranteeStatus {
     /// The accelerators that the account is guaranteed.
     pub guaranteed: i64,
     /// Those that all of its urgent work asks for which is not over.
@@ -52,7 +52,7 @@
     job.steps.iter().map(step).max().unwrap_or(0)
 }
 
-impl Book {
+impl Scheduler {
     /// Returns the urgent jobs that are not over.
     fn urgent_jobs(&self) -> impl Iterator<Item = &Entry> {
         self.live()
@@ -61,7 +61,7 @@
 
     /// Returns the accelerators that the urgent work of each account asks
     /// for.
-    fn needed(&self) -> BTreeMap<&Text, i64> {
+    fn needed(&self) -> BTreeMap<&SharedStr, i64> {
         let mut needed = BTreeMap::new();
         for entry in self.urgent_jobs() {
             let most = accelerators(&entry.job);
@@ -70,17 +70,17 @@
         needed
     }
 
-    fn guaranteed(&self, account: &Text) -> i64 {
+    fn guaranteed(&self, account: &SharedStr) -> i64 {
         self.guarantees.get(account).copied().unwrap_or(0)
     }
 
     /// Finds the urgent jobs that are within what their accounts are
     /// guaranteed: of each account the first that fit into it, in the order
     /// in which they were accepted. What lies beyond borrows.
-    pub(super) fn promise(&mut self, now: Moment) {
+    pub(super) fn promise(&mut self, now: Timestamp) {
         let mut urgent: Vec<&Entry> = self.urgent_jobs().collect();
         urgent.sort_by_key(|entry| (entry.accepted, &entry.job.id));
-        let mut promised: BTreeMap<&Text, i64> = BTreeMap::new();
+        let mut promised: BTreeMap<&SharedStr, i64> = BTreeMap::new();
         let mut within = BTreeSet::new();
         for entry in urgent {
             let account = &entry.job.account;
@@ -94,7 +94,8 @@
         let soon = self.urgent_jobs().filter(|entry| {
             !within.contains(&entry.job.id) && self.is_soon(entry, now)
         });
-        let soon: Vec<Id> = soon.map(|entry| entry.job.id.clone()).collect();
+        let soon: Vec<JobId> =
+            soon.map(|entry| entry.job.id.clone()).collect();
         within.extend(soon);
         self.promised = within;
     }
@@ -103,7 +104,7 @@
     /// within it by the time it has to have begun, and room for it has to be
     /// made now: once the account's other work has ended it would be too late
     /// for stops.
-    fn is_soon(&self, entry: &Entry, now: Moment) -> bool {
+    fn is_soon(&self, entry: &Entry, now: Timestamp) -> bool {
         let by = entry.accepted + self.terms.reclaim;
         if now.now >= by || now.now + self.terms.stop + ORDER < by {
             return false;
@@ -153,7 +154,7 @@
     }
 
     /// Returns whether room of a pool is kept for units within guarantees.
-    pub(super) fn keeps_promised(&self, pool: &Text) -> bool {
+    pub(super) fn keeps_promised(&self, pool: &SharedStr) -> bool {
         let promised = self.promised.iter().filter_map(|id| self.jobs.get(id));
         let mut here = promised.filter(|entry| entry.job.pool == *pool);
         here.any(|entry| {
@@ -178,8 +179,8 @@
         &self,
         entry: &Entry,
         key: &UnitKey,
-        now: Moment,
-    ) -> Option<Standing> {
+        now: Timestamp,
+    ) -> Option<GuaranteeStatus> {
         if entry.job.priority > 0 {
             return None;
         }
@@ -187,7 +188,7 @@
         let owed = self.owed(entry, key);
         let left = owed.saturating_duration_since(now.now).as_millis();
         let past = now.now.saturating_duration_since(owed).as_millis();
-        Some(Standing {
+        Some(GuaranteeStatus {
             guaranteed: self.guaranteed(account),
             needed: self.needed().get(account).copied().unwrap_or(0),
             within: self.is_promised(entry),
@@ -196,7 +197,7 @@
     }
 
     /// Returns who holds the accelerators of a pool.
-    pub(super) fn holders(&self, pool: &Text) -> Holders {
+    pub(super) fn holders(&self, pool: &SharedStr) -> Holders {
         let mut holders = Holders::default();
         for entry in self.live().filter(|entry| entry.job.pool == *pool) {
             let held = entry.units.iter().filter(|(_, unit)| {
--- a/src/graph/health.rs
+++ b/src/graph/health.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::graph::Id;
+use crate::graph::JobId;
 use crate::graph::UnitKey;
 
 /// How many must fail in a row before a worker is kept apart.
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Health {
     /// The units that failed since the last that was done.
-    failed: Vec<(Id, UnitKey)>,
+    failed: Vec<(JobId, UnitKey)>,
     /// How often it was kept apart since the last that was done.
     times: u32,
     /// Until when it is kept apart.
@@ -36,7 +36,7 @@
     /// failed nowhere else: that is what `only_here` says.
     pub fn failed(
         &mut self,
-        job: &Id,
+        job: &JobId,
         key: &UnitKey,
         only_here: bool,
         now: Instant,
@@ -45,7 +45,8 @@
         if !self.failed.contains(&failed) {
             self.failed.push(failed);
         }
-        let jobs: BTreeSet<&Id> = self.failed.iter().map(|f| &f.0).collect();
+        let jobs: BTreeSet<&JobId> =
+            self.failed.iter().map(|f| &f.0).collect();
         let against = match only_here {
             true => self.failed.len(),
             false => jobs.len(),
--- a/src/graph/history.rs
+++ b/src/graph/history.rs
@@ -9,11 +9,11 @@
 use std::time::Duration;
 
 use crate::graph::entry::Entry;
-use crate::graph::Book;
-use crate::graph::Id;
 use crate::graph::Job;
+use crate::graph::JobId;
 use crate::graph::Prediction;
-use crate::graph::Text;
+use crate::graph::Scheduler;
+use crate::graph::SharedStr;
 
 /// How many steps of a queue are remembered.
 const KEPT: usize = 31;
@@ -34,7 +34,7 @@
 /// step tells no more than a narrow one.
 #[derive(Clone, Debug)]
 struct Sample {
-    job: Id,
+    job: JobId,
     step: usize,
     declared: Duration,
     ran: Runs,
@@ -76,9 +76,9 @@
 /// The runs that were done, by queue.
 #[derive(Clone, Debug, Default)]
 pub(super) struct History {
-    runs: BTreeMap<Text, VecDeque<Sample>>,
+    runs: BTreeMap<SharedStr, VecDeque<Sample>>,
     /// What the runs of each queue with runs enough have shown.
-    fits: BTreeMap<Text, Fit>,
+    fits: BTreeMap<SharedStr, Fit>,
 }
 
 impl History {
@@ -115,7 +115,7 @@
     /// Returns how long a run is expected to take.
     fn expect(
         &self,
-        queue: &Text,
+        queue: &SharedStr,
         declared: Duration,
         prediction: Prediction,
     ) -> Duration {
@@ -155,7 +155,7 @@
     }
 }
 
-impl Book {
+impl Scheduler {
     /// Returns how long a task of a job's step is expected to run.
     pub(super) fn expect(&self, entry: &Entry, step: usize) -> Duration {
         let prediction = self.terms.policy.prediction;
--- a/src/graph/inquiry.rs
+++ b/src/graph/inquiry.rs
@@ -9,10 +9,10 @@
 
 use crate::graph::settle::End;
 use crate::graph::AgentId;
-use crate::graph::Book;
-use crate::graph::Moment;
 use crate::graph::Place;
 use crate::graph::Report;
+use crate::graph::Scheduler;
+use crate::graph::Timestamp;
 
 /// How far the question about an agent has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,10 +25,10 @@
     Answered(Instant),
 }
 
-impl Book {
+impl Scheduler {
     /// Returns the agents that are silent for so long that their members are
     /// about to be taken for gone, each once: what they have kept in the
-    /// store must be told to [`Book::inquired`].
+    /// store must be told to [`Scheduler::inquired`].
     pub fn take_inquiries(&mut self) -> Vec<AgentId> {
         let open = self
             .inquiries
@@ -48,7 +48,7 @@
         agent: &AgentId,
         kept: Option<Report>,
         sent: Instant,
-        now: Moment,
+        now: Timestamp,
     ) {
         self.changed = true;
         self.inquiries
--- a/src/graph/intake.rs
+++ b/src/graph/intake.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::graph::book::Unnoted;
-use crate::graph::book::Worker;
 use crate::graph::entry::Entry;
 use crate::graph::health::Health;
 use crate::graph::pace::Filling;
+use crate::graph::scheduler::Unnoted;
+use crate::graph::scheduler::Worker;
 use crate::graph::settle::End;
 use crate::graph::unit::Member;
 use crate::graph::unit::Phase;
@@ -16,33 +16,33 @@
 use crate::graph::unit::Unit;
 use crate::graph::unit::Why;
 use crate::graph::AgentId;
-use crate::graph::Before;
-use crate::graph::Book;
 use crate::graph::Decision;
 use crate::graph::Ended;
-use crate::graph::How;
 use crate::graph::Job;
 use crate::graph::Life;
-use crate::graph::Moment;
 use crate::graph::Outcome;
+use crate::graph::PastLife;
 use crate::graph::Place;
 use crate::graph::Progress;
 use crate::graph::Refused;
 use crate::graph::Report;
 use crate::graph::Resources;
 use crate::graph::Run;
+use crate::graph::RunOutcome;
 use crate::graph::Running;
+use crate::graph::Scheduler;
 use crate::graph::Task;
+use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 use crate::graph::WorkerReport;
 
-impl Book {
+impl Scheduler {
     /// Takes in an accepted job, with what is kept of its progress.
     pub fn accept(
         &mut self,
         job: Job,
         progress: Option<Progress>,
-        now: Moment,
+        now: Timestamp,
     ) {
         if self.jobs.contains_key(&job.id) {
             return;
@@ -101,7 +101,7 @@
     }
 
     /// Takes in that a job's caller has cancelled it.
-    pub fn cancel(&mut self, id: &str, now: Moment) {
+    pub fn cancel(&mut self, id: &str, now: Timestamp) {
         let Some(entry) = self.jobs.get_mut(id) else {
             return;
         };
@@ -111,7 +111,7 @@
     }
 
     /// Takes in what an agent says; returns whether it was news.
-    pub fn report(&mut self, report: Report, now: Moment) -> bool {
+    pub fn report(&mut self, report: Report, now: Timestamp) -> bool {
         let agent = report.agent;
         let (silent, gone) = match report.silent {
             true => (report.gone, None),
@@ -181,7 +181,7 @@
         agent: &AgentId,
         over: Vec<Life>,
         silent: Option<Life>,
-        now: Moment,
+        now: Timestamp,
     ) {
         let place = |life| Place {
             agent: agent.clone(),
@@ -208,7 +208,7 @@
     }
 
     /// Takes in that a life of a worker is over, or may be.
-    fn life_over(&mut self, place: &Place, end: End, now: Moment) {
+    fn life_over(&mut self, place: &Place, end: End, now: Timestamp) {
         if let Some(worker) = self.workers.get_mut(&place.agent) {
             worker.gone |= worker.life == place.life;
         }
@@ -231,7 +231,7 @@
         agent: &AgentId,
         said: &WorkerReport,
         process: String,
-        now: Moment,
+        now: Timestamp,
     ) {
         let new = self
             .workers
@@ -291,7 +291,7 @@
         &mut self,
         place: &Place,
         running: &Running,
-        now: Moment,
+        now: Timestamp,
     ) -> bool {
         let Some((key, at)) = self.find(&running.task, running.run, place)
         else {
@@ -339,7 +339,7 @@
         true
     }
 
-    fn take_end(&mut self, place: &Place, ended: &Ended, now: Moment) {
+    fn take_end(&mut self, place: &Place, ended: &Ended, now: Timestamp) {
         let Some(worker) = self.workers.get_mut(&place.agent) else {
             return;
         };
@@ -364,7 +364,12 @@
 
     /// Takes in the ends that a life has listed which is over. They can be
     /// told again, and are never acknowledged.
-    fn take_past(&mut self, agent: &AgentId, before: &Before, now: Moment) {
+    fn take_past(
+        &mut self,
+        agent: &AgentId,
+        before: &PastLife,
+        now: Timestamp,
+    ) {
         let place = Place {
             agent: agent.clone(),
             life: before.life.clone(),
@@ -374,14 +379,14 @@
         }
     }
 
-    fn settle_end(&mut self, place: &Place, ended: &Ended, now: Moment) {
+    fn settle_end(&mut self, place: &Place, ended: &Ended, now: Timestamp) {
         let task = &ended.task;
         if let Some((key, at)) = self.find(task, ended.run, place) {
             self.changed = true;
             self.save(&task.job, &key, &ended.saved);
             let end = End::Listed(ended.how);
             self.end_member(&task.job, &key, at, end, now);
-        } else if ended.how == How::Done {
+        } else if ended.how == RunOutcome::Done {
             self.credit(task, now);
         }
     }
@@ -401,7 +406,12 @@
         }
     }
 
-    fn take_refused(&mut self, place: &Place, refused: &Refused, now: Moment) {
+    fn take_refused(
+        &mut self,
+        place: &Place,
+        refused: &Refused,
+        now: Timestamp,
+    ) {
         let found = self.find(&refused.task, refused.run, place);
         let Some((key, at)) = found else {
             return;
--- a/src/graph/job.rs
+++ b/src/graph/job.rs
@@ -9,9 +9,9 @@
 use serde::Serialize;
 
 /// The name of a job, unique on the site.
-pub type Id = Arc<str>;
+pub type JobId = Arc<str>;
 /// A name shared by many values.
-pub type Text = Arc<str>;
+pub type SharedStr = Arc<str>;
 
 /// What a task takes of a worker.
 #[derive(
@@ -86,9 +86,9 @@
     /// Whether the gang is slow unless it is in one rack.
     pub same_rack: bool,
     /// A label that the worker must have.
-    pub label: Option<Text>,
+    pub label: Option<SharedStr>,
     /// The rack outside which it is slow.
-    pub data_rack: Option<Text>,
+    pub data_rack: Option<SharedStr>,
     /// The most tasks of the step on one worker.
     pub per_worker: Option<u32>,
     /// Whether copies of a task may run side by side.
@@ -96,7 +96,7 @@
     /// Whether the tasks run until the job is cancelled.
     pub lasting: bool,
     /// What the tasks run; tasks of one image behave alike.
-    pub image: Option<Text>,
+    pub image: Option<SharedStr>,
     /// Below which the tail of a lasting task's answers is to stay.
     pub target_ms: Option<u64>,
     /// Whether it takes only the processor time that others leave.
@@ -143,13 +143,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
     /// Its name.
-    pub id: Id,
+    pub id: JobId,
     /// The client account it belongs to.
-    pub account: Text,
+    pub account: SharedStr,
     /// The queue it was put in.
-    pub queue: Text,
+    pub queue: SharedStr,
     /// The pool whose workers run it.
-    pub pool: Text,
+    pub pool: SharedStr,
     /// The lower, the sooner; 0 has the guarantees.
     pub priority: u32,
     /// How many of a unit's runs may fail.
@@ -165,7 +165,7 @@
     #[serde(with = "crate::util::time_ms")]
     pub accepted: SystemTime,
     /// What the tasks are told.
-    pub spec: Text,
+    pub spec: SharedStr,
     /// Its steps.
     pub steps: Vec<Step>,
     /// How often it runs, if more than once.
@@ -323,7 +323,7 @@
 )]
 pub struct Task {
     /// Its job.
-    pub job: Id,
+    pub job: JobId,
     /// Which time of the job, from 0.
     pub time: u32,
     /// Its step.
@@ -341,13 +341,13 @@
 /// A text that names no task.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("task {0:?}: expected JOB.TIME.STEP.INDEX")]
-pub struct BadTask(String);
+pub struct ParseTaskError(String);
 
 impl std::str::FromStr for Task {
-    type Err = BadTask;
+    type Err = ParseTaskError;
 
-    fn from_str(text: &str) -> Result<Task, BadTask> {
-        let bad = || BadTask(text.to_owned());
+    fn from_str(text: &str) -> Result<Task, ParseTaskError> {
+        let bad = || ParseTaskError(text.to_owned());
         let mut parts = text.rsplitn(4, '.');
         let mut number = || parts.next().and_then(|part| part.parse().ok());
         let index: u32 = number().ok_or_else(bad)?;
--- a/src/graph/loss.rs
+++ b/src/graph/loss.rs
@@ -9,10 +9,10 @@
 use crate::graph::unit::State;
 use crate::graph::unit::Unit;
 use crate::graph::unit::Why;
-use crate::graph::Book;
 use crate::graph::Decision;
-use crate::graph::Moment;
 use crate::graph::Place;
+use crate::graph::Scheduler;
+use crate::graph::Timestamp;
 
 /// How long a planner counts as new: agents find it within tenths of a
 /// second, and one that lost its VM with the last planner does not come.
@@ -24,9 +24,13 @@
 /// How many times longer a run may take that has never shown any.
 const OVERDUE_IDLE: f64 = 1.5;
 
-impl Book {
+impl Scheduler {
     /// Ends the members on places that are gone.
-    pub(super) fn lose(&mut self, gone: impl Fn(&Place) -> bool, now: Moment) {
+    pub(super) fn lose(
+        &mut self,
+        gone: impl Fn(&Place) -> bool,
+        now: Timestamp,
+    ) {
         self.lose_by(End::Gone, gone, now);
     }
 
@@ -35,7 +39,7 @@
         &mut self,
         end: End,
         gone: impl Fn(&Place) -> bool,
-        now: Moment,
+        now: Timestamp,
     ) {
         let mut lost = Vec::new();
         for entry in self.live() {
@@ -57,7 +61,11 @@
         self.unreserve_lost(gone, now);
     }
 
-    fn unreserve_lost(&mut self, gone: impl Fn(&Place) -> bool, now: Moment) {
+    fn unreserve_lost(
+        &mut self,
+        gone: impl Fn(&Place) -> bool,
+        now: Timestamp,
+    ) {
         let mut given_up = Vec::new();
         for entry in self.live() {
             for (key, unit) in &entry.units {
@@ -75,7 +83,7 @@
 
     /// Takes the members for gone whose agents have been silent for so long
     /// that their workers' leases have run out.
-    pub(super) fn lose_silent(&mut self, now: Moment) {
+    pub(super) fn lose_silent(&mut self, now: Timestamp) {
         let wait = self.terms.survival + self.terms.margin;
         let mut silent = Vec::new();
         for entry in self.live() {
@@ -110,7 +118,7 @@
     /// have run out, 13 s, or 6 s where its agent goes on beside it; a worker
     /// taken away at short notice is the usual case. A last attempt does
     /// wait: should that member have failed, the job is over.
-    pub(super) fn end_broken(&mut self, now: Moment) {
+    pub(super) fn end_broken(&mut self, now: Timestamp) {
         if !self.terms.policy.broken_tells {
             return;
         }
@@ -141,7 +149,7 @@
     /// small part of the site: gangs were spread over the first racks that
     /// reported, and took three times as long, and runs were stopped there
     /// though others would have been free 0.2 s later.
-    pub(super) fn awaits(&self, now: Moment) -> bool {
+    pub(super) fn awaits(&self, now: Timestamp) -> bool {
         if !self.terms.policy.awaits || now.now >= self.began + NEW {
             return false;
         }
@@ -152,7 +160,7 @@
 
     /// Returns whether what is left of a unit's run began on one worker that
     /// nothing is heard of, or that answers its agent no more.
-    fn is_hidden(&self, unit: &Unit, now: Moment) -> bool {
+    fn is_hidden(&self, unit: &Unit, now: Timestamp) -> bool {
         let mut left = unit.members();
         let Some(first) = left.next() else {
             return false;
@@ -171,7 +179,7 @@
     }
 
     /// Stops the runs that make no progress.
-    pub(super) fn stop_stuck(&mut self, now: Moment) {
+    pub(super) fn stop_stuck(&mut self, now: Timestamp) {
         if !self.terms.policy.stuck {
             return;
         }
@@ -208,7 +216,7 @@
         &self,
         member: &Member,
         expected: Duration,
-        now: Moment,
+        now: Timestamp,
     ) -> bool {
         let worker = self.workers.get(&member.place.agent);
         let fresh = worker.is_some_and(|worker| {
--- a/src/graph/mod.rs
+++ b/src/graph/mod.rs
@@ -5,17 +5,17 @@
 //! one task. Each start of a unit is a *run*, numbered from 1; its members
 //! are one task each, on one worker each.
 //!
-//! [`Book`] is the decision core: it has no clock, does no I/O and draws no
+//! [`Scheduler`] is the decision core: it has no clock, does no I/O and draws no
 //! random numbers. It is told what happened and says which progress must be
-//! written ([`Book::unwritten`]) and what each agent is to do
-//! ([`Book::orders`]). An order is given only once the progress that names
+//! written ([`Scheduler::unwritten`]) and what each agent is to do
+//! ([`Scheduler::orders`]). An order is given only once the progress that names
 //! its run is written, and an end is acknowledged only once it is written:
 //! so a planner that takes over neither gives a run number out twice nor
 //! misses an end.
 
 mod advice;
 mod birth;
-mod book;
+pub mod budget;
 mod crash;
 mod decision;
 mod entry;
@@ -32,11 +32,11 @@
 mod place;
 mod policy;
 mod preempt;
-pub mod price;
 mod progress;
 mod report;
 mod reserve;
 mod schedule;
+mod scheduler;
 mod settle;
 mod shortage;
 mod shrink;
@@ -48,23 +48,20 @@
 pub use advice::Question;
 pub use advice::StepKey;
 pub use advice::Ticket;
-pub use book::Book;
-pub use book::Terms;
-pub use book::Unwritten;
 pub use decision::Decision;
 pub use decision::Subject;
-pub use decision::Wait;
+pub use decision::WaitReason;
+pub use guarantee::GuaranteeStatus;
 pub use guarantee::Holders;
-pub use guarantee::Standing;
 pub use job::Advice;
 pub use job::Error;
-pub use job::Id;
 pub use job::Job;
+pub use job::JobId;
 pub use job::Repeat;
 pub use job::Resources;
+pub use job::SharedStr;
 pub use job::Step;
 pub use job::Task;
-pub use job::Text;
 pub use job::MAX_RESOURCE;
 pub use life::Birth;
 pub use life::Life;
@@ -81,17 +78,20 @@
 pub use progress::Unit as UnitProgress;
 pub use progress::UnitKey;
 pub use report::AgentId;
-pub use report::Before;
 pub use report::Ended;
-pub use report::How;
 pub use report::Lists;
+pub use report::PastLife;
 pub use report::Refusal;
 pub use report::Refused;
 pub use report::Report;
+pub use report::RunOutcome;
 pub use report::Running;
 pub use report::Worker as WorkerReport;
-pub use shortage::Lack;
+pub use scheduler::Options;
+pub use scheduler::Scheduler;
+pub use scheduler::Unwritten;
 pub use shortage::Shortage;
+pub use shortage::ShortageKind;
 
 use std::time::Instant;
 use std::time::SystemTime;
@@ -103,17 +103,17 @@
 
 /// A point in time on both clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Moment {
+pub struct Timestamp {
     /// The steady clock, for everything that is waited for.
     pub now: Instant,
     /// The time of day, for what falls due at a time of day.
     pub wall: SystemTime,
 }
 
-impl Moment {
+impl Timestamp {
     /// Returns the present.
-    pub fn present() -> Moment {
-        Moment {
+    pub fn present() -> Timestamp {
+        Timestamp {
             now: clock::now(),
             wall: clock::wall(),
         }
--- a/src/graph/orders.rs
+++ b/src/graph/orders.rs
@@ -11,14 +11,14 @@
 use crate::graph::unit::State;
 use crate::graph::unit::Unit;
 use crate::graph::AgentId;
-use crate::graph::Book;
 use crate::graph::Life;
 use crate::graph::Pace;
 use crate::graph::Resources;
 use crate::graph::Run;
+use crate::graph::Scheduler;
+use crate::graph::SharedStr;
 use crate::graph::StepKey;
 use crate::graph::Task;
-use crate::graph::Text;
 use crate::graph::UnitKey;
 
 /// A run to be started.
@@ -29,7 +29,7 @@
     /// Which run of it.
     pub run: Run,
     /// What the task is told.
-    pub spec: Text,
+    pub spec: SharedStr,
     /// The checkpoint to resume from, if any.
     pub saved: Option<String>,
     /// The leave to run there, where one is needed.
@@ -67,7 +67,7 @@
     pub paces: Vec<Pace>,
 }
 
-impl Book {
+impl Scheduler {
     /// Returns what an agent is to do now.
     pub fn orders(&mut self, agent: &AgentId) -> Orders {
         let mut orders = self.orders_of(std::slice::from_ref(agent));
--- a/src/graph/pace.rs
+++ b/src/graph/pace.rs
@@ -12,10 +12,10 @@
 
 use crate::graph::entry::Entry;
 use crate::graph::AgentId;
-use crate::graph::Book;
 use crate::graph::Decision;
 use crate::graph::Run;
 use crate::graph::Running;
+use crate::graph::Scheduler;
 use crate::graph::Task;
 
 /// The share of its target from which a task's tail forbids more pace.
@@ -72,7 +72,7 @@
     }
 }
 
-impl Book {
+impl Scheduler {
     /// Sets the pace of what fills beside the serving tasks of a worker.
     pub(super) fn set_pace(
         &mut self,
--- a/src/graph/place.rs
+++ b/src/graph/place.rs
@@ -5,31 +5,31 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::graph::book::Worker;
 use crate::graph::entry::Entry;
 use crate::graph::schedule::LONGEST_IDLE;
+use crate::graph::scheduler::Worker;
 use crate::graph::unit::Unit;
 use crate::graph::AgentId;
-use crate::graph::Book;
-use crate::graph::Id;
-use crate::graph::Moment;
+use crate::graph::JobId;
 use crate::graph::Place;
 use crate::graph::Resources;
+use crate::graph::Scheduler;
+use crate::graph::SharedStr;
 use crate::graph::StepKey;
-use crate::graph::Text;
+use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
 /// What a unit needs.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
-    pub id: Id,
+    pub id: JobId,
     pub key: UnitKey,
     pub priority: u32,
-    pub pool: Text,
+    pub pool: SharedStr,
     pub width: u32,
     pub charge: Resources,
-    pub label: Option<Text>,
-    pub data_rack: Option<Text>,
+    pub label: Option<SharedStr>,
+    pub data_rack: Option<SharedStr>,
     pub same_rack: bool,
     pub per_worker: Option<u32>,
     pub avoid: Vec<AgentId>,
@@ -84,7 +84,7 @@
     }
 
     /// Returns whether a rack is one where the unit is not slow.
-    pub fn near(&self, rack: &Text) -> bool {
+    pub fn near(&self, rack: &SharedStr) -> bool {
         self.data_rack.as_ref().is_none_or(|data| data == rack)
     }
 }
@@ -93,7 +93,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Candidate {
     pub place: Place,
-    pub rack: Text,
+    pub rack: SharedStr,
     pub free: Resources,
     /// How many tasks of the unit's step it may still take.
     pub quota: u32,
@@ -108,12 +108,12 @@
     }
 }
 
-impl Book {
+impl Scheduler {
     /// Returns a place for each member, if there is room now.
     pub(super) fn place(
         &self,
         request: &Request,
-        now: Moment,
+        now: Timestamp,
     ) -> Option<Vec<Place>> {
         // Most that wait in a full pool find no room anywhere: one walk tells
         // so, in place of a copy of the candidates for each rack.
@@ -141,7 +141,7 @@
     pub(super) fn choices(
         &self,
         request: &Request,
-        now: Moment,
+        now: Timestamp,
     ) -> Vec<Vec<Candidate>> {
         let candidates = self.candidates(request, now);
         self.among(request, &candidates, now)
@@ -152,15 +152,15 @@
         &self,
         request: &Request,
         candidates: &[Candidate],
-        now: Moment,
+        now: Timestamp,
     ) -> Vec<Vec<Candidate>> {
         // Grouped once: to go through all of them for each of 30 racks was
         // most of a pass with a burst of urgent gangs.
-        let mut by_rack: BTreeMap<&Text, Vec<usize>> = BTreeMap::new();
+        let mut by_rack: BTreeMap<&SharedStr, Vec<usize>> = BTreeMap::new();
         for (at, candidate) in candidates.iter().enumerate() {
             by_rack.entry(&candidate.rack).or_default().push(at);
         }
-        let within = |racks: Option<BTreeSet<Text>>| {
+        let within = |racks: Option<BTreeSet<SharedStr>>| {
             let Some(racks) = racks else {
                 return candidates.to_vec();
             };
@@ -178,9 +178,9 @@
         &self,
         request: &Request,
         candidates: &[Candidate],
-        now: Moment,
-    ) -> Vec<Option<BTreeSet<Text>>> {
-        let mut racks: BTreeMap<Text, u32> = BTreeMap::new();
+        now: Timestamp,
+    ) -> Vec<Option<BTreeSet<SharedStr>>> {
+        let mut racks: BTreeMap<SharedStr, u32> = BTreeMap::new();
         for candidate in candidates {
             let here = racks.entry(candidate.rack.clone()).or_default();
             *here = here.saturating_add(candidate.slots(&request.charge));
@@ -189,7 +189,7 @@
         let near = racks.iter().filter(|(rack, _)| roomy.contains(*rack));
         let mut choices = Vec::new();
         if request.same_rack {
-            let mut near: Vec<(&Text, &u32)> = near.collect();
+            let mut near: Vec<(&SharedStr, &u32)> = near.collect();
             // The tightest rack that has room goes first.
             near.sort_by_key(|(_, slots)| **slots);
             choices.extend(
@@ -208,8 +208,8 @@
 
     /// Returns the racks where a unit is not slow and has room once they
     /// are empty.
-    fn roomy_racks(&self, request: &Request) -> BTreeSet<Text> {
-        let mut slots: BTreeMap<&Text, u32> = BTreeMap::new();
+    fn roomy_racks(&self, request: &Request) -> BTreeSet<SharedStr> {
+        let mut slots: BTreeMap<&SharedStr, u32> = BTreeMap::new();
         for worker in self.workers.values() {
             let here = slots.entry(&worker.rack).or_default();
             let stays = !worker.leaving && !worker.gone;
@@ -245,7 +245,7 @@
     pub(super) fn candidates(
         &self,
         request: &Request,
-        now: Moment,
+        now: Timestamp,
     ) -> Vec<Candidate> {
         let leave = self.leave_of(request);
         let sound: Vec<(&AgentId, &Worker)> = self
@@ -281,7 +281,7 @@
         &self,
         worker: &Worker,
         request: &Request,
-        now: Moment,
+        now: Timestamp,
     ) -> bool {
         let label = request.label.as_ref();
         worker.pool == request.pool
--- a/src/graph/preempt.rs
+++ b/src/graph/preempt.rs
@@ -5,23 +5,23 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+use crate::graph::budget;
+use crate::graph::budget::Need;
 use crate::graph::entry::Entry;
 use crate::graph::place::Candidate;
 use crate::graph::place::Request;
-use crate::graph::price;
-use crate::graph::price::Stake;
 use crate::graph::unit::Member;
 use crate::graph::unit::Phase;
 use crate::graph::unit::State;
 use crate::graph::unit::Unit;
 use crate::graph::unit::Why;
 use crate::graph::AgentId;
-use crate::graph::Book;
-use crate::graph::Id;
-use crate::graph::Moment;
+use crate::graph::JobId;
 use crate::graph::Place;
 use crate::graph::Resources;
-use crate::graph::Text;
+use crate::graph::Scheduler;
+use crate::graph::SharedStr;
+use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
 /// The thousandths of a core that an accelerator's work counts as.
@@ -37,7 +37,7 @@
 /// A run that could be stopped.
 #[derive(Clone, Debug)]
 struct Victim {
-    id: Id,
+    id: JobId,
     key: UnitKey,
     charge: Resources,
     places: Vec<Place>,
@@ -72,7 +72,7 @@
 pub(super) struct Victims {
     /// Whose they are, once they have been gone through, and whether for
     /// units within guarantees.
-    of: Option<(Text, bool)>,
+    of: Option<(SharedStr, bool)>,
     all: Vec<Victim>,
     /// Which of them run on each agent's worker, the cheapest first.
     by_agent: BTreeMap<AgentId, Vec<usize>>,
@@ -98,7 +98,7 @@
 }
 
 impl Victims {
-    fn new(of: (Text, bool), all: Vec<Victim>) -> Victims {
+    fn new(of: (SharedStr, bool), all: Vec<Victim>) -> Victims {
         let mut by_agent: BTreeMap<AgentId, Vec<usize>> = BTreeMap::new();
         for (at, victim) in all.iter().enumerate() {
             for place in &victim.places {
@@ -151,7 +151,7 @@
     weight: f64,
 }
 
-impl Book {
+impl Scheduler {
     /// Stops the cheapest runs of lower priority that make room for a unit,
     /// and keeps that room for it; returns whether there were any.
     pub(super) fn preempt(
@@ -160,7 +160,7 @@
         key: &UnitKey,
         request: &Request,
         victims: &mut Victims,
-        now: Moment,
+        now: Timestamp,
     ) -> bool {
         if self.awaits(now) {
             return false;
@@ -206,23 +206,23 @@
         id: &str,
         key: &UnitKey,
         request: &Request,
-        now: Moment,
+        now: Timestamp,
     ) -> f64 {
         let slack = self.jobs.get(id).map(|e| self.slack(e, key, now));
         let own = cores(&request.charge) * f64::from(request.width);
-        let stake = Stake {
+        let stake = Need {
             work: own * request.expected.as_secs_f64(),
             slack_ms: slack.unwrap_or_default(),
             stop: self.terms.stop,
         };
-        price::limit(&self.terms.policy, &stake)
+        budget::limit(&self.terms.policy, &stake)
     }
 
     fn victims(
         &self,
         request: &Request,
         promised: bool,
-        now: Moment,
+        now: Timestamp,
     ) -> Vec<Victim> {
         let mut victims = Vec::new();
         for entry in self.live() {
@@ -291,7 +291,12 @@
     cpu as f64 / 1000.0
 }
 
-fn victim(entry: &Entry, key: &UnitKey, unit: &Unit, now: Moment) -> Victim {
+fn victim(
+    entry: &Entry,
+    key: &UnitKey,
+    unit: &Unit,
+    now: Timestamp,
+) -> Victim {
     let step = &entry.job.steps[key.step];
     let charge = step.charge();
     let ran = |since| now.now.saturating_duration_since(since);
--- a/src/graph/report.rs
+++ b/src/graph/report.rs
@@ -8,15 +8,15 @@
 use crate::graph::Life;
 use crate::graph::Resources;
 use crate::graph::Run;
+use crate::graph::SharedStr;
 use crate::graph::Task;
-use crate::graph::Text;
 
 /// The name of an agent.
 pub type AgentId = Arc<str>;
 /// How a run of a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
+pub enum RunOutcome {
     /// It ran to its end.
     Done,
     /// It failed, by its own fault or the worker's.
@@ -57,7 +57,7 @@
     /// Which run of it.
     pub run: Run,
     /// How it ended.
-    pub how: How,
+    pub how: RunOutcome,
     /// Its last checkpoint.
     pub saved: String,
 }
@@ -107,15 +107,15 @@
     /// Its life.
     pub life: Life,
     /// The pool it belongs to.
-    pub pool: Text,
+    pub pool: SharedStr,
     /// The machine it runs on, for the cloud's calls.
-    pub machine: Option<Text>,
+    pub machine: Option<SharedStr>,
     /// Its hall.
-    pub hall: Text,
+    pub hall: SharedStr,
     /// Its rack.
-    pub rack: Text,
+    pub rack: SharedStr,
     /// Its labels.
-    pub labels: Vec<Text>,
+    pub labels: Vec<SharedStr>,
     /// Its whole room.
     pub capacity: Resources,
     /// Whether it is leaving.
@@ -133,7 +133,7 @@
 
 /// What an agent knows of a life of its worker that is over.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Before {
+pub struct PastLife {
     /// The life.
     pub life: Life,
     /// The runs that had begun there, or may have, and whose end it never
@@ -170,7 +170,7 @@
     pub silent: bool,
     /// The life that was over last, if that is not long ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub before: Option<Before>,
+    pub before: Option<PastLife>,
     /// Its worker, if there is one and its lists are known.
     pub worker: Option<Worker>,
 }
--- a/src/graph/reserve.rs
+++ b/src/graph/reserve.rs
@@ -15,11 +15,11 @@
 use crate::graph::place::Request;
 use crate::graph::unit::Member;
 use crate::graph::unit::Phase;
-use crate::graph::Book;
-use crate::graph::Id;
-use crate::graph::Moment;
+use crate::graph::JobId;
 use crate::graph::Place;
 use crate::graph::Resources;
+use crate::graph::Scheduler;
+use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
 /// How long a unit waits before room is kept for it.
@@ -34,15 +34,15 @@
     charge: Resources,
 }
 
-impl Book {
+impl Scheduler {
     /// Keeps room for a unit that finds no place, if it has waited and not
     /// too much is kept already; returns whether it is.
     pub(super) fn keep_room(
         &mut self,
-        id: &Id,
+        id: &JobId,
         key: &UnitKey,
         request: &Request,
-        now: Moment,
+        now: Timestamp,
     ) -> bool {
         if now.now < request.ready + PATIENCE || self.has_time(id, key, now) {
             return false;
@@ -67,7 +67,7 @@
 
     /// Returns whether a unit can wait and be in time all the same; one that
     /// lasts has no time to lose.
-    fn has_time(&self, id: &Id, key: &UnitKey, now: Moment) -> bool {
+    fn has_time(&self, id: &JobId, key: &UnitKey, now: Timestamp) -> bool {
         let Some(entry) = self.jobs.get(id) else {
             return false;
         };
@@ -101,7 +101,7 @@
         &self,
         request: &Request,
         candidates: Vec<Candidate>,
-        now: Moment,
+        now: Timestamp,
     ) -> Option<(Instant, Vec<Place>)> {
         let mut workers: Vec<(Candidate, Vec<Release>)> = candidates
             .into_iter()
@@ -135,7 +135,7 @@
         entry: &Entry,
         key: &UnitKey,
         member: &Member,
-        now: Moment,
+        now: Timestamp,
     ) -> Instant {
         let whole = self.expect(entry, key.step);
         let ran = now.now.saturating_duration_since(member.since);
@@ -145,7 +145,7 @@
     }
 
     /// Returns what runs on a worker, by when it is expected to end.
-    fn releases(&self, place: &Place, now: Moment) -> Vec<Release> {
+    fn releases(&self, place: &Place, now: Timestamp) -> Vec<Release> {
         let mut releases = Vec::new();
         for entry in self.live() {
             for (key, unit) in &entry.units {
@@ -169,7 +169,7 @@
     request: &Request,
     candidate: &Candidate,
     releases: &[Release],
-    now: Moment,
+    now: Timestamp,
 ) -> Option<Instant> {
     let mut free = candidate.free;
     if free.holds(&request.charge) {
--- a/src/graph/schedule.rs
+++ b/src/graph/schedule.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::graph::book::Worker;
 use crate::graph::entry::Entry;
 use crate::graph::place::Request;
 use crate::graph::preempt::Victims;
+use crate::graph::scheduler::Worker;
 use crate::graph::unit::Cause;
 use crate::graph::unit::Member;
 use crate::graph::unit::Phase;
@@ -16,14 +16,14 @@
 use crate::graph::unit::Unit;
 use crate::graph::unit::Why;
 use crate::graph::urgency::Rank;
-use crate::graph::Book;
 use crate::graph::Decision;
-use crate::graph::Id;
+use crate::graph::JobId;
 use crate::graph::Life;
-use crate::graph::Moment;
 use crate::graph::Place;
 use crate::graph::Resources;
-use crate::graph::Text;
+use crate::graph::Scheduler;
+use crate::graph::SharedStr;
+use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
 /// How long before a leaving worker is gone its tasks are stopped, so that
@@ -36,14 +36,14 @@
 
 /// A unit that waits, with what puts it in order.
 struct Waiting {
-    id: Id,
+    id: JobId,
     key: UnitKey,
     rank: Rank,
 }
 
-impl Book {
+impl Scheduler {
     /// Decides what is to be started and stopped now.
-    pub fn step(&mut self, now: Moment) {
+    pub fn step(&mut self, now: Timestamp) {
         self.changed = false;
         self.lose_silent(now);
         self.blame_silent(now);
@@ -71,7 +71,7 @@
 
     /// Opens the units whose time is due and whose steps are waited for no
     /// longer.
-    fn open_units(&mut self, now: Moment) {
+    fn open_units(&mut self, now: Timestamp) {
         for id in &self.open {
             let Some(entry) = self.jobs.get_mut(id) else {
                 continue;
@@ -89,7 +89,7 @@
     }
 
     /// Stops checkpointing tasks on workers that are about to go.
-    fn leave(&mut self, now: Moment) {
+    fn leave(&mut self, now: Timestamp) {
         let going: Vec<Place> = self
             .workers
             .iter()
@@ -122,7 +122,7 @@
 
     /// Starts the units whose reserved room has become free, the urgent
     /// ones first: rooms kept for several units may overlap.
-    fn start_reserved(&mut self, now: Moment) {
+    fn start_reserved(&mut self, now: Timestamp) {
         let mut kept = Vec::new();
         for entry in self.live() {
             for (key, unit) in &entry.units {
@@ -163,7 +163,12 @@
 
     /// Starts a unit elsewhere if there is room now; returns whether there
     /// was.
-    fn look_elsewhere(&mut self, id: &Id, key: &UnitKey, now: Moment) -> bool {
+    fn look_elsewhere(
+        &mut self,
+        id: &JobId,
+        key: &UnitKey,
+        now: Timestamp,
+    ) -> bool {
         let Some(entry) = self.jobs.get(id) else {
             return false;
         };
@@ -185,7 +190,7 @@
 
     /// Gives up the room that is kept for a unit on workers that can no
     /// longer be used.
-    fn give_up_lost(&mut self, id: &Id, key: &UnitKey, now: Moment) {
+    fn give_up_lost(&mut self, id: &JobId, key: &UnitKey, now: Timestamp) {
         let Some(entry) = self.jobs.get(id) else {
             return;
         };
@@ -229,7 +234,7 @@
     /// Returns whether a unit is within a guarantee, and others have begun in
     /// the room that is kept for it: it would wait until they end, past the
     /// time in which it is to begin.
-    fn is_overdue(&self, id: &Id, key: &UnitKey) -> bool {
+    fn is_overdue(&self, id: &JobId, key: &UnitKey) -> bool {
         let Some(entry) = self.jobs.get(id) else {
             return false;
         };
@@ -273,7 +278,7 @@
         })
     }
 
-    fn waiting(&self, now: Moment) -> Vec<Waiting> {
+    fn waiting(&self, now: Timestamp) -> Vec<Waiting> {
         let mut waiting = Vec::new();
         for id in &self.open {
             let Some(entry) = self.jobs.get(id) else {
@@ -316,7 +321,7 @@
         &mut self,
         waiting: &Waiting,
         victims: &mut Victims,
-        now: Moment,
+        now: Timestamp,
     ) -> bool {
         let Some(entry) = self.jobs.get(&waiting.id) else {
             return false;
@@ -343,12 +348,12 @@
     /// Returns whether units may use room that is kept but empty: while most
     /// of a pool is, and none of it is kept for what an account is guaranteed,
     /// which would then wait for them to end.
-    fn may_pass_kept(&self, pool: &Text) -> bool {
+    fn may_pass_kept(&self, pool: &SharedStr) -> bool {
         self.mostly_idle(pool) && !self.keeps_promised(pool)
     }
 
     /// Returns whether less than half of a pool's accelerators are in use.
-    pub(super) fn mostly_idle(&self, pool: &Text) -> bool {
+    pub(super) fn mostly_idle(&self, pool: &SharedStr) -> bool {
         let open = |w: &&Worker| !self.closed.contains(&w.hall);
         let of_pool = |w: &&Worker| w.pool == *pool;
         let workers = || self.workers.values().filter(of_pool).filter(open);
@@ -363,7 +368,7 @@
         id: &str,
         key: &UnitKey,
         places: Vec<Place>,
-        now: Moment,
+        now: Timestamp,
     ) {
         let Some(entry) = self.jobs.get_mut(id) else {
             return;
@@ -413,7 +418,7 @@
         key: &UnitKey,
         places: Vec<Place>,
         (stopped, cost): (usize, f64),
-        now: Moment,
+        now: Timestamp,
     ) {
         let Some(entry) = self.jobs.get_mut(id) else {
             return;
@@ -459,7 +464,7 @@
     key: &UnitKey,
     places: &[Place],
     state: State,
-    now: Moment,
+    now: Timestamp,
 ) -> Vec<Member> {
     let member = |(at, place): (usize, &Place)| Member {
         index: key.index.unwrap_or(at as u32),
--- a/src/graph/book.rs
+++ b/src/graph/scheduler.rs
@@ -15,25 +15,25 @@
 use crate::graph::silence::Silence;
 use crate::graph::unit::Why;
 use crate::graph::AgentId;
-use crate::graph::Before;
 use crate::graph::Decision;
-use crate::graph::Id;
+use crate::graph::JobId;
 use crate::graph::Life;
-use crate::graph::Moment;
 use crate::graph::Outcome;
+use crate::graph::PastLife;
 use crate::graph::Place;
 use crate::graph::Policy;
 use crate::graph::Progress;
 use crate::graph::Resources;
 use crate::graph::Run;
+use crate::graph::SharedStr;
 use crate::graph::StepKey;
 use crate::graph::Task;
-use crate::graph::Text;
+use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
 /// The times that the decisions rest on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct Options {
     /// How long an agent keeps its worker's tasks going after it was last
     /// granted that.
     pub survival: Duration,
@@ -54,9 +54,9 @@
     pub policy: Policy,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms {
+impl Default for Options {
+    fn default() -> Options {
+        Options {
             survival: Duration::from_secs(12),
             margin: Duration::from_millis(800),
             contact: Duration::from_millis(2200),
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Unnoted {
     pub number: u64,
-    pub job: Id,
+    pub job: JobId,
     /// The version of the job's progress that holds it.
     pub version: u64,
 }
@@ -82,10 +82,10 @@
 #[derive(Clone, Debug)]
 pub(super) struct Worker {
     pub life: Life,
-    pub pool: Text,
-    pub hall: Text,
-    pub rack: Text,
-    pub labels: Vec<Text>,
+    pub pool: SharedStr,
+    pub hall: SharedStr,
+    pub rack: SharedStr,
+    pub labels: Vec<SharedStr>,
     pub capacity: Resources,
     pub leaving: bool,
     /// Whether it has not answered its agent for long.
@@ -137,23 +137,23 @@
 
 /// The decision core.
 #[derive(Clone, Debug)]
-pub struct Book {
-    pub(super) terms: Terms,
+pub struct Scheduler {
+    pub(super) terms: Options,
     /// When this planner claimed: no grant of an earlier one is later.
     pub(super) began: Instant,
     pub(super) workers: BTreeMap<AgentId, Worker>,
     /// What agents say of the lives before those in the books.
-    pub(super) before: BTreeMap<AgentId, Before>,
-    pub(super) jobs: BTreeMap<Id, Entry>,
+    pub(super) before: BTreeMap<AgentId, PastLife>,
+    pub(super) jobs: BTreeMap<JobId, Entry>,
     /// Jobs with units that are not done.
-    pub(super) open: BTreeSet<Id>,
+    pub(super) open: BTreeSet<JobId>,
     /// The accelerators that each client account is guaranteed.
-    pub(super) guarantees: BTreeMap<Text, i64>,
+    pub(super) guarantees: BTreeMap<SharedStr, i64>,
     /// The urgent jobs that are within them, as of the last pass.
-    pub(super) promised: BTreeSet<Id>,
+    pub(super) promised: BTreeSet<JobId>,
     pub(super) history: History,
     /// When the last urgent job of each pool was accepted.
-    pub(super) urgent: BTreeMap<Text, Instant>,
+    pub(super) urgent: BTreeMap<SharedStr, Instant>,
     /// Who may run the steps whose starts need leave.
     pub(super) leave: BTreeMap<StepKey, Leave>,
     /// Losses of workers that only fell silent.
@@ -161,10 +161,10 @@
     /// What is asked about agents that are silent.
     pub(super) inquiries: BTreeMap<AgentId, Inquiry>,
     /// Halls that are to be given no new work.
-    pub(super) closed: BTreeSet<Text>,
+    pub(super) closed: BTreeSet<SharedStr>,
     /// Workers from which what has not begun is to be taken back, and why.
     pub(super) withdrawn: BTreeMap<AgentId, Why>,
-    pub(super) dirty: BTreeSet<Id>,
+    pub(super) dirty: BTreeSet<JobId>,
     pub(super) stirred: BTreeSet<AgentId>,
     /// Whether anything came in since the last pass that may change what it
     /// decides, beside the time.
@@ -176,10 +176,10 @@
 /// The most decisions that are kept until they are taken.
 const MAX_DECISIONS: usize = 2000;
 
-impl Book {
+impl Scheduler {
     /// Returns books without workers and jobs.
-    pub fn new(terms: Terms, now: Moment) -> Book {
-        Book {
+    pub fn new(terms: Options, now: Timestamp) -> Scheduler {
+        Scheduler {
             terms,
             began: now.now,
             workers: BTreeMap::new(),
@@ -203,14 +203,14 @@
     }
 
     /// Sets the accelerators that each client account is guaranteed.
-    pub fn set_guarantees(&mut self, guarantees: BTreeMap<Text, i64>) {
+    pub fn set_guarantees(&mut self, guarantees: BTreeMap<SharedStr, i64>) {
         self.guarantees = guarantees;
         self.changed = true;
     }
 
     /// Sets the halls that are to be given no new work. What runs there goes
     /// on; what was ordered and has not begun is taken back.
-    pub fn set_closed(&mut self, closed: BTreeSet<Text>) {
+    pub fn set_closed(&mut self, closed: BTreeSet<SharedStr>) {
         if closed == self.closed {
             return;
         }
@@ -275,7 +275,7 @@
     /// Returns up to `most` jobs whose progress must be written, each with
     /// its version.
     pub fn unwritten(&mut self, most: usize) -> Vec<Unwritten> {
-        let ids: Vec<Id> = self.dirty.iter().take(most).cloned().collect();
+        let ids: Vec<JobId> = self.dirty.iter().take(most).cloned().collect();
         ids.iter()
             .filter_map(|id| {
                 self.dirty.remove(id);
@@ -323,7 +323,7 @@
 
     /// Returns the jobs that ended before `before` and hold nothing any
     /// more.
-    pub fn ended_before(&self, before: std::time::SystemTime) -> Vec<Id> {
+    pub fn ended_before(&self, before: std::time::SystemTime) -> Vec<JobId> {
         let old = |entry: &&Entry| {
             entry.progress.ended.is_some_and(|ended| ended < before)
                 && entry.written == entry.version
@@ -381,7 +381,7 @@
         self.changed = true;
     }
 
-    pub(super) fn succeed_if_done(&mut self, id: &str, now: Moment) {
+    pub(super) fn succeed_if_done(&mut self, id: &str, now: Timestamp) {
         let Some(entry) = self.jobs.get(id) else {
             return;
         };
@@ -391,7 +391,12 @@
     }
 
     /// Ends a job and stops what still runs of it.
-    pub(super) fn finish(&mut self, id: &str, outcome: Outcome, now: Moment) {
+    pub(super) fn finish(
+        &mut self,
+        id: &str,
+        outcome: Outcome,
+        now: Timestamp,
+    ) {
         let Some(entry) = self.jobs.get_mut(id) else {
             return;
         };
@@ -430,9 +435,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Unwritten {
     /// The job.
-    pub id: Id,
+    pub id: JobId,
     /// Its queue.
-    pub queue: Text,
+    pub queue: SharedStr,
     /// The version of the progress.
     pub version: u64,
     /// The progress.
--- a/src/graph/settle.rs
+++ b/src/graph/settle.rs
@@ -10,17 +10,17 @@
 use crate::graph::unit::State;
 use crate::graph::unit::Why;
 use crate::graph::AgentId;
-use crate::graph::Book;
 use crate::graph::Decision;
-use crate::graph::How;
-use crate::graph::Id;
-use crate::graph::Moment;
+use crate::graph::JobId;
 use crate::graph::Outcome;
 use crate::graph::Place;
 use crate::graph::Refusal;
 use crate::graph::Resources;
+use crate::graph::RunOutcome;
+use crate::graph::Scheduler;
+use crate::graph::SharedStr;
 use crate::graph::Task;
-use crate::graph::Text;
+use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
 /// How long a unit waits after a run that was refused, or failed where it
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum End {
     /// Its worker listed how it ended.
-    Listed(How),
+    Listed(RunOutcome),
     /// It never began, and never will.
     Never(Refusal),
     /// Its worker is gone.
@@ -44,12 +44,12 @@
     /// Returns the word for it in logs.
     fn word(self) -> &'static str {
         match self {
-            End::Listed(How::Done) => "done",
-            End::Listed(How::Failed) => "failed",
-            End::Listed(How::Stopped) => "stopped",
-            End::Listed(How::Lapsed) => "lease ran out",
-            End::Listed(How::Broken) => "another member ended",
-            End::Listed(How::Alone) => "other members did not come",
+            End::Listed(RunOutcome::Done) => "done",
+            End::Listed(RunOutcome::Failed) => "failed",
+            End::Listed(RunOutcome::Stopped) => "stopped",
+            End::Listed(RunOutcome::Lapsed) => "lease ran out",
+            End::Listed(RunOutcome::Broken) => "another member ended",
+            End::Listed(RunOutcome::Alone) => "other members did not come",
             End::Never(Refusal::Barred) => "never began",
             End::Never(Refusal::Room) => "refused: no room",
             End::Never(Refusal::Leaving) => "refused: worker leaving",
@@ -62,7 +62,7 @@
     }
 }
 
-impl Book {
+impl Scheduler {
     /// Takes in how a member's run ended, and moves its unit on.
     pub(super) fn end_member(
         &mut self,
@@ -70,7 +70,7 @@
         key: &UnitKey,
         at: usize,
         end: End,
-        now: Moment,
+        now: Timestamp,
     ) {
         let Some(entry) = self.jobs.get_mut(id) else {
             return;
@@ -99,17 +99,18 @@
         let began = !member.adopted;
         let stopped = unit.stop;
         unit.cause = match (unit.cause, end) {
-            (Cause::Open, End::Listed(How::Broken)) => Cause::Hidden,
+            (Cause::Open, End::Listed(RunOutcome::Broken)) => Cause::Hidden,
             // Stopped by us, after the run broke.
-            (Cause::Hidden, End::Listed(How::Broken | How::Stopped)) => {
-                Cause::Hidden
-            }
+            (
+                Cause::Hidden,
+                End::Listed(RunOutcome::Broken | RunOutcome::Stopped),
+            ) => Cause::Hidden,
             _ => Cause::Known,
         };
         let known_bad = unit.avoid.contains(&place.agent);
         unit.cut = unit.cut.max(match end {
-            End::Listed(How::Failed) if known_bad => Cut::Refused,
-            End::Listed(How::Failed | How::Broken)
+            End::Listed(RunOutcome::Failed) if known_bad => Cut::Refused,
+            End::Listed(RunOutcome::Failed | RunOutcome::Broken)
             | End::Gone
             | End::Silent => Cut::Lost,
             End::Never(Refusal::Barred) | End::Listed(_) => Cut::Stopped,
@@ -118,12 +119,12 @@
         let mut failed = false;
         let mut learnt = None;
         match end {
-            End::Listed(How::Done) => {
+            End::Listed(RunOutcome::Done) => {
                 unit.any_done = true;
                 let ran = now.now.saturating_duration_since(since);
                 learnt = (whole && began).then_some(ran);
             }
-            End::Listed(How::Failed) => {
+            End::Listed(RunOutcome::Failed) => {
                 failed = true;
                 unit.avoid.push(place.agent.clone());
             }
@@ -179,14 +180,14 @@
             let worker = self.workers.get(&member.place.agent)?;
             (worker.life == member.place.life).then_some(&worker.rack)
         });
-        let racks: BTreeSet<&Text> = workers.collect();
-        let away = |data: &Text| racks.iter().any(|rack| *rack != data);
+        let racks: BTreeSet<&SharedStr> = workers.collect();
+        let away = |data: &SharedStr| racks.iter().any(|rack| *rack != data);
         step.gang && step.same_rack && racks.len() > 1
             || step.data_rack.as_ref().is_some_and(away)
     }
 
     /// Takes note of how long a whole run took.
-    fn learn(&mut self, id: &Id, key: &UnitKey, ran: Duration) {
+    fn learn(&mut self, id: &JobId, key: &UnitKey, ran: Duration) {
         let Some(entry) = self.jobs.get(id) else {
             return;
         };
@@ -211,11 +212,11 @@
     fn judge(
         &mut self,
         place: &Place,
-        job: &Id,
+        job: &JobId,
         key: &UnitKey,
         end: End,
         stopped: Option<Why>,
-        now: Moment,
+        now: Timestamp,
     ) {
         let policy = self.terms.policy;
         let only_here =
@@ -224,12 +225,12 @@
             return;
         };
         let apart = match end {
-            End::Listed(How::Done) => {
+            End::Listed(RunOutcome::Done) => {
                 worker.health.done();
                 false
             }
             _ if !policy.apart => false,
-            End::Listed(How::Failed) => {
+            End::Listed(RunOutcome::Failed) => {
                 worker.health.failed(job, key, only_here, now.now)
             }
             End::Never(Refusal::Unhealthy) => worker.health.stuck(now.now),
@@ -249,7 +250,7 @@
     }
 
     /// Moves a unit on after one of its members has ended.
-    fn settle_unit(&mut self, id: &str, key: &UnitKey, now: Moment) {
+    fn settle_unit(&mut self, id: &str, key: &UnitKey, now: Timestamp) {
         let Some(entry) = self.jobs.get_mut(id) else {
             return;
         };
@@ -318,7 +319,7 @@
     /// Takes a task for done that was, by a run which was given up: its
     /// worker was taken for gone, or it began by a late order. It must not
     /// begin again once that end is acknowledged.
-    pub(super) fn credit(&mut self, task: &Task, now: Moment) {
+    pub(super) fn credit(&mut self, task: &Task, now: Timestamp) {
         let Some(entry) = self.jobs.get(&task.job) else {
             return;
         };
@@ -365,7 +366,7 @@
         id: &str,
         key: &UnitKey,
         why: Why,
-        now: Moment,
+        now: Timestamp,
     ) {
         let Some(entry) = self.jobs.get_mut(id) else {
             return;
@@ -396,8 +397,8 @@
     }
 
     /// Ends the members whose start was never handed out.
-    fn end_unhanded(&mut self, id: &str, key: &UnitKey, now: Moment) {
-        let unhanded = |book: &Book| {
+    fn end_unhanded(&mut self, id: &str, key: &UnitKey, now: Timestamp) {
+        let unhanded = |book: &Scheduler| {
             let unit = book.jobs.get(id)?.units.get(key)?;
             let Phase::Running(members) = &unit.phase else {
                 return None;
--- a/src/graph/shortage.rs
+++ b/src/graph/shortage.rs
@@ -3,16 +3,16 @@
 //! "No room" alone says nothing of what would help: more workers, gangs that
 //! lie closer together, less that is kept, or another one that is stopped.
 
-use crate::graph::book::Worker;
 use crate::graph::place::Request;
-use crate::graph::Book;
+use crate::graph::scheduler::Worker;
 use crate::graph::Holders;
-use crate::graph::Moment;
 use crate::graph::Resources;
+use crate::graph::Scheduler;
+use crate::graph::Timestamp;
 
 /// Why a unit finds no room, the first that holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lack {
+pub enum ShortageKind {
     /// Fewer accelerators are free than it asks for.
     Accelerators,
     /// Enough are free, though not enough on single workers.
@@ -27,16 +27,16 @@
     Rack,
 }
 
-impl Lack {
+impl ShortageKind {
     /// Returns the word for it in logs.
     pub fn word(self) -> &'static str {
         match self {
-            Lack::Accelerators => "accelerators",
-            Lack::Together => "accelerators together",
-            Lack::Cores => "cores or memory",
-            Lack::Kept => "room that is kept",
-            Lack::Spare => "room for urgent work",
-            Lack::Rack => "room in one rack",
+            ShortageKind::Accelerators => "accelerators",
+            ShortageKind::Together => "accelerators together",
+            ShortageKind::Cores => "cores or memory",
+            ShortageKind::Kept => "room that is kept",
+            ShortageKind::Spare => "room for urgent work",
+            ShortageKind::Rack => "room in one rack",
         }
     }
 }
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shortage {
     /// Why it finds no room.
-    pub lack: Lack,
+    pub lack: ShortageKind,
     /// The accelerators that it asks for.
     pub needed: i64,
     /// Those that nothing is in, on workers that it may use.
@@ -59,13 +59,13 @@
     pub holders: Holders,
 }
 
-impl Book {
+impl Scheduler {
     /// Returns what a unit lacks that finds no room.
     pub(super) fn shortage(
         &self,
         request: &Request,
         dear: Option<f64>,
-        now: Moment,
+        now: Timestamp,
     ) -> Shortage {
         let workers = self.workers.values();
         let usable = workers.filter(|w| self.usable(w, request, now));
@@ -85,17 +85,17 @@
         let fits = fits.fold(0, u32::saturating_add);
         let width = request.width;
         let lack = if free < needed {
-            Lack::Accelerators
+            ShortageKind::Accelerators
         } else if slots(Worker::empty, &accelerators) < width {
-            Lack::Together
+            ShortageKind::Together
         } else if slots(Worker::empty, &request.charge) < width {
-            Lack::Cores
+            ShortageKind::Cores
         } else if slots(Worker::free, &request.charge) < width {
-            Lack::Kept
+            ShortageKind::Kept
         } else if fits < width {
-            Lack::Spare
+            ShortageKind::Spare
         } else {
-            Lack::Rack
+            ShortageKind::Rack
         };
         Shortage {
             lack,
--- a/src/graph/shrink.rs
+++ b/src/graph/shrink.rs
@@ -9,14 +9,14 @@
 use crate::graph::unit::State;
 use crate::graph::unit::Why;
 use crate::graph::AgentId;
-use crate::graph::Book;
 use crate::graph::Decision;
-use crate::graph::Id;
-use crate::graph::Moment;
+use crate::graph::JobId;
 use crate::graph::Resources;
+use crate::graph::Scheduler;
+use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
-impl Book {
+impl Scheduler {
     /// Takes in what room a worker has now.
     pub(super) fn resize(&mut self, agent: &AgentId, to: Resources) {
         let Some(worker) = self.workers.get_mut(agent) else {
@@ -42,7 +42,7 @@
 
     /// Takes back what was ordered on workers that must begin nothing more,
     /// as far as it has not begun.
-    pub(super) fn take_back(&mut self, now: Moment) {
+    pub(super) fn take_back(&mut self, now: Timestamp) {
         for (agent, why) in std::mem::take(&mut self.withdrawn) {
             for (id, key) in self.ordered_on(&agent) {
                 self.stop_unit(&id, &key, why, now);
@@ -52,7 +52,7 @@
 
     /// Returns the units with a member on a worker that is not known to have
     /// begun there.
-    fn ordered_on(&self, agent: &AgentId) -> Vec<(Id, UnitKey)> {
+    fn ordered_on(&self, agent: &AgentId) -> Vec<(JobId, UnitKey)> {
         let mut ordered = Vec::new();
         for entry in self.live() {
             for (key, unit) in &entry.units {
--- a/src/graph/silence.rs
+++ b/src/graph/silence.rs
@@ -12,13 +12,13 @@
 use crate::graph::unit::Member;
 use crate::graph::unit::Phase;
 use crate::graph::AgentId;
-use crate::graph::Book;
 use crate::graph::Decision;
-use crate::graph::Id;
+use crate::graph::JobId;
 use crate::graph::Loss;
-use crate::graph::Moment;
 use crate::graph::Outcome;
 use crate::graph::Place;
+use crate::graph::Scheduler;
+use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 use crate::graph::WorkerReport;
 
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Silence {
     place: Place,
-    job: Id,
+    job: JobId,
     key: UnitKey,
     /// The task that ran there.
     index: u32,
@@ -41,7 +41,7 @@
     counts: Option<Instant>,
 }
 
-impl Book {
+impl Scheduler {
     /// Takes in that a member's worker may be lost: its loss is counted once
     /// that is sure.
     pub(super) fn blame_later(
@@ -49,7 +49,7 @@
         id: &str,
         key: &UnitKey,
         member: &Member,
-        now: Moment,
+        now: Timestamp,
     ) {
         let never =
             !member.handed || self.begun(id, key, member) == Some(false);
@@ -72,7 +72,7 @@
 
     /// Takes over the losses of a job that were not sure for the planner
     /// before: it may have been told nothing more.
-    pub(super) fn adopt_silences(&mut self, entry: &Entry, now: Moment) {
+    pub(super) fn adopt_silences(&mut self, entry: &Entry, now: Timestamp) {
         for (key, kept) in &entry.progress.units {
             for (index, loss) in &kept.lost {
                 let silences = loss.silent.iter().map(|place| Silence {
@@ -94,7 +94,7 @@
         &mut self,
         agent: &AgentId,
         said: &WorkerReport,
-        now: Moment,
+        now: Timestamp,
     ) {
         if self.silences.is_empty() || said.silent {
             return;
@@ -114,7 +114,7 @@
 
     /// Counts the workers that have said nothing for so long that they must
     /// be down.
-    pub(super) fn blame_silent(&mut self, now: Moment) {
+    pub(super) fn blame_silent(&mut self, now: Timestamp) {
         let due = |s: &Silence| s.counts.is_some_and(|at| now.now >= at);
         if !self.silences.iter().any(due) {
             return;
@@ -132,7 +132,7 @@
     }
 
     /// Counts a loss, unless it is counted: its worker was down.
-    fn count_silence(&mut self, silence: &Silence, now: Moment) {
+    fn count_silence(&mut self, silence: &Silence, now: Timestamp) {
         if silence.counts.is_none() {
             return;
         }
--- a/src/graph/spare.rs
+++ b/src/graph/spare.rs
@@ -8,27 +8,27 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::graph::book::Worker;
 use crate::graph::place::Request;
+use crate::graph::scheduler::Worker;
 use crate::graph::AgentId;
-use crate::graph::Book;
-use crate::graph::Moment;
 use crate::graph::Resources;
-use crate::graph::Text;
+use crate::graph::Scheduler;
+use crate::graph::SharedStr;
+use crate::graph::Timestamp;
 
 /// The most that is left.
 const MOST_SPARE: f64 = 0.3;
 /// How long after the last urgent job that is so.
 const SPARE_FOR: Duration = Duration::from_secs(30);
 
-impl Book {
+impl Scheduler {
     /// Returns the empty workers that a unit leaves to urgent ones, in as
     /// few racks as may be.
     pub(super) fn spare(
         &self,
         request: &Request,
         sound: &[(&AgentId, &Worker)],
-        now: Moment,
+        now: Timestamp,
     ) -> BTreeSet<AgentId> {
         let share = (self.terms.policy.spare * f64::from(request.priority))
             .min(MOST_SPARE);
@@ -47,7 +47,7 @@
         if without < u64::from(request.width) {
             return BTreeSet::new();
         }
-        let mut racks: BTreeMap<&Text, Vec<&AgentId>> = BTreeMap::new();
+        let mut racks: BTreeMap<&SharedStr, Vec<&AgentId>> = BTreeMap::new();
         for (agent, worker) in sound {
             if worker.used == Resources::default() {
                 racks.entry(&worker.rack).or_default().push(agent);
--- a/src/graph/unit.rs
+++ b/src/graph/unit.rs
@@ -4,7 +4,7 @@
 
 use crate::graph::AgentId;
 use crate::graph::Place;
-use crate::graph::Wait;
+use crate::graph::WaitReason;
 
 /// How far a member has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 /// What a unit was last seen to wait for.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Told {
-    pub what: Wait,
+    pub what: WaitReason,
     /// Whether it was within its account's guarantee.
     pub within: bool,
     pub at: Instant,
--- a/src/graph/urgency.rs
+++ b/src/graph/urgency.rs
@@ -14,12 +14,12 @@
 use crate::graph::place::Request;
 use crate::graph::preempt::cores;
 use crate::graph::unit::Told;
-use crate::graph::Book;
 use crate::graph::Decision;
-use crate::graph::Id;
-use crate::graph::Moment;
+use crate::graph::JobId;
+use crate::graph::Scheduler;
+use crate::graph::Timestamp;
 use crate::graph::UnitKey;
-use crate::graph::Wait;
+use crate::graph::WaitReason;
 
 /// How long after it was told what a unit waits for is looked at again.
 const LOOK_AGAIN: Duration = Duration::from_millis(1000);
@@ -52,13 +52,13 @@
     latest: Instant,
 }
 
-impl Book {
+impl Scheduler {
     /// Returns where a unit stands among those that wait.
     pub(super) fn rank(
         &self,
         entry: &Entry,
         key: &UnitKey,
-        now: Moment,
+        now: Timestamp,
     ) -> Rank {
         let job = &entry.job;
         let (latest, hopeless) = self.due(entry, key);
@@ -115,7 +115,7 @@
         &self,
         entry: &Entry,
         key: &UnitKey,
-        now: Moment,
+        now: Timestamp,
     ) -> i64 {
         let (latest, _) = self.due(entry, key);
         let left = latest.saturating_duration_since(now.now).as_millis();
@@ -127,10 +127,10 @@
     /// what stopping others for it would throw away.
     pub(super) fn tell_wait(
         &mut self,
-        id: &Id,
+        id: &JobId,
         key: &UnitKey,
         dear: Option<f64>,
-        now: Moment,
+        now: Timestamp,
     ) {
         let Some(entry) = self.jobs.get(id) else {
             return;
@@ -149,15 +149,15 @@
         let candidates = self.candidates(&request, now);
         let workers = candidates.len();
         let what = match candidates.is_empty() {
-            true => Wait::Worker,
-            false if fill(&request, candidates).is_some() => Wait::Rack,
-            false => Wait::Room,
+            true => WaitReason::Worker,
+            false if fill(&request, candidates).is_some() => WaitReason::Rack,
+            false => WaitReason::Room,
         };
         let standing = self.standing(entry, key, now);
         let within = standing.is_some_and(|standing| standing.within);
         let told = unit.waits.filter(|told| told.within == within);
         let news = told.is_none_or(|told| told.what != what);
-        let lacks = news && what != Wait::Worker;
+        let lacks = news && what != WaitReason::Worker;
         let told = Decision::Waits {
             of: entry.subject(key),
             what,
--- a/tests/it/again.rs
+++ b/tests/it/again.rs
@@ -1,6 +1,6 @@
 //! How soon a unit begins anew after a run that came to nothing.
 
-use landingvalve::graph::How;
+use landingvalve::graph::RunOutcome;
 
 use crate::graph::job;
 use crate::graph::step;
@@ -15,9 +15,9 @@
     // A member fails, the other one ends with it.
     let failed = site.workers.iter().position(|w| !w.running.is_empty());
     let failed = failed.expect("it runs");
-    site.workers[failed].end(How::Failed, |_| true);
+    site.workers[failed].end(RunOutcome::Failed, |_| true);
     for worker in &mut site.workers {
-        worker.end(How::Broken, |_| true);
+        worker.end(RunOutcome::Broken, |_| true);
     }
     // No time passes.
     site.settle();
--- a/tests/it/births.rs
+++ b/tests/it/births.rs
@@ -16,9 +16,9 @@
 use landingvalve::cell::keys;
 use landingvalve::cell::Admission;
 use landingvalve::cell::Stage;
-use landingvalve::graph::How;
 use landingvalve::graph::Outcome;
 use landingvalve::graph::Progress;
+use landingvalve::graph::RunOutcome;
 use landingvalve::log;
 use landingvalve::store::Put;
 use landingvalve::store::Store;
@@ -66,7 +66,7 @@
     runs(&worker, 2).await;
     worker.start_again();
     runs(&worker, 2).await;
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     reaches(&admission, "a", DONE).await;
     agent.abort();
     entry.kill();
@@ -82,7 +82,7 @@
     for name in ["a", "b"] {
         admission.submit(&job(name), soon()).await;
         runs(&worker, 2).await;
-        worker.end_all(How::Done);
+        worker.end_all(RunOutcome::Done);
         reaches(&admission, name, DONE).await;
     }
     let forgotten = || async { (worker.ends() == 0).then_some(()) };
@@ -90,7 +90,7 @@
     worker.start_again();
     admission.submit(&job("c"), soon()).await;
     runs(&worker, 2).await;
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     reaches(&admission, "c", DONE).await;
     let began = worker.began();
     let of_c = began.iter().filter(|start| start.starts_with('c'));
@@ -221,7 +221,7 @@
     let later = || async { (worker.looks() >= looked + 20).then_some(()) };
     until("several looks", later).await;
     member.heartbeat(earlier);
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     reaches(&admission, "a", DONE).await;
     let mut began = worker.began();
     began.sort();
@@ -252,7 +252,7 @@
     assert_eq!(other.began(), Vec::<String>::new(), "begun twice");
     // Nor is the worker out of use for ever.
     member.heartbeat(heartbeat(&worker, 2));
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     reaches(&admission, "a", DONE).await;
     other.fill(true);
     admission.submit(&job("b"), soon()).await;
@@ -280,7 +280,7 @@
     let entry = Entry::start("entry", &store).await;
     let agent = agent(&store, &worker);
     runs(&worker, 2).await;
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     reaches(&admission, "a", DONE).await;
     let mut began = worker.began();
     began.sort();
@@ -302,7 +302,7 @@
     admission.submit(&job("a"), soon()).await;
     runs(&worker, 2).await;
     worker.show_once();
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     reaches(&admission, "a", DONE).await;
     let failed = || async { (worker.broken_off() >= 6).then_some(()) };
     until("several looks fail", failed).await;
@@ -327,7 +327,7 @@
     worker.mute_once_shown();
     // The note comes later than a moment after the end is shown.
     store.lose(1);
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     reaches(&admission, "a", DONE).await;
     passes(Duration::from_millis(500)).await;
     assert_eq!(worker.asked_to_forget(), 0);
@@ -398,7 +398,7 @@
     admission.submit(&job("a"), soon()).await;
     runs(&worker, 2).await;
     entry.kill();
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     let looked = worker.looks();
     let looks = || async { (worker.looks() >= looked + 3).then_some(()) };
     until("the agent has read both ends", looks).await;
@@ -421,7 +421,7 @@
     let agent = agent(&store, &worker);
     admission.submit(&job("a"), soon()).await;
     runs(&worker, 2).await;
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     reaches(&admission, "a", DONE).await;
     let forgotten = || async { (worker.ends() == 0).then_some(()) };
     until("both ends are acknowledged", forgotten).await;
@@ -432,7 +432,7 @@
     worker.start_again();
     admission.submit(&job("b"), soon()).await;
     runs(&worker, 2).await;
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     // It was under way when the worker went down.
     worker.acknowledge_late(last);
     reaches(&admission, "b", DONE).await;
--- a/tests/it/broken.rs
+++ b/tests/it/broken.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use landingvalve::graph::How;
+use landingvalve::graph::RunOutcome;
 
 use crate::graph::job;
 use crate::graph::step;
@@ -30,7 +30,7 @@
 }
 
 /// Ends the gang's run on some workers.
-fn end(site: &mut Site, on: &[usize], how: How) {
+fn end(site: &mut Site, on: &[usize], how: RunOutcome) {
     for at in on {
         site.workers[*at].end(how, |_| true);
     }
@@ -41,12 +41,12 @@
     let (mut site, on) = gang();
     // One worker is taken away; the others tell that a member has ended.
     let gone = site.workers.remove(on[2]);
-    end(&mut site, &on[..2], How::Broken);
+    end(&mut site, &on[..2], RunOutcome::Broken);
     site.live(Duration::from_secs(4));
     assert_eq!(site.running("gang"), 3, "begun anew within 4 s");
     // Should it come back, what it tells of that run counts no more.
     let mut back = gone;
-    back.end(How::Done, |_| true);
+    back.end(RunOutcome::Done, |_| true);
     site.workers.push(back);
     site.settle();
     assert_eq!(site.outcome("gang"), None);
@@ -60,7 +60,7 @@
 fn a_gang_begins_anew_though_the_agent_beside_the_cause_goes_on() {
     let (mut site, on) = gang();
     site.workers[on[2]].silent = true;
-    end(&mut site, &on[..2], How::Broken);
+    end(&mut site, &on[..2], RunOutcome::Broken);
     site.live(Duration::from_secs(1));
     assert_eq!(site.running("gang"), 4, "three anew, and the old list");
 }
@@ -77,14 +77,14 @@
     // failed as well, the job is over.
     for _ in 0..2 {
         let here = on(&site);
-        end(&mut site, &here[..1], How::Failed);
-        end(&mut site, &here[1..], How::Broken);
+        end(&mut site, &here[..1], RunOutcome::Failed);
+        end(&mut site, &here[1..], RunOutcome::Broken);
         site.live(Duration::from_secs(6));
         assert_eq!(site.running("gang"), 3);
     }
     let here = on(&site);
     site.workers[here[2]].silent = true;
-    end(&mut site, &here[..2], How::Broken);
+    end(&mut site, &here[..2], RunOutcome::Broken);
     site.live(Duration::from_secs(4));
     assert_eq!(site.running("gang"), 1, "its leases have not run out");
 }
@@ -94,9 +94,9 @@
     let (mut site, on) = gang();
     site.workers.remove(on[2]);
     // The first has failed: the silent one may well be running yet.
-    end(&mut site, &on[..1], How::Failed);
+    end(&mut site, &on[..1], RunOutcome::Failed);
     site.settle();
-    end(&mut site, &on[1..2], How::Broken);
+    end(&mut site, &on[1..2], RunOutcome::Broken);
     site.live(Duration::from_secs(8));
     assert_eq!(site.running("gang"), 0, "its leases have not run out");
     site.live(Duration::from_secs(7));
@@ -109,7 +109,7 @@
     site.workers.remove(on[2]);
     site.workers.remove(on[1]);
     // One of the two has ended; the other may be running yet.
-    end(&mut site, &on[..1], How::Broken);
+    end(&mut site, &on[..1], RunOutcome::Broken);
     site.live(Duration::from_secs(8));
     assert_eq!(site.running("gang"), 0, "their leases have not run out");
 }
@@ -118,11 +118,11 @@
 fn a_gang_waits_for_a_worker_that_is_merely_late_with_its_report() {
     let (mut site, on) = gang();
     let late = site.workers.remove(on[2]);
-    end(&mut site, &on[..2], How::Broken);
+    end(&mut site, &on[..2], RunOutcome::Broken);
     site.live(Duration::from_secs(1));
     assert_eq!(site.running("gang"), 0, "it may tell yet how it ended");
     let mut late = late;
-    late.end(How::Done, |_| true);
+    late.end(RunOutcome::Done, |_| true);
     site.workers.push(late);
     site.settle();
     site.live(Duration::from_secs(3));
--- a/tests/it/burst.rs
+++ b/tests/it/burst.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use landingvalve::graph::Text;
+use landingvalve::graph::SharedStr;
 
 use crate::graph::job;
 use crate::graph::step;
@@ -47,7 +47,7 @@
     let all: usize = site.workers.iter().map(|w| w.running.len()).sum();
     assert_eq!(all, WORKERS * 8, "the site is full");
     let guaranteed = (GANGS * RACK / 2 * 8) as i64;
-    let account: Text = "account".into();
+    let account: SharedStr = "account".into();
     site.book.set_guarantees([(account, guaranteed)].into());
     site.pass(Duration::from_secs(1));
     for at in 0..GANGS {
--- a/tests/it/cell.rs
+++ b/tests/it/cell.rs
@@ -31,19 +31,19 @@
 use landingvalve::cell::Stage;
 use landingvalve::cell::Submitted;
 use landingvalve::graph::Ended;
-use landingvalve::graph::How;
 use landingvalve::graph::Job;
 use landingvalve::graph::Life;
 use landingvalve::graph::Lists;
+use landingvalve::graph::Options;
 use landingvalve::graph::Outcome;
 use landingvalve::graph::Pace;
 use landingvalve::graph::Refusal;
 use landingvalve::graph::Resources;
+use landingvalve::graph::RunOutcome;
 use landingvalve::graph::Running;
 use landingvalve::graph::Start;
 use landingvalve::graph::Step;
 use landingvalve::graph::Stop;
-use landingvalve::graph::Terms;
 use landingvalve::http;
 use landingvalve::log;
 use landingvalve::store::Change;
@@ -554,7 +554,7 @@
         stalls
     }
 
-    pub fn end_all(&self, how: How) {
+    pub fn end_all(&self, how: RunOutcome) {
         let mut tasks = self.lock();
         for running in std::mem::take(&mut tasks.running) {
             end(&mut tasks, running, how);
@@ -616,7 +616,7 @@
     }
 }
 
-fn end(tasks: &mut Tasks, running: Running, how: How) {
+fn end(tasks: &mut Tasks, running: Running, how: RunOutcome) {
     tasks.number += 1;
     let number = tasks.number;
     tasks.ended.push(Ended {
@@ -672,7 +672,7 @@
         let at = tasks.running.iter().position(same);
         if let Some(at) = at {
             let running = tasks.running.remove(at);
-            end(&mut tasks, running, How::Stopped);
+            end(&mut tasks, running, RunOutcome::Stopped);
         }
         tasks.barred.push((stop.task.to_string(), stop.run));
         Ok(tasks.time(self.started))
@@ -759,7 +759,7 @@
         name: &str,
         store: &Memory,
         limits: Limits,
-        terms: Terms,
+        terms: Options,
     ) -> Entry {
         Entry::on(name, store, limits, terms, 1.0, log::none()).await
     }
@@ -767,7 +767,7 @@
     /// Starts an entry of so many cores.
     pub async fn strong(name: &str, store: &Memory, cores: f64) -> Entry {
         let limits = Limits::default();
-        let terms = Terms::default();
+        let terms = Options::default();
         Entry::on(name, store, limits, terms, cores, log::none()).await
     }
 
@@ -782,14 +782,14 @@
         log: slog::Logger,
     ) -> Entry {
         let limits = Limits::default();
-        Entry::on(name, store, limits, Terms::default(), 1.0, log).await
+        Entry::on(name, store, limits, Options::default(), 1.0, log).await
     }
 
     async fn on(
         name: &str,
         store: &Memory,
         limits: Limits,
-        terms: Terms,
+        terms: Options,
         cores: f64,
         log: slog::Logger,
     ) -> Entry {
@@ -852,7 +852,7 @@
     store: &Memory,
     worker: &Fake,
 ) -> JoinHandle<()> {
-    let survival = Terms::default().survival;
+    let survival = Options::default().survival;
     surviving(name, survival, lease, store, worker)
 }
 
@@ -898,7 +898,7 @@
 ) -> Member<Fake, Memory> {
     let config = Config {
         agent: name.into(),
-        survival: Terms::default().survival,
+        survival: Options::default().survival,
         lease: Duration::from_secs(6),
         dial: Arc::new(Network),
         log: log::none(),
@@ -997,7 +997,7 @@
     let submitted = admission.submit(&job("a"), soon()).await;
     assert_eq!(submitted, Submitted::Accepted);
     runs(&worker, 2).await;
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     reaches(&admission, "a", DONE).await;
     assert_eq!(worker.lock().began, ["a.0.0.0 1", "a.0.0.1 1"]);
     let noted = || async { worker.lock().ended.is_empty().then_some(()) };
@@ -1018,7 +1018,7 @@
     first.abort();
     // Its worker is fenced against whoever knows no token.
     let second = agent(&store, &worker);
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     reaches(&admission, "a", DONE).await;
     assert_eq!(worker.lock().began.len(), 2, "started again");
     second.abort();
@@ -1036,7 +1036,7 @@
     runs(&worker, 2).await;
     first.abort();
     entry.kill();
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     // Long without a planner: longer than a silent worker is waited for.
     store.lock().refuse = u32::MAX;
     let second = agent(&store, &worker);
@@ -1065,7 +1065,7 @@
     store.lock().lose = 3;
     runs(&worker, 2).await;
     store.lock().lose = 3;
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     reaches(&admission, "a", DONE).await;
     assert_eq!(worker.lock().began.len(), 2);
     agent.abort();
@@ -1145,7 +1145,7 @@
     let second = agent_of("second", lease, &store, &other);
     runs(&other, 2).await;
     // It ran on all the while, and says so.
-    silent.end_all(How::Done);
+    silent.end_all(RunOutcome::Done);
     silent.lock().mute = false;
     reaches(&admission, "a", DONE).await;
     runs(&other, 0).await;
@@ -1222,7 +1222,7 @@
     let first = agent_of("first", lease, &store, &deaf);
     admission.submit(&job("a"), soon()).await;
     runs(&deaf, 2).await;
-    deaf.end_all(How::Done);
+    deaf.end_all(RunOutcome::Done);
     reaches(&admission, "a", DONE).await;
     // It breaks off all calls from now on; its heartbeats go on.
     deaf.lock().deaf = true;
@@ -1271,7 +1271,7 @@
     };
     until("the other job begins", began).await;
     for worker in &workers {
-        worker.end_all(How::Done);
+        worker.end_all(RunOutcome::Done);
     }
     reaches(&admission, "good", DONE).await;
     for agent in agents {
@@ -1303,7 +1303,7 @@
     let looked = worker.looks();
     let later = || async { (worker.looks() >= looked + 20).then_some(()) };
     until("several looks", later).await;
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     reaches(&admission, "a", DONE).await;
     let mut began = worker.began();
     began.sort();
@@ -1325,7 +1325,7 @@
     let entry = Entry::start("entry", &store).await;
     let agent = agent(&store, &worker);
     runs(&worker, 2).await;
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     reaches(&admission, "b", DONE).await;
     let mut began = worker.began();
     began.sort();
--- a/tests/it/closed.rs
+++ b/tests/it/closed.rs
@@ -8,8 +8,8 @@
 use landingvalve::cell::configuration::Configuration;
 use landingvalve::cell::configuration::Source;
 use landingvalve::cell::reach::Reach;
-use landingvalve::graph::How;
-use landingvalve::graph::Text;
+use landingvalve::graph::RunOutcome;
+use landingvalve::graph::SharedStr;
 use landingvalve::log;
 use landingvalve::store::Put;
 use landingvalve::store::Store;
@@ -21,7 +21,7 @@
 use crate::graph::Site;
 use crate::support::until;
 
-fn halls(names: &[&str]) -> BTreeSet<Text> {
+fn halls(names: &[&str]) -> BTreeSet<SharedStr> {
     names.iter().map(|name| (*name).into()).collect()
 }
 
@@ -84,7 +84,7 @@
     site.book.set_closed(halls(&["near"]));
     site.settle();
     assert_eq!(site.workers[2].running.len(), 1, "no rack near is open");
-    site.workers[2].end(How::Done, |_| true);
+    site.workers[2].end(RunOutcome::Done, |_| true);
     site.settle();
 }
 
--- a/tests/it/crashes.rs
+++ b/tests/it/crashes.rs
@@ -7,14 +7,14 @@
 
 use std::time::Duration;
 
-use landingvalve::graph::Before;
-use landingvalve::graph::Book;
-use landingvalve::graph::How;
 use landingvalve::graph::Job;
+use landingvalve::graph::Options;
 use landingvalve::graph::Outcome;
+use landingvalve::graph::PastLife;
 use landingvalve::graph::Report;
+use landingvalve::graph::RunOutcome;
 use landingvalve::graph::Running;
-use landingvalve::graph::Terms;
+use landingvalve::graph::Scheduler;
 
 use crate::graph::job;
 use crate::graph::step;
@@ -72,7 +72,7 @@
 /// Hands the books over to a new planner.
 fn hand_over(site: &mut Site, job: &Job) {
     let kept = site.book.progress(&job.id).cloned();
-    site.book = Book::new(Terms::default(), site.now);
+    site.book = Scheduler::new(Options::default(), site.now);
     site.book.accept(job.clone(), kept, site.now);
 }
 
@@ -122,7 +122,7 @@
 fn crash_told(site: &mut Site, bad: impl Fn(&Running) -> bool) -> usize {
     for worker in &mut site.workers {
         let begun = worker.running.iter().map(|r| (r.task.clone(), r.run));
-        let before = Before {
+        let before = PastLife {
             life: format!("{}-{}", worker.agent, worker.life).into(),
             begun: begun.collect(),
             unseen: false,
@@ -261,7 +261,7 @@
         round(&mut site);
         fall_silent(&mut site, "good");
     }
-    for how in [How::Failed, How::Stopped] {
+    for how in [RunOutcome::Failed, RunOutcome::Stopped] {
         for _ in 0..3 {
             round(&mut site);
         }
--- a/tests/it/doubt.rs
+++ b/tests/it/doubt.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use landingvalve::graph::Decision;
-use landingvalve::graph::How;
+use landingvalve::graph::RunOutcome;
 
 use crate::graph::job;
 use crate::graph::step;
@@ -12,7 +12,7 @@
 const THREE: &[(&str, &str)] = &[("w1", "r1"), ("w2", "r1"), ("w3", "r1")];
 
 /// Ends all that a worker runs of a job.
-fn end(site: &mut Site, worker: usize, id: &str, how: How) {
+fn end(site: &mut Site, worker: usize, id: &str, how: RunOutcome) {
     site.workers[worker].end(how, |r| &*r.task.job == id);
 }
 
@@ -21,13 +21,13 @@
     let mut site = Site::new(THREE);
     site.submit(job("j", 1, vec![step(3, 8, false)], &site));
     site.settle();
-    end(&mut site, 0, "j", How::Failed);
+    end(&mut site, 0, "j", RunOutcome::Failed);
     site.settle();
     site.live(Duration::from_millis(500));
     // The failed task waits for another worker; a fourth task comes here.
     site.submit(job("k", 0, vec![step(1, 8, false)], &site));
     site.settle();
-    end(&mut site, 0, "k", How::Failed);
+    end(&mut site, 0, "k", RunOutcome::Failed);
     site.settle();
     site.submit(job("l", 0, vec![step(1, 8, false)], &site));
     site.settle();
@@ -41,7 +41,7 @@
     let mut site = Site::new(THREE);
     site.submit(job("j", 1, vec![step(24, 1, false)], &site));
     site.settle();
-    end(&mut site, 0, "j", How::Failed);
+    end(&mut site, 0, "j", RunOutcome::Failed);
     site.settle();
     let apart = |site: &mut Site| {
         let decisions = site.book.take_decisions();
@@ -54,7 +54,7 @@
     site.submit(job("j", 1, vec![step(3, 8, false)], &site));
     site.settle();
     for worker in 0..3 {
-        end(&mut site, worker, "j", How::Failed);
+        end(&mut site, worker, "j", RunOutcome::Failed);
         site.settle();
     }
     assert_eq!(apart(&mut site), 0, "it failed on all workers alike");
@@ -66,7 +66,7 @@
     // Something fails on the first worker, and leaves it in doubt.
     site.submit(job("a", 1, vec![step(2, 8, false)], &site));
     site.settle();
-    end(&mut site, 0, "a", How::Failed);
+    end(&mut site, 0, "a", RunOutcome::Failed);
     site.book.cancel("a", site.now);
     site.settle();
     let mut last = job("b", 0, vec![step(2, 8, false)], &site);
--- a/tests/it/explain.rs
+++ b/tests/it/explain.rs
@@ -9,7 +9,7 @@
 use landingvalve::explain::cause::Cause;
 use landingvalve::explain::story::End;
 use landingvalve::explain::Logs;
-use landingvalve::graph::How;
+use landingvalve::graph::RunOutcome;
 use slog::o;
 use slog::Drain;
 
@@ -64,7 +64,7 @@
     let agent = agent(&store, &worker);
     admission.submit(&job("a"), soon()).await;
     runs(&worker, 2).await;
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     reaches(&admission, "a", DONE).await;
     let logs = lines.read();
     let story = logs.story("a").expect("it is told");
--- a/tests/it/graph.rs
+++ b/tests/it/graph.rs
@@ -4,22 +4,22 @@
 use std::time::Duration;
 use std::time::SystemTime;
 
-use landingvalve::graph::Before;
-use landingvalve::graph::Book;
 use landingvalve::graph::Ended;
-use landingvalve::graph::How;
 use landingvalve::graph::Job;
 use landingvalve::graph::Lists;
-use landingvalve::graph::Moment;
+use landingvalve::graph::Options;
 use landingvalve::graph::Orders;
 use landingvalve::graph::Outcome;
+use landingvalve::graph::PastLife;
 use landingvalve::graph::Policy;
 use landingvalve::graph::Report;
 use landingvalve::graph::Resources;
+use landingvalve::graph::RunOutcome;
 use landingvalve::graph::Running;
+use landingvalve::graph::Scheduler;
 use landingvalve::graph::Start;
 use landingvalve::graph::Step;
-use landingvalve::graph::Terms;
+use landingvalve::graph::Timestamp;
 use landingvalve::graph::WorkerReport;
 
 /// A worker that does what it is told.
@@ -39,7 +39,7 @@
     pub capacity: Resources,
     pub labels: Vec<Arc<str>>,
     /// What its agent tells of the life before.
-    pub before: Option<Before>,
+    pub before: Option<PastLife>,
     /// Every run that ever began here.
     pub began: Vec<String>,
 }
@@ -116,7 +116,7 @@
     }
 
     /// Ends what runs, for which `which` holds.
-    pub fn end(&mut self, how: How, which: impl Fn(&Running) -> bool) {
+    pub fn end(&mut self, how: RunOutcome, which: impl Fn(&Running) -> bool) {
         let (ending, going) = self.running.drain(..).partition(|r| which(r));
         self.running = going;
         let ending: Vec<Running> = ending;
@@ -141,7 +141,7 @@
         }
         for stop in &orders.stops {
             let this = |r: &Running| r.task == stop.task && r.run == stop.run;
-            self.end(How::Stopped, this);
+            self.end(RunOutcome::Stopped, this);
         }
         for pace in &orders.paces {
             let this =
@@ -158,20 +158,20 @@
 
 /// Books with workers, whose store writes at once.
 pub struct Site {
-    pub book: Book,
+    pub book: Scheduler,
     pub workers: Vec<Worker>,
-    pub now: Moment,
+    pub now: Timestamp,
 }
 
 impl Site {
     pub fn new(workers: &[(&str, &'static str)]) -> Site {
-        let now = Moment {
+        let now = Timestamp {
             now: std::time::Instant::now(),
             wall: SystemTime::UNIX_EPOCH + Duration::from_secs(1_000_000),
         };
         let workers = workers.iter().map(|(a, rack)| Worker::new(a, rack));
         Site {
-            book: Book::new(Terms::default(), now),
+            book: Scheduler::new(Options::default(), now),
             workers: workers.collect(),
             now,
         }
@@ -246,7 +246,7 @@
 
     pub fn end_all(&mut self, id: &str) {
         for worker in &mut self.workers {
-            worker.end(How::Done, |r| &*r.task.job == id);
+            worker.end(RunOutcome::Done, |r| &*r.task.job == id);
         }
     }
 }
@@ -332,10 +332,10 @@
 /// Keeps room for a unit that has waited for so long.
 fn keeps_a_whole_worker(policy: Policy, wait: Duration) {
     let mut site = Site::new(&[("w1", "r1")]);
-    site.book = Book::new(
-        Terms {
+    site.book = Scheduler::new(
+        Options {
             policy,
-            ..Terms::default()
+            ..Options::default()
         },
         site.now,
     );
@@ -348,7 +348,7 @@
     // The first job's tasks end one by one; no gap is filled meanwhile.
     for _ in 0..8 {
         let first = site.workers[0].running[0].task.clone();
-        site.workers[0].end(How::Done, |r| r.task == first);
+        site.workers[0].end(RunOutcome::Done, |r| r.task == first);
         site.settle();
     }
     assert_eq!((site.running("big"), site.running("small")), (1, 0));
@@ -391,7 +391,7 @@
     gang.same_rack = false;
     site.submit(job("j", 1, vec![gang], &site));
     site.settle();
-    site.workers[0].end(How::Failed, |r| r.task.index == 0);
+    site.workers[0].end(RunOutcome::Failed, |r| r.task.index == 0);
     // One member's end is known, and nothing of the other's.
     let report = site.workers[0].report();
     site.book.report(report, site.now);
@@ -415,7 +415,7 @@
         site.settle();
         site.pass(Duration::from_secs(2));
         site.settle();
-        site.workers[worker].end(How::Done, |_| true);
+        site.workers[worker].end(RunOutcome::Done, |_| true);
         site.settle();
         assert_eq!(site.running("big"), 1, "worker {worker} is free");
     }
@@ -469,7 +469,7 @@
     // What it lists as done when it is back is done: once that is
     // acknowledged the task may not begin again, and its other run is
     // stopped.
-    silent.end(How::Done, |_| true);
+    silent.end(RunOutcome::Done, |_| true);
     site.workers.push(silent);
     site.settle();
     assert_eq!(site.outcome("j"), Some(Outcome::Succeeded));
@@ -496,7 +496,7 @@
         site.settle();
         assert_eq!(site.running("j"), 1);
         for worker in &mut site.workers {
-            worker.end(How::Failed, |_| true);
+            worker.end(RunOutcome::Failed, |_| true);
         }
         site.settle();
     }
@@ -540,7 +540,7 @@
     site.settle();
     // The first goes on; two of the kept and two others become free.
     for at in 1..5 {
-        site.workers[at].end(How::Done, |_| true);
+        site.workers[at].end(RunOutcome::Done, |_| true);
     }
     site.settle();
     assert_eq!(site.running("b"), 3);
--- a/tests/it/graph_faults.rs
+++ b/tests/it/graph_faults.rs
@@ -12,27 +12,27 @@
 use std::time::SystemTime;
 
 use landingvalve::graph::AgentId;
-use landingvalve::graph::Before;
-use landingvalve::graph::Book;
 use landingvalve::graph::Ended;
-use landingvalve::graph::How;
 use landingvalve::graph::Job;
 use landingvalve::graph::Life;
 use landingvalve::graph::Lists;
-use landingvalve::graph::Moment;
+use landingvalve::graph::Options;
 use landingvalve::graph::Orders;
 use landingvalve::graph::Outcome;
+use landingvalve::graph::PastLife;
 use landingvalve::graph::Progress;
 use landingvalve::graph::Refusal;
 use landingvalve::graph::Refused;
 use landingvalve::graph::Report;
 use landingvalve::graph::Resources;
 use landingvalve::graph::Run;
+use landingvalve::graph::RunOutcome;
 use landingvalve::graph::Running;
+use landingvalve::graph::Scheduler;
 use landingvalve::graph::Start;
 use landingvalve::graph::Step;
 use landingvalve::graph::Task;
-use landingvalve::graph::Terms;
+use landingvalve::graph::Timestamp;
 use landingvalve::graph::Unwritten;
 use landingvalve::graph::WorkerReport;
 
@@ -104,7 +104,7 @@
     refused: Vec<Refused>,
     gone: Option<u32>,
     /// What its agent tells of the life before.
-    before: Option<Before>,
+    before: Option<PastLife>,
     /// Whether it is leaving.
     leaving: bool,
     /// For how many rounds its agent and the planner do not hear each other.
@@ -145,7 +145,7 @@
 
 /// A planner and its books.
 struct Planner {
-    book: Book,
+    book: Scheduler,
     token: u64,
     /// What it has handed to the store, and is not written yet.
     writing: Vec<Unwritten>,
@@ -170,7 +170,7 @@
     crashed: BTreeMap<Task, (u32, u32)>,
     /// How many workers have crashed under each task, whatever the cause.
     under: BTreeMap<Task, u32>,
-    now: Moment,
+    now: Timestamp,
     workers: Vec<Worker>,
     planner: Planner,
     late: Vec<Late>,
@@ -206,7 +206,7 @@
 
 impl World {
     fn new(seed: u64) -> World {
-        let now = Moment {
+        let now = Timestamp {
             now: Instant::now(),
             wall: SystemTime::UNIX_EPOCH + Duration::from_secs(1_000_000),
         };
@@ -223,7 +223,7 @@
             life: 1,
             token: 0,
             sequence: 0,
-            granted: now.now + Terms::default().survival,
+            granted: now.now + Options::default().survival,
             running: Vec::new(),
             ended: Vec::new(),
             number: 0,
@@ -256,7 +256,7 @@
             now,
             workers: workers.into(),
             planner: Planner {
-                book: Book::new(Terms::default(), now),
+                book: Scheduler::new(Options::default(), now),
                 token: 1,
                 writing: Vec::new(),
             },
@@ -334,7 +334,7 @@
             self.write();
         }
         self.planner = Planner {
-            book: Book::new(Terms::default(), self.now),
+            book: Scheduler::new(Options::default(), self.now),
             token: self.planner.token + 1,
             writing: Vec::new(),
         };
@@ -366,7 +366,7 @@
         let worker = &mut self.workers[at];
         worker.gone = Some(worker.life);
         let begun = worker.running.iter().map(|r| (r.task.clone(), r.run));
-        worker.before = Some(Before {
+        worker.before = Some(PastLife {
             life: worker.life(worker.life),
             begun: begun.collect(),
             unseen: false,
@@ -386,7 +386,7 @@
         };
         worker.leaving = false;
         worker.token = 0;
-        worker.granted = now + Terms::default().survival;
+        worker.granted = now + Options::default().survival;
         worker.running.clear();
         worker.ended.clear();
         worker.barred.clear();
@@ -443,7 +443,7 @@
 
     /// Lets agents that reach no planner keep what their workers list.
     fn keep(&mut self) {
-        let alone = Terms::default().survival / 3;
+        let alone = Options::default().survival / 3;
         for at in 0..self.workers.len() {
             let worker = &self.workers[at];
             let reaches = worker.cut == 0 || !worker.alone;
@@ -468,12 +468,12 @@
 
     /// Lets tasks end, well or badly, with all members of their gangs.
     fn work(&mut self) {
-        let mut ending: Vec<(Key, How)> = Vec::new();
+        let mut ending: Vec<(Key, RunOutcome)> = Vec::new();
         for worker in &self.workers {
             for running in &worker.running {
                 let how = match self.random.u32(..40) {
-                    0..=3 => How::Done,
-                    4 if self.faults => How::Failed,
+                    0..=3 => RunOutcome::Done,
+                    4 if self.faults => RunOutcome::Failed,
                     _ => continue,
                 };
                 ending.push(((running.task.clone(), running.run), how));
@@ -484,14 +484,14 @@
         }
         for at in 0..self.workers.len() {
             if self.now.now > self.workers[at].granted {
-                self.end_at(at, How::Lapsed, |_| true);
+                self.end_at(at, RunOutcome::Lapsed, |_| true);
                 self.workers[at].lapsed = self.workers[at].number;
             }
         }
     }
 
     /// Ends a run; a gang ends as a whole.
-    fn end(&mut self, task: &Task, run: Run, how: How) {
+    fn end(&mut self, task: &Task, run: Run, how: RunOutcome) {
         let gang = self.job(&task.job).steps[task.step].gang;
         let here =
             |running: &Running| running.run == run && running.task == *task;
@@ -501,8 +501,8 @@
                 && running.task.step == task.step
         };
         let rest = match how {
-            How::Done => How::Done,
-            _ => How::Broken,
+            RunOutcome::Done => RunOutcome::Done,
+            _ => RunOutcome::Broken,
         };
         for at in 0..self.workers.len() {
             self.end_at(at, how, here);
@@ -521,7 +521,7 @@
     fn end_at(
         &mut self,
         at: usize,
-        how: How,
+        how: RunOutcome,
         which: impl Fn(&Running) -> bool,
     ) {
         let worker = &mut self.workers[at];
@@ -531,10 +531,10 @@
         let ending: Vec<Running> = ending;
         for running in ending {
             match how {
-                How::Done => {
+                RunOutcome::Done => {
                     self.ended.insert(running.task.clone());
                 }
-                How::Failed => {
+                RunOutcome::Failed => {
                     let unit = self.unit(&running.task);
                     let runs = self.failures.entry(unit).or_default();
                     runs.insert(running.run);
@@ -677,7 +677,8 @@
             return;
         }
         worker.token = token;
-        worker.granted = worker.granted.max(sent + Terms::default().survival);
+        worker.granted =
+            worker.granted.max(sent + Options::default().survival);
         worker.answered = self.now.now;
         worker.kept = None;
         worker.gone = None;
@@ -701,7 +702,7 @@
             let this = |running: &Running| {
                 running.task == stop.task && running.run == stop.run
             };
-            self.end_at(at, How::Stopped, this);
+            self.end_at(at, RunOutcome::Stopped, this);
         }
         for start in &orders.starts {
             let key = (start.task.clone(), start.run);
@@ -716,7 +717,7 @@
     fn bar_late(&mut self, at: usize) {
         for (task, run) in std::mem::take(&mut self.workers[at].begun_late) {
             let this = |r: &Running| r.task == task && r.run == run;
-            self.end_at(at, How::Stopped, this);
+            self.end_at(at, RunOutcome::Stopped, this);
             let bar = self.workers[at].barred.entry(task.clone()).or_default();
             *bar = (*bar).max(run);
         }
@@ -802,7 +803,7 @@
             // Not those that its lease has outlived before they were read.
             ended.any(|end| {
                 let counts = end.number > worker.lapsed;
-                counts && end.task == *task && end.how == How::Done
+                counts && end.task == *task && end.how == RunOutcome::Done
             })
         });
         assert!(!kept, "TWICE: {task} is done, and that is kept");
@@ -859,10 +860,10 @@
         let counts = |end: &Ended| end.number > lapsed;
         for end in over.into_iter().filter(counts) {
             match end.how {
-                How::Done => {
+                RunOutcome::Done => {
                     self.done.insert(end.task);
                 }
-                How::Failed => {
+                RunOutcome::Failed => {
                     let unit = self.unit(&end.task);
                     self.failed.entry(unit).or_default().insert(end.run);
                 }
--- a/tests/it/guarantees.rs
+++ b/tests/it/guarantees.rs
@@ -54,7 +54,8 @@
     }
     site.settle();
     for worker in [1, 3] {
-        site.workers[worker].end(landingvalve::graph::How::Done, |_| true);
+        site.workers[worker]
+            .end(landingvalve::graph::RunOutcome::Done, |_| true);
     }
     site.settle();
     if let Some(priority) = rest {
--- a/tests/it/limits.rs
+++ b/tests/it/limits.rs
@@ -11,8 +11,8 @@
 use landingvalve::cell::server::Limits;
 use landingvalve::cell::Admission;
 use landingvalve::cell::Submitted;
-use landingvalve::graph::How;
-use landingvalve::graph::Terms;
+use landingvalve::graph::Options;
+use landingvalve::graph::RunOutcome;
 use landingvalve::http;
 use landingvalve::http::Handler;
 use landingvalve::http::Request;
@@ -34,10 +34,10 @@
 const LEASE: Duration = Duration::from_secs(2);
 
 /// Short times, so that a silent agent is soon taken for gone.
-fn terms() -> Terms {
-    Terms {
+fn terms() -> Options {
+    Options {
         survival: Duration::from_secs(3),
-        ..Terms::default()
+        ..Options::default()
     }
 }
 
@@ -165,7 +165,7 @@
     // The next planner's only connection is taken: the agent is turned away.
     let second = Entry::limited("second", &store, limits, terms()).await;
     let taken = occupy(&second).await;
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     reaches(&admission, "a", DONE).await;
     drop(taken);
     assert_eq!(worker.began().len(), 2, "{:?}", worker.began());
--- a/tests/it/near.rs
+++ b/tests/it/near.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use landingvalve::graph::How;
+use landingvalve::graph::RunOutcome;
 
 use crate::graph::job;
 use crate::graph::step;
@@ -69,7 +69,7 @@
     site.settle();
     // Two of its members fail, on workers of their own.
     for at in 0..2 {
-        site.workers[at].end(How::Failed, |_| true);
+        site.workers[at].end(RunOutcome::Failed, |_| true);
     }
     site.settle();
     site.pass(Duration::from_secs(1));
--- a/tests/it/ordered.rs
+++ b/tests/it/ordered.rs
@@ -18,12 +18,12 @@
 use landingvalve::cell::relay::call::Call;
 use landingvalve::cell::relay::call::Reply;
 use landingvalve::cell::rpc::Answer;
+use landingvalve::graph::Options;
 use landingvalve::graph::Orders;
 use landingvalve::graph::Report;
 use landingvalve::graph::Resources;
 use landingvalve::graph::Start;
 use landingvalve::graph::Task;
-use landingvalve::graph::Terms;
 use landingvalve::log;
 use landingvalve::store::Put;
 use landingvalve::store::Revision;
@@ -79,7 +79,7 @@
     fn agent(&self, store: &Memory, worker: &Fake) -> Agent {
         let config = Config {
             agent: "agent".into(),
-            survival: Terms::default().survival,
+            survival: Options::default().survival,
             lease: Duration::from_secs(6),
             dial: Arc::new(self.clone()),
             log: log::none(),
--- a/tests/it/predict.rs
+++ b/tests/it/predict.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use landingvalve::graph::Book;
 use landingvalve::graph::Decision;
-use landingvalve::graph::How;
-use landingvalve::graph::Terms;
+use landingvalve::graph::Options;
+use landingvalve::graph::RunOutcome;
+use landingvalve::graph::Scheduler;
 
 use crate::graph::job;
 use crate::graph::step;
@@ -54,7 +54,7 @@
     site.settle();
     site.live(Duration::from_secs(4));
     // Another planner takes over just before they end.
-    let mut next = Book::new(Terms::default(), site.now);
+    let mut next = Scheduler::new(Options::default(), site.now);
     for job in jobs {
         let kept = site.book.progress(&job.id).cloned();
         next.accept(job, kept, site.now);
@@ -62,7 +62,7 @@
     site.book = next;
     site.settle();
     site.pass(Duration::from_millis(500));
-    site.workers[0].end(How::Done, |_| true);
+    site.workers[0].end(RunOutcome::Done, |_| true);
     site.settle();
     let declared = Duration::from_secs(5);
     assert_eq!(expected(&mut site, "next", declared), declared);
--- a/tests/it/shortage.rs
+++ b/tests/it/shortage.rs
@@ -1,8 +1,8 @@
 //! What a unit that finds no room is told to lack.
 
 use landingvalve::graph::Decision;
-use landingvalve::graph::Lack;
 use landingvalve::graph::Shortage;
+use landingvalve::graph::ShortageKind;
 use landingvalve::graph::Step;
 
 use crate::graph::job;
@@ -45,22 +45,22 @@
     let cases = [
         // All are in use.
         (
-            Lack::Accelerators,
+            ShortageKind::Accelerators,
             vec![whole(), whole(), takes(3, 1, 8, true)],
         ),
         // Half of each worker is: what is left holds no whole one.
         (
-            Lack::Together,
+            ShortageKind::Together,
             vec![takes(4, 33, 4, false), takes(2, 1, 8, true)],
         ),
         // Cores are: the accelerators beside them are stranded.
         (
-            Lack::Cores,
+            ShortageKind::Cores,
             vec![takes(4, 60, 1, false), takes(2, 8, 4, true)],
         ),
         // One worker of each rack is free.
         (
-            Lack::Rack,
+            ShortageKind::Rack,
             vec![
                 whole(),
                 Step {
--- a/tests/it/shrunk.rs
+++ b/tests/it/shrunk.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use landingvalve::cell::Admission;
-use landingvalve::graph::Book;
-use landingvalve::graph::How;
 use landingvalve::graph::Job;
+use landingvalve::graph::Options;
 use landingvalve::graph::Outcome;
-use landingvalve::graph::Terms;
+use landingvalve::graph::RunOutcome;
+use landingvalve::graph::Scheduler;
 use landingvalve::log;
 
 use crate::cell;
@@ -46,7 +46,7 @@
 /// Hands the books over to a new planner.
 fn hand_over(site: &mut Site, job: &Job) {
     let kept = site.book.progress(&job.id).cloned();
-    site.book = Book::new(Terms::default(), site.now);
+    site.book = Scheduler::new(Options::default(), site.now);
     site.book.accept(job.clone(), kept, site.now);
 }
 
@@ -155,7 +155,7 @@
     worker.shrink(8);
     let entry = Entry::start("other", &store).await;
     runs(&worker, 4).await;
-    worker.end_all(How::Done);
+    worker.end_all(RunOutcome::Done);
     reaches(&admission, "a", DONE).await;
     reaches(&admission, "b", DONE).await;
     agent.abort();
--- a/tests/it/stops.rs
+++ b/tests/it/stops.rs
@@ -7,8 +7,8 @@
 
 use std::time::Duration;
 
-use landingvalve::graph::price;
-use landingvalve::graph::price::Stake;
+use landingvalve::graph::budget;
+use landingvalve::graph::budget::Need;
 use landingvalve::graph::Policy;
 
 use crate::graph::job;
@@ -60,12 +60,13 @@
 #[test]
 fn the_limit_follows_what_is_won() {
     let policy = Policy::default();
-    let stake = |work, slack_ms| Stake {
+    let stake = |work, slack_ms| Need {
         work,
         slack_ms,
         stop: Duration::from_millis(900),
     };
-    let limit = |work, slack_ms| price::limit(&policy, &stake(work, slack_ms));
+    let limit =
+        |work, slack_ms| budget::limit(&policy, &stake(work, slack_ms));
     assert!(limit(1500.0, 1500) >= 1500.0, "in time");
     assert!(limit(1500.0, 500) < 500.0, "a stop takes all that is left");
     assert!(limit(1500.0, -500) < 500.0, "late already");
--- a/tests/it/suspended.rs
+++ b/tests/it/suspended.rs
@@ -12,7 +12,7 @@
 use landingvalve::cell::Admission;
 use landingvalve::clock;
 use landingvalve::clock::Stamp;
-use landingvalve::graph::How;
+use landingvalve::graph::RunOutcome;
 use landingvalve::log;
 use landingvalve::store::Put;
 use landingvalve::store::Store;
@@ -130,7 +130,7 @@
         admission.submit(&job("b"), soon()).await;
         clock::suspend(Duration::from_millis(ms));
         runs(&worker, 4).await;
-        worker.end_all(How::Done);
+        worker.end_all(RunOutcome::Done);
         reaches(&admission, "a", DONE).await;
         reaches(&admission, "b", DONE).await;
         let mut began = worker.began();
--- a/tests/it/takeover.rs
+++ b/tests/it/takeover.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeSet;
 
-use landingvalve::graph::Book;
-use landingvalve::graph::How;
 use landingvalve::graph::Job;
-use landingvalve::graph::Terms;
+use landingvalve::graph::Options;
+use landingvalve::graph::RunOutcome;
+use landingvalve::graph::Scheduler;
 
 use crate::graph::job;
 use crate::graph::step;
@@ -17,13 +17,13 @@
     let gang = job("gang", 1, vec![step(2, 1, true)], &site);
     site.submit(gang.clone());
     site.settle();
-    site.workers[0].end(How::Failed, |running| running.task.index == 0);
+    site.workers[0].end(RunOutcome::Failed, |running| running.task.index == 0);
     let report = site.workers[0].report();
     site.book.report(report, site.now);
     // It is written, but the worker does not hear so.
     site.write();
     let kept = site.book.progress("gang").cloned();
-    site.book = Book::new(Terms::default(), site.now);
+    site.book = Scheduler::new(Options::default(), site.now);
     site.book.accept(gang, kept, site.now);
     let report = site.workers[0].report();
     site.book.report(report, site.now);
@@ -50,7 +50,7 @@
     let orders = site.book.orders(&first);
     assert_eq!(site.book.orders(&second).starts.len(), 1);
     site.workers[0].obey(&orders);
-    site.workers[0].end(How::Done, |_| true);
+    site.workers[0].end(RunOutcome::Done, |_| true);
     let report = site.workers[0].report();
     site.book.report(report, site.now);
     site.write();
@@ -60,7 +60,7 @@
 
 /// Hands the books over to a new planner that no agent has reported to yet.
 fn hand_over(site: &mut Site, jobs: &[Job]) {
-    let mut next = Book::new(Terms::default(), site.now);
+    let mut next = Scheduler::new(Options::default(), site.now);
     for job in jobs {
         let kept = site.book.progress(&job.id).cloned();
         next.accept(job.clone(), kept, site.now);
