--- a/benches/pass.rs
+++ b/benches/pass.rs
@@ -80,7 +80,7 @@
 impl Cell {
     fn new(workers: usize, waiting: usize) -> Cell {
         let now = Timestamp {
-            now: Instant::now(),
+            monotonic: Instant::now(),
             wall: SystemTime::now(),
         };
         let mut cell = Cell {
@@ -131,7 +131,7 @@
             repeat: None,
             advice: None,
         };
-        self.book.accept(job, None, self.now);
+        self.book.accept_job(job, None, self.now);
     }
 
     fn report(&mut self, at: usize, ended: Option<Running>) {
@@ -174,7 +174,7 @@
                 refused: Vec::new(),
             }),
         };
-        self.book.report(report, self.now);
+        self.book.apply_report(report, self.now);
     }
 
     /// Decides, writes, and lets every worker start what it is told.
@@ -202,10 +202,10 @@
     }
 
     fn pass(&mut self) {
-        self.now.now += Duration::from_millis(1);
-        self.book.step(self.now);
-        for job in self.book.unwritten(usize::MAX) {
-            self.book.written(&job.id, job.version);
+        self.now.monotonic += Duration::from_millis(1);
+        self.book.run_pass(self.now);
+        for job in self.book.take_unwritten(usize::MAX) {
+            self.book.mark_written(&job.id, job.version);
         }
         self.book.take_decisions();
     }
@@ -245,7 +245,7 @@
         }
         let size = format!("240 workers, {urgent} urgent gangs");
         group.bench_function(BenchmarkId::new("a burst", &size), |bencher| {
-            bencher.iter(|| cell.book.clone().step(cell.now));
+            bencher.iter(|| cell.book.clone().run_pass(cell.now));
         });
     }
     group.finish();
--- a/crates/landingvalve-experiment/src/play.rs
+++ b/crates/landingvalve-experiment/src/play.rs
@@ -115,14 +115,14 @@
 /// Plays a day under a policy.
 pub fn play(load: &Load, day: &Day, policy: Policy, seed: u64) -> Score {
     let start = Timestamp {
-        now: Instant::now(),
+        monotonic: Instant::now(),
         wall: SystemTime::UNIX_EPOCH + Duration::from_secs(1 << 30),
     };
     let terms = Options {
         policy,
-        far: FAR,
-        stop: load.fleet.stop,
-        reclaim: load.accounts.reclaim,
+        far_slowdown: FAR,
+        stop_time: load.fleet.stop,
+        reclaim_time: load.accounts.reclaim,
         ..Options::default()
     };
     let workers = Worker::all(&load.fleet);
@@ -171,7 +171,7 @@
 
     fn moment(&self) -> Timestamp {
         Timestamp {
-            now: self.start.now + self.now,
+            monotonic: self.start.monotonic + self.now,
             wall: self.start.wall + self.now,
         }
     }
@@ -223,7 +223,9 @@
             Event::Reports(worker) => {
                 self.due.insert(worker);
             }
-            Event::Written(id, version) => self.book.written(&id, version),
+            Event::Written(id, version) => {
+                self.book.mark_written(&id, version)
+            }
             Event::Owed(id) => self.owed(&id),
             Event::Tick => {
                 let beat = BEAT.as_millis() / TICK.as_millis();
@@ -243,21 +245,22 @@
         let moment = self.moment();
         for worker in std::mem::take(&mut self.due) {
             let report = self.workers[worker].report(self.now);
-            self.book.report(report, moment);
+            self.book.apply_report(report, moment);
         }
         if ticks || self.book.is_changed() {
-            self.book.step(moment);
+            self.book.run_pass(moment);
             for agent in self.book.take_inquiries() {
-                let sent = moment.now;
-                self.book.inquired(&agent, None, sent, moment);
+                let sent = moment.monotonic;
+                self.book.apply_inquiry(&agent, None, sent, moment);
             }
             self.book.take_decisions();
         }
-        for job in self.book.unwritten(usize::MAX) {
+        for job in self.book.take_unwritten(usize::MAX) {
             self.at(self.now + WRITE, Event::Written(job.id, job.version));
         }
-        let stirred: Vec<_> = self.book.take_stirred().into_iter().collect();
-        for (agent, orders) in self.book.orders_of(&stirred) {
+        let stirred: Vec<_> =
+            self.book.take_agents_to_order().into_iter().collect();
+        for (agent, orders) in self.book.orders_for(&stirred) {
             if let Some(worker) = self.by_agent.get(&*agent).copied() {
                 self.obey(worker, &orders);
             }
@@ -309,7 +312,7 @@
             self.at(by, Event::Owed(id));
         }
         let moment = self.moment();
-        self.book.accept(job, None, moment);
+        self.book.accept_job(job, None, moment);
     }
 
     /// Looks whether a job has begun that its account is guaranteed.
--- a/crates/landingvalve-experiment/src/policy.rs
+++ b/crates/landingvalve-experiment/src/policy.rs
@@ -33,7 +33,7 @@
         let (name, value) = setting.split_once('=').ok_or_else(error)?;
         let value: f64 = value.trim().parse().map_err(|_| error())?;
         let flag = match name.trim() {
-            "kept_late" => Some(&mut policy.kept_late),
+            "kept_late" => Some(&mut policy.reserve_only_late),
             "late_last" => Some(&mut policy.late_last),
             _ => None,
         };
@@ -42,11 +42,11 @@
             continue;
         }
         let slot = match name.trim() {
-            "spare" => &mut policy.spare,
-            "near" => &mut policy.near,
-            "kept" => &mut policy.kept,
-            "most_lost" => &mut policy.most_lost,
-            "lost_in_time" => &mut policy.lost_in_time,
+            "spare" => &mut policy.spare_share,
+            "near" => &mut policy.near_wait,
+            "kept" => &mut policy.reserved_share,
+            "most_lost" => &mut policy.max_loss,
+            "lost_in_time" => &mut policy.max_loss_factor,
             _ => return Err(error()),
         };
         if !value.is_finite() || value < 0.0 {
--- a/crates/landingvalve-sim/src/worker.rs
+++ b/crates/landingvalve-sim/src/worker.rs
@@ -642,7 +642,7 @@
             load: Some(f64::from(u8::from(work.whole)) * 1000.0),
         });
         Look {
-            born: self.life().born(),
+            born: self.life().birth(),
             time: self.time(),
             lists: Lists {
                 running: running.collect(),
--- a/src/cell/member/look.rs
+++ b/src/cell/member/look.rs
@@ -67,7 +67,7 @@
 
     /// Returns how long the next look may wait.
     async fn looked(&self, plan: &Plan, look: Look) -> Duration {
-        if plan.call.life.is_other(look.born) {
+        if plan.call.life.is_other_life(look.born) {
             slog::warn!(self.0.config.log,
                 "agent: the worker has started again under its name";
                 "life" => &*plan.call.life, "born" => look.born);
--- a/src/cell/member/state.rs
+++ b/src/cell/member/state.rs
@@ -153,7 +153,7 @@
     /// answers shows; returns whether it is the one here.
     pub fn left(&mut self, life: &Life, said: bool, over: Instant) -> bool {
         match &mut self.worker {
-            Some(known) if known.beat.life.may_be(life) => {
+            Some(known) if known.beat.life.may_equal(life) => {
                 known.left |= said && !known.beat.leaving;
                 known.beat.leaving = true;
                 known.over = Some(over);
@@ -280,7 +280,7 @@
         if known.beat.life != plan.call.life {
             return false;
         }
-        if known.beat.life.is_other(look.born) {
+        if known.beat.life.is_other_life(look.born) {
             // Its successor is taken in with its own heartbeat, which is
             // news now that this one answers no more.
             known.is_replaced();
--- a/src/cell/planner/calls.rs
+++ b/src/cell/planner/calls.rs
@@ -32,7 +32,7 @@
         let Some(desk) = self.advice.clone().filter(|_| !self.asking) else {
             return;
         };
-        let Some(question) = self.book.question(Timestamp::present()) else {
+        let Some(question) = self.book.take_question(Timestamp::now()) else {
             return;
         };
         self.asking = true;
@@ -72,7 +72,7 @@
         kept: Vec<Report>,
         sent: Instant,
     ) {
-        let now = Timestamp::present();
+        let now = Timestamp::now();
         let mut kept: BTreeMap<AgentId, Report> =
             kept.into_iter().map(|r| (r.agent.clone(), r)).collect();
         for agent in agents {
@@ -80,7 +80,7 @@
             slog::info!(self.log, "planner: an agent is silent";
                 "agent" => &**agent, "kept" => report.is_some(),
                 "token" => self.claim.token);
-            self.book.inquired(agent, report, sent.into_std(), now);
+            self.book.apply_inquiry(agent, report, sent.into_std(), now);
         }
     }
 
@@ -88,7 +88,7 @@
         if self.writing {
             return;
         }
-        let batch = self.book.unwritten(writer::MOST);
+        let batch = self.book.take_unwritten(writer::MOST);
         if batch.is_empty() {
             return;
         }
--- a/src/cell/planner/mod.rs
+++ b/src/cell/planner/mod.rs
@@ -178,7 +178,7 @@
             }
             Message::Advised(question, good, sent) => {
                 state.asking = false;
-                state.book.advised(&question, good, sent.into_std());
+                state.book.apply_advice(&question, good, sent.into_std());
             }
             Message::Rested => state.resting = false,
             Message::Tick => state.tick(&myself),
@@ -204,7 +204,7 @@
             source: start.source,
             advice: start.advice,
             asking: false,
-            book: Scheduler::new(start.terms, Timestamp::present()),
+            book: Scheduler::new(start.terms, Timestamp::now()),
             known: Known::default(),
             kept: BTreeMap::new(),
             unread: BTreeSet::new(),
@@ -253,7 +253,7 @@
     }
 
     fn changes(&mut self, changes: Vec<Change>) {
-        let now = Timestamp::present();
+        let now = Timestamp::now();
         let mut cancelled = Vec::new();
         for change in changes {
             let Change::Put(item) = change else {
@@ -261,7 +261,7 @@
             };
             match keys::intake(&item.key) {
                 Some(Intake::Job(id)) if self.unread.contains(id) => {}
-                Some(Intake::Job(id)) if !self.book.knows(id) => {
+                Some(Intake::Job(id)) if !self.book.has_job(id) => {
                     self.accept(id, &item.value, now);
                 }
                 Some(Intake::Cancel(id)) => cancelled.push(id.to_owned()),
@@ -270,7 +270,7 @@
         }
         // Listed by key, a cancellation comes before its job.
         for id in cancelled {
-            self.book.cancel(&id, now);
+            self.book.cancel_job(&id, now);
         }
     }
 
@@ -286,7 +286,7 @@
                     "age_ms" => age.unwrap_or_default().as_millis() as u64,
                     "steps" => steps(&job), "times" => job.times(),
                     "token" => self.claim.token);
-                self.book.accept(job, progress, now);
+                self.book.accept_job(job, progress, now);
             }
             Err(error) => slog::error!(self.log,
                 "planner: a job cannot be read"; "job" => id,
@@ -313,7 +313,7 @@
             send(&self.log, held.reply, Answer::NotPlanner);
             return;
         }
-        self.book.report(report, Timestamp::present());
+        self.book.apply_report(report, Timestamp::now());
         if let Some(earlier) = self.held.insert(agent, held) {
             // Its agent has given it up for the one just come.
             send(&self.log, earlier.reply, Answer::NotPlanner);
@@ -335,14 +335,14 @@
         for (id, version, revision) in written.jobs {
             self.known.revisions.insert(id.clone(), revision);
             self.known.begun.insert(id.clone());
-            self.book.written(&id, version);
+            self.book.mark_written(&id, version);
         }
     }
 
     fn removed(&mut self, ids: &[JobId]) {
         self.removing = false;
         for id in ids {
-            self.book.forget(id);
+            self.book.forget_job(id);
             self.known.revisions.remove(id);
             self.known.begun.remove(id);
         }
@@ -351,7 +351,7 @@
     /// Returns whether there is anything to decide, write or answer.
     fn is_due(&self) -> bool {
         self.is_pass_due()
-            || self.book.is_stirred()
+            || self.book.has_changed_orders()
             || !self.writing && self.book.is_dirty()
             || self.due.iter().any(|agent| self.held.contains_key(agent))
     }
@@ -369,7 +369,7 @@
             self.pass(myself);
         }
         self.write(myself);
-        self.due.extend(self.book.take_stirred());
+        self.due.extend(self.book.take_agents_to_order());
         let due: Vec<AgentId> = self
             .due
             .iter()
@@ -396,8 +396,8 @@
                 self.book.set_guarantees(self.guarantees.clone());
             }
         }
-        self.book.set_closed(self.source.closed());
-        self.book.step(Timestamp::present());
+        self.book.set_closed_halls(self.source.closed());
+        self.book.run_pass(Timestamp::now());
         let token = self.claim.token;
         for decision in self.book.take_decisions() {
             self.teller.tell(&decision, token);
@@ -415,7 +415,7 @@
             return;
         }
         let holds = self.claim.holds();
-        let mut orders = self.book.orders_of(agents);
+        let mut orders = self.book.orders_for(agents);
         for agent in agents {
             let Some(held) = self.held.remove(agent) else {
                 continue;
--- a/src/cell/teller.rs
+++ b/src/cell/teller.rs
@@ -55,14 +55,14 @@
         measure(decision);
         self.renew();
         let budget = match decision {
-            Decision::Known { .. }
-            | Decision::Gone { .. }
+            Decision::WorkerAdded { .. }
+            | Decision::WorkerLost { .. }
             | Decision::Resized { .. }
-            | Decision::Apart { .. }
+            | Decision::WorkerQuarantined { .. }
             | Decision::Paced { .. } => &mut self.workers,
             _ => &mut self.units,
         };
-        let over = matches!(decision, Decision::Over { .. });
+        let over = matches!(decision, Decision::JobEnded { .. });
         if budget.written >= BUDGET && !over {
             budget.left_out += 1;
             return;
@@ -92,12 +92,12 @@
 fn measure(decision: &Decision) {
     let metrics = metrics::get();
     let kind = match decision {
-        Decision::Known { .. } => "worker known",
-        Decision::Gone { .. } => "worker gone",
+        Decision::WorkerAdded { .. } => "worker known",
+        Decision::WorkerLost { .. } => "worker gone",
         Decision::Resized { .. } => "worker resized",
-        Decision::Apart { .. } => "worker kept apart",
+        Decision::WorkerQuarantined { .. } => "worker kept apart",
         Decision::Paced { .. } => "paced",
-        Decision::Waits { what, .. } => match what {
+        Decision::Waiting { what, .. } => match what {
             WaitReason::Worker => "waits for a worker",
             WaitReason::Room => "waits for room",
             WaitReason::Rack => "waits for a rack",
@@ -112,7 +112,7 @@
             metrics.wait.record(waited.as_secs_f64(), &[]);
             match standing {
                 Some(standing) if standing.within && *run == 1 => {
-                    let late = if standing.left < 0 { "yes" } else { "no" };
+                    let late = if standing.left_ms < 0 { "yes" } else { "no" };
                     let labels = [label("late", late)];
                     metrics.owed.record(waited.as_secs_f64(), &labels);
                 }
@@ -125,8 +125,8 @@
             metrics.run.record(ran.as_secs_f64(), &[label("how", how)]);
             "run ended"
         }
-        Decision::Blamed { .. } => "worker lost under a task",
-        Decision::Over {
+        Decision::LossCounted { .. } => "worker lost under a task",
+        Decision::JobEnded {
             outcome,
             took,
             objective,
@@ -148,10 +148,10 @@
 
 fn write(log: &slog::Logger, decision: &Decision, token: Revision) {
     match decision {
-        Decision::Known { agent, life } => slog::info!(log,
+        Decision::WorkerAdded { agent, life } => slog::info!(log,
             "planner: a worker is known"; "agent" => &**agent,
             "worker" => &**life, "token" => token),
-        Decision::Gone { life, silent } => slog::warn!(log,
+        Decision::WorkerLost { life, silent } => slog::warn!(log,
             "planner: a worker is taken for gone"; "worker" => &**life,
             "silent_ms" => millis(silent), "token" => token),
         Decision::Resized {
@@ -165,7 +165,7 @@
             "accelerators" => to.accelerators,
             "accelerators_before" => from.accelerators,
             "accelerators_used" => used.accelerators, "token" => token),
-        Decision::Apart { life, time, failed } => slog::warn!(log,
+        Decision::WorkerQuarantined { life, time, failed } => slog::warn!(log,
             "planner: a worker is kept apart"; "worker" => &**life,
             "for_ms" => millis(time), "failed" => failed, "token" => token),
         Decision::Paced {
@@ -176,7 +176,7 @@
         } => slog::info!(log,
             "planner: what fills a worker is paced"; "agent" => &**agent,
             "from" => from, "to" => to, "worst" => worst, "token" => token),
-        Decision::Waits {
+        Decision::Waiting {
             of,
             what,
             slack,
@@ -186,13 +186,13 @@
         } => slog::info!(log,
             "planner: a unit waits"; of, "on" => word(*what),
             "slack_ms" => slack, "of_workers" => workers,
-            "lacks" => shortage.map(|s| s.lack.word()),
+            "lacks" => shortage.map(|s| s.kind.word()),
             "accelerators" => shortage.map(|s| s.needed),
             "free" => shortage.map(|s| s.free),
             "fits" => shortage.map(|s| s.fits),
-            "dear_core_s" => shortage.and_then(|s| s.dear).map(f64::round),
+            "dear_core_s" => shortage.and_then(|s| s.preemption_cost).map(f64::round),
             "held_within" => shortage.map(|s| s.holders.within),
-            "held_lent" => shortage.map(|s| s.holders.lent),
+            "held_lent" => shortage.map(|s| s.holders.borrowed),
             "held_lower" => shortage.map(|s| s.holders.lower),
             Promise(*standing),
             "token" => token),
@@ -232,7 +232,7 @@
             "planner: a run has ended"; of, "run" => run, "member" => member,
             "worker" => &**life, "how" => how, "ran_ms" => millis(ran),
             "token" => token),
-        Decision::Blamed {
+        Decision::LossCounted {
             of,
             run,
             task,
@@ -244,7 +244,7 @@
             "task" => task, "worker" => &**life, "ran_ms" => millis(ran),
             "lost" => loss.lost, "sudden" => loss.sudden,
             "silent" => loss.silent.len(), "token" => token),
-        Decision::Over {
+        Decision::JobEnded {
             job,
             account,
             queue,
@@ -274,7 +274,7 @@
         to.emit_i64("guaranteed", standing.guaranteed)?;
         to.emit_i64("account_needs", standing.needed)?;
         to.emit_bool("within_guarantee", standing.within)?;
-        to.emit_i64("owed_in_ms", standing.left)
+        to.emit_i64("owed_in_ms", standing.left_ms)
     }
 }
 
--- a/src/graph/advice.rs
+++ b/src/graph/advice.rs
@@ -101,10 +101,10 @@
     }
 
     /// Returns what is to be asked next, if anything is.
-    pub fn question(&mut self, now: Timestamp) -> Option<Question> {
+    pub fn take_question(&mut self, now: Timestamp) -> Option<Question> {
         let question = self.next_question(now)?;
         let leave = self.leave.entry(question.step.clone()).or_default();
-        leave.not_before = Some(now.now + AGAIN);
+        leave.not_before = Some(now.monotonic + AGAIN);
         Some(question)
     }
 
@@ -128,7 +128,10 @@
             let request = Request::new(entry, key, unit, expected);
             let step = request.step_key();
             let leave = self.leave.get(&step).cloned().unwrap_or_default();
-            if leave.not_before.is_some_and(|before| now.now < before) {
+            if leave
+                .not_before
+                .is_some_and(|before| now.monotonic < before)
+            {
                 continue;
             }
             let lives = self.unasked(&request, &leave, now);
@@ -152,7 +155,7 @@
             .values()
             .filter(|worker| self.usable(worker, request, now))
             .filter(|worker| !leave.barred.contains(&worker.life))
-            .filter(|worker| !leave.allows(&worker.life, now.now))
+            .filter(|worker| !leave.allows(&worker.life, now.monotonic))
             .map(|worker| {
                 let full = !worker.free().holds(&request.charge);
                 (full, &worker.life)
@@ -165,7 +168,7 @@
 
     /// Takes in what the service answered to a question that was sent at
     /// `sent`; `None` if it did not answer.
-    pub fn advised(
+    pub fn apply_advice(
         &mut self,
         question: &Question,
         good: Option<Vec<Ticket>>,
--- a/src/graph/birth.rs
+++ b/src/graph/birth.rs
@@ -45,7 +45,7 @@
                         && place.life.name() == life.name()
                         && place.life != *life;
                     let moves = here
-                        && (place.life.may_be(life)
+                        && (place.life.may_equal(life)
                             || listed
                                 .contains(&(&entry.task(key, member), run)));
                     if moves {
--- a/src/graph/budget.rs
+++ b/src/graph/budget.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Need {
     /// Its own work, in core-seconds.
-    pub work: f64,
+    pub core_seconds: f64,
     /// What is left until it would have to start, in ms.
     pub slack_ms: i64,
     /// The longest that a stop takes.
@@ -30,7 +30,9 @@
 pub fn limit(policy: &Policy, stake: &Need) -> f64 {
     let stop = stake.stop.as_millis() as i64;
     match stake.slack_ms >= stop {
-        true => policy.most_lost.max(stake.work * policy.lost_in_time),
-        false => policy.most_lost,
+        true => policy
+            .max_loss
+            .max(stake.core_seconds * policy.max_loss_factor),
+        false => policy.max_loss,
     }
 }
--- a/src/graph/crash.rs
+++ b/src/graph/crash.rs
@@ -187,7 +187,7 @@
             entry.acquitted = false;
         }
         self.touch(id);
-        self.note(Decision::Blamed {
+        self.note(Decision::LossCounted {
             of,
             run,
             task: member.index,
@@ -260,7 +260,7 @@
         }
         for place in places {
             if let Some(worker) = self.workers.get_mut(&place.agent) {
-                worker.trial = Some(now.now + TRIAL);
+                worker.trial = Some(now.monotonic + TRIAL);
             }
         }
     }
@@ -281,7 +281,8 @@
         let slots = alone.map(|(_, w)| u64::from(request.slots(w))).sum();
         let enough = u64::from(request.width) <= slots;
         // What is urgent makes its own room, and does not wait for more.
-        let waits = request.priority > 0 && now.now < request.ready + ALONE;
+        let waits =
+            request.priority > 0 && now.monotonic < request.ready + ALONE;
         match enough || waits {
             true => sound.into_iter().filter(|(_, w)| empty(w)).collect(),
             false => sound,
--- a/src/graph/decision.rs
+++ b/src/graph/decision.rs
@@ -42,14 +42,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// A worker came into the books.
-    Known {
+    WorkerAdded {
         /// Its agent.
         agent: AgentId,
         /// Its life.
         life: Life,
     },
     /// A worker is taken for gone.
-    Gone {
+    WorkerLost {
         /// Its life.
         life: Life,
         /// How long nothing was heard of it.
@@ -67,7 +67,7 @@
         used: Resources,
     },
     /// A worker is kept apart.
-    Apart {
+    WorkerQuarantined {
         /// Its life.
         life: Life,
         /// For how long.
@@ -76,7 +76,7 @@
         failed: usize,
     },
     /// A unit finds no place; told once, and when the reason changes.
-    Waits {
+    Waiting {
         /// The unit.
         of: Subject,
         /// What for.
@@ -143,7 +143,7 @@
         ran: Duration,
     },
     /// A worker went without a word while it ran a task.
-    Blamed {
+    LossCounted {
         /// The unit.
         of: Subject,
         /// Which run.
@@ -169,7 +169,7 @@
         worst: f64,
     },
     /// A job has ended.
-    Over {
+    JobEnded {
         /// The job.
         job: JobId,
         /// Its client account.
--- a/src/graph/guarantee.rs
+++ b/src/graph/guarantee.rs
@@ -31,7 +31,7 @@
     pub within: bool,
     /// What is left until such a unit has to begin, in ms; below 0 once that
     /// is past.
-    pub left: i64,
+    pub left_ms: i64,
 }
 
 /// Who holds the accelerators of a pool, with those that are kept.
@@ -40,7 +40,7 @@
     /// Urgent work within guarantees.
     pub within: i64,
     /// Urgent work beyond guarantees, which borrows.
-    pub lent: i64,
+    pub borrowed: i64,
     /// All other work.
     pub lower: i64,
 }
@@ -105,8 +105,10 @@
     /// made now: once the account's other work has ended it would be too late
     /// for stops.
     fn is_soon(&self, entry: &Entry, now: Timestamp) -> bool {
-        let by = entry.accepted + self.terms.reclaim;
-        if now.now >= by || now.now + self.terms.stop + ORDER < by {
+        let by = entry.accepted + self.terms.reclaim_time;
+        if now.monotonic >= by
+            || now.monotonic + self.terms.stop_time + ORDER < by
+        {
             return false;
         }
         let account = &entry.job.account;
@@ -150,7 +152,7 @@
             Some(ready) if !first => ready,
             _ => entry.accepted,
         };
-        since + self.terms.reclaim
+        since + self.terms.reclaim_time
     }
 
     /// Returns whether room of a pool is kept for units within guarantees.
@@ -168,7 +170,7 @@
     pub(super) fn last_call(&self, request: &Request) -> Option<Instant> {
         let entry = self.jobs.get(&request.id)?;
         let by = self.owed(entry, &request.key);
-        let takes = self.terms.stop + ORDER;
+        let takes = self.terms.stop_time + ORDER;
         let last = by.checked_sub(takes).unwrap_or(by);
         self.is_promised(entry).then_some(last)
     }
@@ -186,13 +188,13 @@
         }
         let account = &entry.job.account;
         let owed = self.owed(entry, key);
-        let left = owed.saturating_duration_since(now.now).as_millis();
-        let past = now.now.saturating_duration_since(owed).as_millis();
+        let left = owed.saturating_duration_since(now.monotonic).as_millis();
+        let past = now.monotonic.saturating_duration_since(owed).as_millis();
         Some(GuaranteeStatus {
             guaranteed: self.guaranteed(account),
             needed: self.needed().get(account).copied().unwrap_or(0),
             within: self.is_promised(entry),
-            left: left as i64 - past as i64,
+            left_ms: left as i64 - past as i64,
         })
     }
 
@@ -210,7 +212,7 @@
             let held: i64 = held.sum();
             match entry.job.priority {
                 0 if self.is_promised(entry) => holders.within += held,
-                0 => holders.lent += held,
+                0 => holders.borrowed += held,
                 _ => holders.lower += held,
             }
         }
--- a/src/graph/inquiry.rs
+++ b/src/graph/inquiry.rs
@@ -43,7 +43,7 @@
 
     /// Takes in what an agent has kept, as read by a call that was sent at
     /// `sent`; nothing where it has kept nothing.
-    pub fn inquired(
+    pub fn apply_inquiry(
         &mut self,
         agent: &AgentId,
         kept: Option<Report>,
--- a/src/graph/intake.rs
+++ b/src/graph/intake.rs
@@ -38,7 +38,7 @@
 
 impl Scheduler {
     /// Takes in an accepted job, with what is kept of its progress.
-    pub fn accept(
+    pub fn accept_job(
         &mut self,
         job: Job,
         progress: Option<Progress>,
@@ -48,7 +48,7 @@
             return;
         }
         let age = now.wall.duration_since(job.accepted).unwrap_or_default();
-        let accepted = now.now.checked_sub(age).unwrap_or(now.now);
+        let accepted = now.monotonic.checked_sub(age).unwrap_or(now.monotonic);
         let id = job.id.clone();
         if job.priority == 0 {
             let last = self.urgent.entry(job.pool.clone()).or_insert(accepted);
@@ -70,7 +70,7 @@
         let kept = entry.progress.units.clone();
         entry.blamed = kept.values().any(|unit| !unit.lost.is_empty());
         for (key, kept) in &kept {
-            adopt(&mut entry, key, kept, now.now);
+            adopt(&mut entry, key, kept, now.monotonic);
         }
         let members: Vec<(Place, Resources)> = entry
             .units
@@ -101,7 +101,7 @@
     }
 
     /// Takes in that a job's caller has cancelled it.
-    pub fn cancel(&mut self, id: &str, now: Timestamp) {
+    pub fn cancel_job(&mut self, id: &str, now: Timestamp) {
         let Some(entry) = self.jobs.get_mut(id) else {
             return;
         };
@@ -111,7 +111,7 @@
     }
 
     /// Takes in what an agent says; returns whether it was news.
-    pub fn report(&mut self, report: Report, now: Timestamp) -> bool {
+    pub fn apply_report(&mut self, report: Report, now: Timestamp) -> bool {
         let agent = report.agent;
         let (silent, gone) = match report.silent {
             true => (report.gone, None),
@@ -129,7 +129,7 @@
         }
         let Some(said) = report.worker else {
             self.lives_over(&agent, over, silent, now);
-            return self.heard(&agent, now.now);
+            return self.heard(&agent, now.monotonic);
         };
         let stale = self.workers.get(&agent).is_some_and(|worker| {
             worker.process == report.process
@@ -162,7 +162,7 @@
                 strays.insert((running.task.clone(), running.run));
             }
         }
-        self.set_pace(&agent, &said.lists.running, now.now);
+        self.set_pace(&agent, &said.lists.running, now.monotonic);
         self.keep_paced(&agent, &said.lists.running);
         let strayed = self.charge_of(&strays);
         if let Some(worker) = self.workers.get_mut(&agent) {
@@ -251,11 +251,11 @@
                     used = here.fold(used, |used, _| used.plus(&charge));
                 }
             }
-            self.note(Decision::Known {
+            self.note(Decision::WorkerAdded {
                 agent: agent.clone(),
                 life,
             });
-            let worker = fresh(said, used, now.now);
+            let worker = fresh(said, used, now.monotonic);
             // It may have shrunk, or its hall been closed, since an earlier
             // planner gave something out there.
             let full = !worker.capacity.holds(&worker.used);
@@ -272,14 +272,14 @@
                 && worker.capacity == said.capacity
                 && worker.leaving == said.leaving
                 && worker.silent == said.silent
-                && now.now < worker.granted + self.terms.contact;
+                && now.monotonic < worker.granted + self.terms.contact_timeout;
             self.changed |= !same;
-            worker.granted = now.now;
+            worker.granted = now.monotonic;
             worker.process = process;
             worker.gone = false;
             worker.stays = said
                 .remaining_ms
-                .map(|ms| now.now + Duration::from_millis(ms));
+                .map(|ms| now.monotonic + Duration::from_millis(ms));
             worker.leaving = said.leaving;
             worker.silent = said.silent;
             worker.announced |= said.leaving && !said.silent;
@@ -319,18 +319,18 @@
         if member.state != State::Present {
             self.changed = true;
             member.state = State::Present;
-            member.moved = now.now;
+            member.moved = now.monotonic;
             self.stirred.insert(place.agent.clone());
         }
         // A task that shows no figure is taken to be at work.
         let works = running.load.is_none_or(|load| load > 0.0);
         if works || saved {
-            member.moved = now.now;
+            member.moved = now.monotonic;
             member.worked = true;
         }
         // What an agent lists of a worker that does not answer is old.
         if !silent {
-            member.seen = Some(now.now);
+            member.seen = Some(now.monotonic);
         }
         let proven = member.is_proven();
         if proven && suspect {
--- a/src/graph/job.rs
+++ b/src/graph/job.rs
@@ -274,7 +274,10 @@
 
     /// Returns the longest chain of work through the steps, each as long as
     /// `expected` says of its number.
-    pub fn chain(&self, expected: impl Fn(usize) -> Duration) -> Duration {
+    pub fn critical_path(
+        &self,
+        expected: impl Fn(usize) -> Duration,
+    ) -> Duration {
         let mut ends: Vec<Duration> = Vec::new();
         for (number, step) in self.steps.iter().enumerate() {
             let before = step.after.iter().filter_map(|on| ends.get(*on));
@@ -285,7 +288,7 @@
     }
 
     /// Returns whether any step lasts.
-    pub fn lasts(&self) -> bool {
+    pub fn is_lasting(&self) -> bool {
         self.steps.iter().any(|step| step.lasting)
     }
 }
--- a/src/graph/life.rs
+++ b/src/graph/life.rs
@@ -46,22 +46,22 @@
     }
 
     /// Returns the worker's birth, if that is known.
-    pub fn born(&self) -> Option<Birth> {
+    pub fn birth(&self) -> Option<Birth> {
         self.parts().1
     }
 
     /// Returns whether another life may be this one: what was written before
     /// births were told names a worker alone.
-    pub fn may_be(&self, other: &Life) -> bool {
-        let known = self.born().is_some() && other.born().is_some();
+    pub fn may_equal(&self, other: &Life) -> bool {
+        let known = self.birth().is_some() && other.birth().is_some();
         self == other || !known && self.name() == other.name()
     }
 
     /// Returns whether a worker of this name that tells a birth is another
     /// life. Which is the later one is not asked: the time of day may have
     /// been set back in between.
-    pub fn is_other(&self, answers: Option<Birth>) -> bool {
-        let births = self.born().zip(answers);
+    pub fn is_other_life(&self, answers: Option<Birth>) -> bool {
+        let births = self.birth().zip(answers);
         births.is_some_and(|(ours, theirs)| ours != theirs)
     }
 
--- a/src/graph/loss.rs
+++ b/src/graph/loss.rs
@@ -84,7 +84,7 @@
     /// Takes the members for gone whose agents have been silent for so long
     /// that their workers' leases have run out.
     pub(super) fn lose_silent(&mut self, now: Timestamp) {
-        let wait = self.terms.survival + self.terms.margin;
+        let wait = self.terms.survival + self.terms.lease_margin;
         let mut silent = Vec::new();
         for entry in self.live() {
             let members = entry.units.values().flat_map(Unit::members);
@@ -95,7 +95,7 @@
                     .filter(|worker| worker.life == member.place.life)
                     .map_or(self.began, |worker| worker.granted);
                 let known = silent.iter().any(|(p, _)| *p == member.place);
-                if now.now >= heard + wait && !known {
+                if now.monotonic >= heard + wait && !known {
                     silent.push((member.place.clone(), heard));
                 }
             }
@@ -104,9 +104,9 @@
             if !self.is_inquired(&place.agent, heard + wait) {
                 continue;
             }
-            self.note(Decision::Gone {
+            self.note(Decision::WorkerLost {
                 life: place.life.clone(),
-                silent: now.now.saturating_duration_since(heard),
+                silent: now.monotonic.saturating_duration_since(heard),
             });
             self.lose_by(End::Silent, |other| *other == place, now);
         }
@@ -119,7 +119,7 @@
     /// taken away at short notice is the usual case. A last attempt does
     /// wait: should that member have failed, the job is over.
     pub(super) fn end_broken(&mut self, now: Timestamp) {
-        if !self.terms.policy.broken_tells {
+        if !self.terms.policy.end_broken_gangs {
             return;
         }
         let mut over = Vec::new();
@@ -150,7 +150,9 @@
     /// reported, and took three times as long, and runs were stopped there
     /// though others would have been free 0.2 s later.
     pub(super) fn awaits(&self, now: Timestamp) -> bool {
-        if !self.terms.policy.awaits || now.now >= self.began + NEW {
+        if !self.terms.policy.await_reports
+            || now.monotonic >= self.began + NEW
+        {
             return false;
         }
         let units = self.live().flat_map(|entry| entry.units.values());
@@ -170,7 +172,7 @@
             .get(&first.place.agent)
             .filter(|worker| worker.life == first.place.life);
         let heard = worker.map_or(self.began, |worker| worker.granted);
-        let unheard = now.now >= heard + self.terms.contact;
+        let unheard = now.monotonic >= heard + self.terms.contact_timeout;
         let silent = worker.is_some_and(|worker| worker.silent);
         (unheard || silent)
             && first.state == State::Present
@@ -180,7 +182,7 @@
 
     /// Stops the runs that make no progress.
     pub(super) fn stop_stuck(&mut self, now: Timestamp) {
-        if !self.terms.policy.stuck {
+        if !self.terms.policy.stop_stuck {
             return;
         }
         let mut stuck = Vec::new();
@@ -196,7 +198,7 @@
                 let expected = self.expect(entry, key.step);
                 let far = step.same_rack || step.data_rack.is_some();
                 let expected = match far {
-                    true => expected.mul_f64(self.terms.far),
+                    true => expected.mul_f64(self.terms.far_slowdown),
                     false => expected,
                 };
                 if unit.members().any(|m| self.is_stuck(m, expected, now)) {
@@ -220,13 +222,15 @@
     ) -> bool {
         let worker = self.workers.get(&member.place.agent);
         let fresh = worker.is_some_and(|worker| {
-            now.now < worker.granted + self.terms.contact
+            now.monotonic < worker.granted + self.terms.contact_timeout
         });
         let factor = match member.worked {
             true => OVERDUE,
             false => OVERDUE_IDLE,
         };
         let overdue = member.since + expected.mul_f64(factor) + STUCK;
-        fresh && now.now >= overdue && now.now >= member.moved + STUCK
+        fresh
+            && now.monotonic >= overdue
+            && now.monotonic >= member.moved + STUCK
     }
 }
--- a/src/graph/mod.rs
+++ b/src/graph/mod.rs
@@ -105,16 +105,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timestamp {
     /// The steady clock, for everything that is waited for.
-    pub now: Instant,
+    pub monotonic: Instant,
     /// The time of day, for what falls due at a time of day.
     pub wall: SystemTime,
 }
 
 impl Timestamp {
     /// Returns the present.
-    pub fn present() -> Timestamp {
+    pub fn now() -> Timestamp {
         Timestamp {
-            now: clock::now(),
+            monotonic: clock::now(),
             wall: clock::wall(),
         }
     }
--- a/src/graph/orders.rs
+++ b/src/graph/orders.rs
@@ -70,13 +70,13 @@
 impl Scheduler {
     /// Returns what an agent is to do now.
     pub fn orders(&mut self, agent: &AgentId) -> Orders {
-        let mut orders = self.orders_of(std::slice::from_ref(agent));
+        let mut orders = self.orders_for(std::slice::from_ref(agent));
         orders.remove(agent).unwrap_or_default()
     }
 
     /// Returns what each of several agents is to do now, by one walk over
     /// all runs however many agents there are.
-    pub fn orders_of(
+    pub fn orders_for(
         &mut self,
         agents: &[AgentId],
     ) -> BTreeMap<AgentId, Orders> {
--- a/src/graph/place.rs
+++ b/src/graph/place.rs
@@ -199,7 +199,8 @@
             choices.push(Some(near.map(|(rack, _)| rack.clone()).collect()));
         }
         let slow_if_spread = request.same_rack || request.data_rack.is_some();
-        let spread = choices.is_empty() || now.now >= self.near_until(request);
+        let spread =
+            choices.is_empty() || now.monotonic >= self.near_until(request);
         if spread && !(slow_if_spread && self.awaits(now)) {
             choices.push(None);
         }
@@ -228,8 +229,10 @@
 
     /// Returns until when only racks will do where a unit is not slow.
     fn near_until(&self, request: &Request) -> Instant {
-        let dear = request.expected.mul_f64((self.terms.far - 1.0).max(0.0));
-        let wait = dear.mul_f64(self.terms.policy.near);
+        let dear = request
+            .expected
+            .mul_f64((self.terms.far_slowdown - 1.0).max(0.0));
+        let wait = dear.mul_f64(self.terms.policy.near_wait);
         let until = match self.mostly_idle(&request.pool) {
             true => request.ready + wait.min(LONGEST_IDLE),
             false => request.ready + wait,
@@ -252,7 +255,7 @@
             .workers
             .iter()
             .filter(|(_, worker)| self.usable(worker, request, now))
-            .filter(|(_, worker)| leave.allows(&worker.life, now.now))
+            .filter(|(_, worker)| leave.allows(&worker.life, now.monotonic))
             .collect();
         let wary = self.terms.policy.probation && request.last;
         let sound = untried(request, sound, wary);
@@ -289,9 +292,9 @@
             && !self.closed.contains(&worker.hall)
             && !worker.silent
             && !worker.gone
-            && !worker.health.apart(now.now)
-            && worker.trial.is_none_or(|until| now.now >= until)
-            && now.now < worker.granted + self.terms.contact
+            && !worker.health.apart(now.monotonic)
+            && worker.trial.is_none_or(|until| now.monotonic >= until)
+            && now.monotonic < worker.granted + self.terms.contact_timeout
             && label.is_none_or(|label| worker.labels.contains(label))
             && worker.capacity.holds(&request.charge)
     }
--- a/src/graph/preempt.rs
+++ b/src/graph/preempt.rs
@@ -211,9 +211,9 @@
         let slack = self.jobs.get(id).map(|e| self.slack(e, key, now));
         let own = cores(&request.charge) * f64::from(request.width);
         let stake = Need {
-            work: own * request.expected.as_secs_f64(),
+            core_seconds: own * request.expected.as_secs_f64(),
             slack_ms: slack.unwrap_or_default(),
-            stop: self.terms.stop,
+            stop: self.terms.stop_time,
         };
         budget::limit(&self.terms.policy, &stake)
     }
@@ -299,7 +299,7 @@
 ) -> Victim {
     let step = &entry.job.steps[key.step];
     let charge = step.charge();
-    let ran = |since| now.now.saturating_duration_since(since);
+    let ran = |since| now.monotonic.saturating_duration_since(since);
     let reserved = matches!(unit.phase, Phase::Reserved(_));
     let lost = match step.checkpoints {
         _ if reserved => Duration::ZERO,
--- a/src/graph/reserve.rs
+++ b/src/graph/reserve.rs
@@ -44,12 +44,15 @@
         request: &Request,
         now: Timestamp,
     ) -> bool {
-        if now.now < request.ready + PATIENCE || self.has_time(id, key, now) {
+        if now.monotonic < request.ready + PATIENCE
+            || self.has_time(id, key, now)
+        {
             return false;
         }
         let workers = self.candidates(request, now).len();
         let kept = self.kept_workers(request);
-        let most = (workers as f64 * self.terms.policy.kept).ceil() as usize;
+        let most = (workers as f64 * self.terms.policy.reserved_share).ceil()
+            as usize;
         if kept.len() >= most {
             return false;
         }
@@ -71,7 +74,7 @@
         let Some(entry) = self.jobs.get(id) else {
             return false;
         };
-        self.terms.policy.kept_late
+        self.terms.policy.reserve_only_late
             && !entry.job.steps[key.step].lasting
             && self.slack(entry, key, now) > 0
     }
@@ -110,7 +113,7 @@
                 (candidate, releases)
             })
             .collect();
-        let mut last = now.now;
+        let mut last = now.monotonic;
         let mut places = Vec::new();
         for _ in 0..request.width {
             let (at, worker) = workers
@@ -138,10 +141,10 @@
         now: Timestamp,
     ) -> Instant {
         let whole = self.expect(entry, key.step);
-        let ran = now.now.saturating_duration_since(member.since);
+        let ran = now.monotonic.saturating_duration_since(member.since);
         // What has outlived its expectation goes on for a while yet.
         let left = whole.saturating_sub(ran).max(ran.mul_f64(OUTLIVED));
-        now.now + left
+        now.monotonic + left
     }
 
     /// Returns what runs on a worker, by when it is expected to end.
@@ -173,7 +176,7 @@
 ) -> Option<Instant> {
     let mut free = candidate.free;
     if free.holds(&request.charge) {
-        return Some(now.now);
+        return Some(now.monotonic);
     }
     for release in releases {
         free = free.plus(&release.charge);
--- a/src/graph/schedule.rs
+++ b/src/graph/schedule.rs
@@ -43,7 +43,7 @@
 
 impl Scheduler {
     /// Decides what is to be started and stopped now.
-    pub fn step(&mut self, now: Timestamp) {
+    pub fn run_pass(&mut self, now: Timestamp) {
         self.changed = false;
         self.lose_silent(now);
         self.blame_silent(now);
@@ -83,7 +83,7 @@
                 if entry.job.due(time) > now.wall {
                     break;
                 }
-                open_time(entry, time, now.now);
+                open_time(entry, time, now.monotonic);
             }
         }
     }
@@ -94,7 +94,7 @@
             .workers
             .iter()
             .filter(|(_, worker)| {
-                let soon = |stays| now.now + BEFORE_LEAVING >= stays;
+                let soon = |stays| now.monotonic + BEFORE_LEAVING >= stays;
                 worker.leaving && worker.stays.is_some_and(soon)
             })
             .map(|(agent, worker)| Place {
@@ -205,7 +205,7 @@
             worker.is_some_and(|worker| {
                 worker.life == place.life
                     && self.usable(worker, &request, now)
-                    && leave.allows(&worker.life, now.now)
+                    && leave.allows(&worker.life, now.monotonic)
             })
         };
         let fits = self.could_have_room(unit, &request.charge);
@@ -289,7 +289,7 @@
             }
             let units = entry.units.iter().filter(|(_, unit)| {
                 matches!(unit.phase, Phase::Waiting)
-                    && unit.not_before <= now.now
+                    && unit.not_before <= now.monotonic
             });
             let mut urgency = BTreeMap::new();
             let mut on_trial = !entry.acquitted && entry.is_on_trial();
@@ -331,7 +331,7 @@
         };
         let expected = self.expect(entry, waiting.key.step);
         let mut request = Request::new(entry, &waiting.key, unit, expected);
-        request.past_kept = now.now >= unit.ready + LONGEST_IDLE
+        request.past_kept = now.monotonic >= unit.ready + LONGEST_IDLE
             && self.may_pass_kept(&entry.job.pool);
         if let Some(places) = self.place(&request, now) {
             self.give_run(&waiting.id, &waiting.key, places, now);
@@ -403,7 +403,7 @@
             of: entry.subject(key),
             run,
             on: lives(&places),
-            waited: now.now.saturating_duration_since(ready),
+            waited: now.monotonic.saturating_duration_since(ready),
             slack: self.slack(entry, key, now),
             expected: self.expect(entry, key.step),
             standing: self.standing(entry, key, now),
@@ -471,10 +471,10 @@
         place: place.clone(),
         state,
         handed: false,
-        since: now.now,
+        since: now.monotonic,
         adopted: false,
         worked: false,
-        moved: now.now,
+        moved: now.monotonic,
         seen: None,
     };
     places.iter().enumerate().map(member).collect()
--- a/src/graph/scheduler.rs
+++ b/src/graph/scheduler.rs
@@ -39,17 +39,17 @@
     pub survival: Duration,
     /// What is added to that before the tasks are taken for gone: slow
     /// clocks of workers, and the time an end takes.
-    pub margin: Duration,
+    pub lease_margin: Duration,
     /// How long an agent may be silent and still be given new work.
-    pub contact: Duration,
+    pub contact_timeout: Duration,
     /// How many times longer a task takes away from its data or gang.
-    pub far: f64,
+    pub far_slowdown: f64,
     /// How long a gang's first member waits for the others.
     pub gang_wait: Duration,
     /// The longest that a stopped task still occupies its room.
-    pub stop: Duration,
+    pub stop_time: Duration,
     /// Within which urgent work begins that its account is guaranteed.
-    pub reclaim: Duration,
+    pub reclaim_time: Duration,
     /// How decisions are made where more than one way would do.
     pub policy: Policy,
 }
@@ -58,12 +58,12 @@
     fn default() -> Options {
         Options {
             survival: Duration::from_secs(12),
-            margin: Duration::from_millis(800),
-            contact: Duration::from_millis(2200),
-            far: 3.0,
+            lease_margin: Duration::from_millis(800),
+            contact_timeout: Duration::from_millis(2200),
+            far_slowdown: 3.0,
             gang_wait: Duration::from_secs(3),
-            stop: Duration::from_secs(1),
-            reclaim: Duration::from_millis(3400),
+            stop_time: Duration::from_secs(1),
+            reclaim_time: Duration::from_millis(3400),
             policy: Policy::default(),
         }
     }
@@ -181,7 +181,7 @@
     pub fn new(terms: Options, now: Timestamp) -> Scheduler {
         Scheduler {
             terms,
-            began: now.now,
+            began: now.monotonic,
             workers: BTreeMap::new(),
             before: BTreeMap::new(),
             jobs: BTreeMap::new(),
@@ -210,7 +210,7 @@
 
     /// Sets the halls that are to be given no new work. What runs there goes
     /// on; what was ordered and has not begun is taken back.
-    pub fn set_closed(&mut self, closed: BTreeSet<SharedStr>) {
+    pub fn set_closed_halls(&mut self, closed: BTreeSet<SharedStr>) {
         if closed == self.closed {
             return;
         }
@@ -236,7 +236,7 @@
     }
 
     /// Returns whether orders may have changed since they were last taken.
-    pub fn is_stirred(&self) -> bool {
+    pub fn has_changed_orders(&self) -> bool {
         !self.stirred.is_empty()
     }
 
@@ -246,7 +246,7 @@
     }
 
     /// Returns whether a job is known.
-    pub fn knows(&self, id: &str) -> bool {
+    pub fn has_job(&self, id: &str) -> bool {
         self.jobs.contains_key(id)
     }
 
@@ -268,13 +268,13 @@
 
     /// Returns the agents whose orders may have changed since this was last
     /// called.
-    pub fn take_stirred(&mut self) -> BTreeSet<AgentId> {
+    pub fn take_agents_to_order(&mut self) -> BTreeSet<AgentId> {
         std::mem::take(&mut self.stirred)
     }
 
     /// Returns up to `most` jobs whose progress must be written, each with
     /// its version.
-    pub fn unwritten(&mut self, most: usize) -> Vec<Unwritten> {
+    pub fn take_unwritten(&mut self, most: usize) -> Vec<Unwritten> {
         let ids: Vec<JobId> = self.dirty.iter().take(most).cloned().collect();
         ids.iter()
             .filter_map(|id| {
@@ -291,7 +291,7 @@
     }
 
     /// Takes note that a version of a job's progress is written.
-    pub fn written(&mut self, id: &str, version: u64) {
+    pub fn mark_written(&mut self, id: &str, version: u64) {
         let Some(entry) = self.jobs.get_mut(id) else {
             return;
         };
@@ -335,7 +335,7 @@
     }
 
     /// Forgets a job whose records are removed.
-    pub fn forget(&mut self, id: &str) {
+    pub fn forget_job(&mut self, id: &str) {
         self.jobs.remove(id);
         self.open.remove(id);
         self.dirty.remove(id);
@@ -385,7 +385,7 @@
         let Some(entry) = self.jobs.get(id) else {
             return;
         };
-        if !entry.over() && !entry.job.lasts() && entry.all_done() {
+        if !entry.over() && !entry.job.is_lasting() && entry.all_done() {
             self.finish(id, Outcome::Succeeded, now);
         }
     }
@@ -419,12 +419,12 @@
         let Some(entry) = self.jobs.get(id) else {
             return;
         };
-        let over = Decision::Over {
+        let over = Decision::JobEnded {
             job: entry.job.id.clone(),
             account: entry.job.account.clone(),
             queue: entry.job.queue.clone(),
             outcome,
-            took: now.now.saturating_duration_since(entry.accepted),
+            took: now.monotonic.saturating_duration_since(entry.accepted),
             objective: self.objective(entry),
         };
         self.note(over);
--- a/src/graph/settle.rs
+++ b/src/graph/settle.rs
@@ -121,7 +121,7 @@
         match end {
             End::Listed(RunOutcome::Done) => {
                 unit.any_done = true;
-                let ran = now.now.saturating_duration_since(since);
+                let ran = now.monotonic.saturating_duration_since(since);
                 learnt = (whole && began).then_some(ran);
             }
             End::Listed(RunOutcome::Failed) => {
@@ -156,7 +156,7 @@
             member: at,
             life: place.life.clone(),
             how: end.word(),
-            ran: now.now.saturating_duration_since(since),
+            ran: now.monotonic.saturating_duration_since(since),
         });
         self.vacate(&place, &charge);
         if end == End::Never(Refusal::Ticket) {
@@ -229,20 +229,22 @@
                 worker.health.done();
                 false
             }
-            _ if !policy.apart => false,
+            _ if !policy.quarantine => false,
             End::Listed(RunOutcome::Failed) => {
-                worker.health.failed(job, key, only_here, now.now)
+                worker.health.failed(job, key, only_here, now.monotonic)
+            }
+            End::Never(Refusal::Unhealthy) => {
+                worker.health.stuck(now.monotonic)
             }
-            End::Never(Refusal::Unhealthy) => worker.health.stuck(now.now),
             End::Listed(_) if stopped == Some(Why::Stuck) => {
-                worker.health.stuck(now.now)
+                worker.health.stuck(now.monotonic)
             }
             _ => false,
         };
         if apart {
-            let told = Decision::Apart {
+            let told = Decision::WorkerQuarantined {
                 life: place.life.clone(),
-                time: worker.health.apart_for(now.now),
+                time: worker.health.apart_for(now.monotonic),
                 failed: worker.health.doubt(),
             };
             self.note(told);
@@ -290,7 +292,7 @@
             return;
         };
         unit.stop = None;
-        unit.ready = now.now;
+        unit.ready = now.monotonic;
         unit.any_done = false;
         if done {
             unit.phase = Phase::Done;
@@ -303,7 +305,7 @@
         };
         unit.cut = Cut::Stopped;
         unit.phase = Phase::Waiting;
-        unit.not_before = now.now + again;
+        unit.not_before = now.monotonic + again;
         let Some(kept) = entry.progress.units.get_mut(key) else {
             return;
         };
--- a/src/graph/shortage.rs
+++ b/src/graph/shortage.rs
@@ -16,7 +16,7 @@
     /// Fewer accelerators are free than it asks for.
     Accelerators,
     /// Enough are free, though not enough on single workers.
-    Together,
+    Fragmented,
     /// Enough are free together, but cores or memory are not.
     Cores,
     /// There is room enough, part of it kept for others.
@@ -32,7 +32,7 @@
     pub fn word(self) -> &'static str {
         match self {
             ShortageKind::Accelerators => "accelerators",
-            ShortageKind::Together => "accelerators together",
+            ShortageKind::Fragmented => "accelerators together",
             ShortageKind::Cores => "cores or memory",
             ShortageKind::Kept => "room that is kept",
             ShortageKind::Spare => "room for urgent work",
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shortage {
     /// Why it finds no room.
-    pub lack: ShortageKind,
+    pub kind: ShortageKind,
     /// The accelerators that it asks for.
     pub needed: i64,
     /// Those that nothing is in, on workers that it may use.
@@ -54,7 +54,7 @@
     pub fits: u32,
     /// The core-seconds that stopping others would throw away, if that makes
     /// room.
-    pub dear: Option<f64>,
+    pub preemption_cost: Option<f64>,
     /// Who holds the pool's accelerators.
     pub holders: Holders,
 }
@@ -87,7 +87,7 @@
         let lack = if free < needed {
             ShortageKind::Accelerators
         } else if slots(Worker::empty, &accelerators) < width {
-            ShortageKind::Together
+            ShortageKind::Fragmented
         } else if slots(Worker::empty, &request.charge) < width {
             ShortageKind::Cores
         } else if slots(Worker::free, &request.charge) < width {
@@ -98,11 +98,11 @@
             ShortageKind::Rack
         };
         Shortage {
-            lack,
+            kind: lack,
             needed,
             free,
             fits,
-            dear,
+            preemption_cost: dear,
             holders: self.holders(&request.pool),
         }
     }
--- a/src/graph/silence.rs
+++ b/src/graph/silence.rs
@@ -66,7 +66,7 @@
             key: *key,
             index: member.index,
             ran: member.ran(),
-            counts: Some(now.now + CERTAIN),
+            counts: Some(now.monotonic + CERTAIN),
         });
     }
 
@@ -81,7 +81,7 @@
                     key: *key,
                     index: *index,
                     ran: Duration::ZERO,
-                    counts: Some(now.now + CERTAIN),
+                    counts: Some(now.monotonic + CERTAIN),
                 });
                 self.silences.extend(silences);
             }
@@ -115,7 +115,7 @@
     /// Counts the workers that have said nothing for so long that they must
     /// be down.
     pub(super) fn blame_silent(&mut self, now: Timestamp) {
-        let due = |s: &Silence| s.counts.is_some_and(|at| now.now >= at);
+        let due = |s: &Silence| s.counts.is_some_and(|at| now.monotonic >= at);
         if !self.silences.iter().any(due) {
             return;
         }
@@ -152,7 +152,7 @@
         let unit = entry.units.get(&silence.key);
         let waits = unit.is_some_and(|u| matches!(u.phase, Phase::Waiting));
         let spent = entry.is_spent(&silence.key) && waits && !entry.over();
-        self.note(Decision::Blamed {
+        self.note(Decision::LossCounted {
             of,
             run: loss.run,
             task: silence.index,
--- a/src/graph/spare.rs
+++ b/src/graph/spare.rs
@@ -30,13 +30,14 @@
         sound: &[(&AgentId, &Worker)],
         now: Timestamp,
     ) -> BTreeSet<AgentId> {
-        let share = (self.terms.policy.spare * f64::from(request.priority))
-            .min(MOST_SPARE);
+        let share = (self.terms.policy.spare_share
+            * f64::from(request.priority))
+        .min(MOST_SPARE);
         let most = (sound.len() as f64 * share) as usize;
         let urgent = self
             .urgent
             .get(&request.pool)
-            .is_some_and(|last| now.now < *last + SPARE_FOR);
+            .is_some_and(|last| now.monotonic < *last + SPARE_FOR);
         if request.priority == 0 || request.past_kept || !urgent {
             return BTreeSet::new();
         }
--- a/src/graph/urgency.rs
+++ b/src/graph/urgency.rs
@@ -62,14 +62,14 @@
     ) -> Rank {
         let job = &entry.job;
         let (latest, hopeless) = self.due(entry, key);
-        let first = !self.terms.policy.late_last || now.now <= latest;
+        let first = !self.terms.policy.late_last || now.monotonic <= latest;
         let class = match job.priority {
             // Beside other urgent work it waits behind borrowers that are in
             // a greater hurry, past the time in which it is to begin.
             0 if self.is_promised(entry) => Class::Promised,
             0 if first => Class::Urgent,
             0 => Class::Late,
-            _ if now.now >= hopeless => Class::Hopeless,
+            _ if now.monotonic >= hopeless => Class::Hopeless,
             _ => Class::Other,
         };
         let step = &job.steps[key.step];
@@ -106,7 +106,7 @@
 
     /// Returns the longest chain of expected work through a job's steps.
     pub(super) fn chain(&self, entry: &Entry) -> Duration {
-        entry.job.chain(|step| self.expect(entry, step))
+        entry.job.critical_path(|step| self.expect(entry, step))
     }
 
     /// Returns what is left until a unit would have to start, in ms; below
@@ -118,8 +118,8 @@
         now: Timestamp,
     ) -> i64 {
         let (latest, _) = self.due(entry, key);
-        let left = latest.saturating_duration_since(now.now).as_millis();
-        let past = now.now.saturating_duration_since(latest).as_millis();
+        let left = latest.saturating_duration_since(now.monotonic).as_millis();
+        let past = now.monotonic.saturating_duration_since(latest).as_millis();
         left as i64 - past as i64
     }
 
@@ -140,7 +140,7 @@
         };
         if unit
             .waits
-            .is_some_and(|told| now.now < told.at + LOOK_AGAIN)
+            .is_some_and(|told| now.monotonic < told.at + LOOK_AGAIN)
         {
             return;
         }
@@ -158,7 +158,7 @@
         let told = unit.waits.filter(|told| told.within == within);
         let news = told.is_none_or(|told| told.what != what);
         let lacks = news && what != WaitReason::Worker;
-        let told = Decision::Waits {
+        let told = Decision::Waiting {
             of: entry.subject(key),
             what,
             slack: self.slack(entry, key, now),
@@ -172,7 +172,7 @@
             unit.waits = Some(Told {
                 what,
                 within,
-                at: now.now,
+                at: now.monotonic,
             });
         }
         if news {
--- a/tests/it/advice.rs
+++ b/tests/it/advice.rs
@@ -27,7 +27,7 @@
 }
 
 fn ask(site: &mut Site) -> Option<Question> {
-    site.book.question(site.now)
+    site.book.take_question(site.now)
 }
 
 /// Lets the service answer that a step may run on some lives.
@@ -37,7 +37,8 @@
         text: format!("ticket-{life}"),
     };
     let good = good.iter().map(ticket).collect();
-    site.book.advised(question, Some(good), site.now.now);
+    site.book
+        .apply_advice(question, Some(good), site.now.monotonic);
     site.settle();
 }
 
@@ -69,7 +70,8 @@
         life: "w3-1".into(),
         text: "leave".to_owned(),
     }];
-    site.book.advised(&question, Some(good), site.now.now);
+    site.book
+        .apply_advice(&question, Some(good), site.now.monotonic);
     site.step();
     site.write();
     let agent = site.workers[2].agent.clone();
@@ -103,7 +105,8 @@
         life: "w1-1".into(),
         text: "stale".to_owned(),
     }];
-    site.book.advised(&question, Some(good), site.now.now);
+    site.book
+        .apply_advice(&question, Some(good), site.now.monotonic);
     site.step();
     site.write();
     let agent = site.workers[0].agent.clone();
@@ -116,7 +119,7 @@
             why: Refusal::Ticket,
         });
     }
-    site.book.report(report, site.now);
+    site.book.apply_report(report, site.now);
     let question = ask(&mut site).expect("leave is needed again");
     assert_eq!(question.lives, ["w1-1".into()]);
 }
@@ -125,7 +128,7 @@
 fn a_question_without_answer_is_put_again() {
     let mut site = site();
     let question = ask(&mut site).expect("leave is needed");
-    site.book.advised(&question, None, site.now.now);
+    site.book.apply_advice(&question, None, site.now.monotonic);
     assert_eq!(ask(&mut site), None, "not at once");
     site.pass(Duration::from_millis(600));
     site.settle();
--- a/tests/it/broken.rs
+++ b/tests/it/broken.rs
@@ -137,7 +137,7 @@
 fn a_worker_is_given_back_no_more_than_was_taken() {
     let mut site = Site::new(&[("w1", "r1"), ("w2", "r1")]);
     for worker in &mut site.workers {
-        site.book.report(worker.report(), site.now);
+        site.book.apply_report(worker.report(), site.now);
     }
     site.submit(job("gang", 1, vec![step(3, 4, true)], &site));
     site.step();
@@ -153,7 +153,7 @@
         site.pass(Duration::from_millis(500));
         site.settle();
     }
-    site.book.cancel("gang", site.now);
+    site.book.cancel_job("gang", site.now);
     site.settle();
     site.workers = vec![silent];
     site.submit(job("many", 1, vec![step(10, 1, false)], &site));
--- a/tests/it/burst.rs
+++ b/tests/it/burst.rs
@@ -63,7 +63,7 @@
         (0..5).map(took).min().expect("five")
     };
     let copied = time(&mut || drop(site.book.clone()));
-    let passed = time(&mut || site.book.clone().step(site.now));
+    let passed = time(&mut || site.book.clone().run_pass(site.now));
     println!("copied {copied:?}, passed {passed:?}");
     assert!(passed < copied * MOST, "{passed:?}, {copied:?} to copy");
     // All of them are given room at once, in racks of their own.
--- a/tests/it/closed.rs
+++ b/tests/it/closed.rs
@@ -39,7 +39,7 @@
     site.submit(job("a", 1, vec![step(2, 8, false)], &site));
     site.settle();
     assert_eq!(site.running("a"), 2);
-    site.book.set_closed(halls(&["near"]));
+    site.book.set_closed_halls(halls(&["near"]));
     site.settle();
     assert_eq!(site.running("a"), 2, "what runs goes on");
     site.end_all("a");
@@ -48,7 +48,7 @@
     let here: Vec<usize> =
         site.workers.iter().map(|w| w.running.len()).collect();
     assert_eq!(here, [0, 1]);
-    site.book.set_closed(halls(&[]));
+    site.book.set_closed_halls(halls(&[]));
     site.settle();
     assert_eq!(site.running("b"), 2, "open again, it is used at once");
 }
@@ -59,13 +59,13 @@
     site.submit(job("a", 1, vec![step(2, 8, false)], &site));
     for worker in &mut site.workers {
         let report = worker.report();
-        site.book.report(report, site.now);
+        site.book.apply_report(report, site.now);
     }
     site.step();
     site.write();
     let agent = site.workers[0].agent.clone();
     assert_eq!(site.book.orders(&agent).starts.len(), 1);
-    site.book.set_closed(halls(&["near"]));
+    site.book.set_closed_halls(halls(&["near"]));
     site.step();
     site.write();
     let orders = site.book.orders(&agent);
@@ -81,7 +81,7 @@
     let mut far = step(1, 8, false);
     far.data_rack = Some("r1".into());
     site.submit(job("a", 1, vec![far], &site));
-    site.book.set_closed(halls(&["near"]));
+    site.book.set_closed_halls(halls(&["near"]));
     site.settle();
     assert_eq!(site.workers[2].running.len(), 1, "no rack near is open");
     site.workers[2].end(RunOutcome::Done, |_| true);
--- a/tests/it/crashes.rs
+++ b/tests/it/crashes.rs
@@ -52,7 +52,7 @@
     site.pass(Duration::from_millis(300));
     for at in 0..site.workers.len() {
         let report = site.workers[at].report();
-        site.book.report(report, site.now);
+        site.book.apply_report(report, site.now);
     }
     site.step();
     site.write();
@@ -73,7 +73,7 @@
 fn hand_over(site: &mut Site, job: &Job) {
     let kept = site.book.progress(&job.id).cloned();
     site.book = Scheduler::new(Options::default(), site.now);
-    site.book.accept(job.clone(), kept, site.now);
+    site.book.accept_job(job.clone(), kept, site.now);
 }
 
 #[test]
@@ -242,7 +242,7 @@
         silent: true,
         ..said
     };
-    site.book.report(report, site.now);
+    site.book.apply_report(report, site.now);
     worker
 }
 
--- a/tests/it/doubt.rs
+++ b/tests/it/doubt.rs
@@ -45,7 +45,8 @@
     site.settle();
     let apart = |site: &mut Site| {
         let decisions = site.book.take_decisions();
-        let apart = |d: &Decision| matches!(d, Decision::Apart { .. });
+        let apart =
+            |d: &Decision| matches!(d, Decision::WorkerQuarantined { .. });
         decisions.iter().filter(|d| apart(d)).count()
     };
     assert_eq!(apart(&mut site), 1, "eight of its tasks failed there alone");
@@ -67,7 +68,7 @@
     site.submit(job("a", 1, vec![step(2, 8, false)], &site));
     site.settle();
     end(&mut site, 0, "a", RunOutcome::Failed);
-    site.book.cancel("a", site.now);
+    site.book.cancel_job("a", site.now);
     site.settle();
     let mut last = job("b", 0, vec![step(2, 8, false)], &site);
     last.max_attempts = 1;
--- a/tests/it/graph.rs
+++ b/tests/it/graph.rs
@@ -166,7 +166,7 @@
 impl Site {
     pub fn new(workers: &[(&str, &'static str)]) -> Site {
         let now = Timestamp {
-            now: std::time::Instant::now(),
+            monotonic: std::time::Instant::now(),
             wall: SystemTime::UNIX_EPOCH + Duration::from_secs(1_000_000),
         };
         let workers = workers.iter().map(|(a, rack)| Worker::new(a, rack));
@@ -178,7 +178,7 @@
     }
 
     pub fn pass(&mut self, time: Duration) {
-        self.now.now += time;
+        self.now.monotonic += time;
         self.now.wall += time;
     }
 
@@ -196,23 +196,23 @@
 
     /// Writes what must be written.
     pub fn write(&mut self) {
-        for job in self.book.unwritten(usize::MAX) {
-            self.book.written(&job.id, job.version);
+        for job in self.book.take_unwritten(usize::MAX) {
+            self.book.mark_written(&job.id, job.version);
         }
     }
 
     /// Decides; no silent agent has kept anything.
     pub fn step(&mut self) {
-        self.book.step(self.now);
+        self.book.run_pass(self.now);
         let silent = self.book.take_inquiries();
         if silent.is_empty() {
             return;
         }
         for agent in silent {
-            let sent = self.now.now;
-            self.book.inquired(&agent, None, sent, self.now);
+            let sent = self.now.monotonic;
+            self.book.apply_inquiry(&agent, None, sent, self.now);
         }
-        self.book.step(self.now);
+        self.book.run_pass(self.now);
     }
 
     /// Lets everybody report and obey, until nothing changes.
@@ -220,7 +220,7 @@
         for _ in 0..6 {
             for at in 0..self.workers.len() {
                 let report = self.workers[at].report();
-                self.book.report(report, self.now);
+                self.book.apply_report(report, self.now);
             }
             self.step();
             self.write();
@@ -232,7 +232,7 @@
     }
 
     pub fn submit(&mut self, job: Job) {
-        self.book.accept(job, None, self.now);
+        self.book.accept_job(job, None, self.now);
     }
 
     pub fn outcome(&self, id: &str) -> Option<Outcome> {
@@ -357,7 +357,7 @@
 #[test]
 fn a_whole_worker_is_kept_for_a_unit_that_has_waited() {
     let at_once = Policy {
-        kept_late: false,
+        reserve_only_late: false,
         ..Policy::default()
     };
     keeps_a_whole_worker(at_once, Duration::from_secs(2));
@@ -394,7 +394,7 @@
     site.workers[0].end(RunOutcome::Failed, |r| r.task.index == 0);
     // One member's end is known, and nothing of the other's.
     let report = site.workers[0].report();
-    site.book.report(report, site.now);
+    site.book.apply_report(report, site.now);
     let agent = site.workers[0].agent.clone();
     let noted = |site: &mut Site| site.book.orders(&agent).noted;
     assert_eq!(noted(&mut site), 0, "the failure is not written");
@@ -426,7 +426,7 @@
     let mut site = Site::new(&[("w1", "r1")]);
     site.submit(job("j", 1, vec![step(1, 1, false)], &site));
     let report = site.workers[0].report();
-    site.book.report(report, site.now);
+    site.book.apply_report(report, site.now);
     site.step();
     let agent = site.workers[0].agent.clone();
     assert_eq!(site.book.orders(&agent).starts, [], "not written yet");
@@ -442,7 +442,7 @@
     let kept = site.book.progress("j").cloned();
     let mut next = Site::new(&[("w1", "r1")]);
     next.workers = site.workers;
-    next.book.accept(
+    next.book.accept_job(
         job("j", 1, vec![step(1, 1, false)], &next),
         kept,
         next.now,
--- a/tests/it/graph_faults.rs
+++ b/tests/it/graph_faults.rs
@@ -207,7 +207,7 @@
 impl World {
     fn new(seed: u64) -> World {
         let now = Timestamp {
-            now: Instant::now(),
+            monotonic: Instant::now(),
             wall: SystemTime::UNIX_EPOCH + Duration::from_secs(1_000_000),
         };
         let names = [("w1", "r1"), ("w2", "r1"), ("w3", "r2"), ("w4", "r2")];
@@ -223,7 +223,7 @@
             life: 1,
             token: 0,
             sequence: 0,
-            granted: now.now + Options::default().survival,
+            granted: now.monotonic + Options::default().survival,
             running: Vec::new(),
             ended: Vec::new(),
             number: 0,
@@ -236,7 +236,7 @@
             leaving: false,
             cut: 0,
             alone: false,
-            answered: now.now,
+            answered: now.monotonic,
             kept: None,
             accelerators: 8,
             told: 8,
@@ -301,7 +301,7 @@
         if self.dooms.u32(..BAD) == 0 {
             self.bad.insert(job.id.clone());
         }
-        self.planner.book.accept(job.clone(), None, self.now);
+        self.planner.book.accept_job(job.clone(), None, self.now);
         self.jobs.push(job);
     }
 
@@ -323,8 +323,8 @@
     fn cancel(&mut self) {
         let at = self.random.usize(..self.jobs.len());
         let id = self.jobs[at].id.clone();
-        self.planner.book.cancel(&id, self.now);
-        self.cancelled.entry(id).or_insert(self.now.now);
+        self.planner.book.cancel_job(&id, self.now);
+        self.cancelled.entry(id).or_insert(self.now.monotonic);
     }
 
     /// Another planner claims: it knows what is written, and nothing else.
@@ -340,19 +340,21 @@
         };
         for job in &self.jobs {
             let progress = self.kept.get(&job.id).cloned();
-            self.planner.book.accept(job.clone(), progress, self.now);
+            self.planner
+                .book
+                .accept_job(job.clone(), progress, self.now);
         }
         for id in self.cancelled.keys() {
-            self.planner.book.cancel(id, self.now);
+            self.planner.book.cancel_job(id, self.now);
         }
     }
 
     fn write(&mut self) {
         for job in std::mem::take(&mut self.planner.writing) {
-            self.planner.book.written(&job.id, job.version);
+            self.planner.book.mark_written(&job.id, job.version);
             self.kept.insert(job.id, job.progress);
         }
-        self.planner.writing = self.planner.book.unwritten(10);
+        self.planner.writing = self.planner.book.take_unwritten(10);
     }
 
     /// Lets a worker say that it leaves.
@@ -362,7 +364,7 @@
     }
 
     fn crash(&mut self, at: usize) {
-        let now = self.now.now;
+        let now = self.now.monotonic;
         let worker = &mut self.workers[at];
         worker.gone = Some(worker.life);
         let begun = worker.running.iter().map(|r| (r.task.clone(), r.run));
@@ -401,7 +403,7 @@
     /// Changes the room of a worker now and then, and lets agents hear of
     /// it with a heartbeat.
     fn resize(&mut self) {
-        let now = self.now.now;
+        let now = self.now.monotonic;
         let at = self.rooms.usize(..self.workers.len());
         let to = match self.rooms.u32(..20) {
             _ if !self.faults => Some(8),
@@ -447,7 +449,7 @@
         for at in 0..self.workers.len() {
             let worker = &self.workers[at];
             let reaches = worker.cut == 0 || !worker.alone;
-            let late = self.now.now >= worker.answered + alone;
+            let late = self.now.monotonic >= worker.answered + alone;
             if reaches && late && !worker.ended.is_empty() {
                 self.workers[at].kept = Some(self.report(at));
             }
@@ -456,13 +458,13 @@
 
     /// Lets the planner decide, and read what silent agents have kept.
     fn decide(&mut self) {
-        self.planner.book.step(self.now);
+        self.planner.book.run_pass(self.now);
         for agent in self.planner.book.take_inquiries() {
             let worker = self.workers.iter().find(|w| w.agent == agent);
             let kept = worker.and_then(|worker| worker.kept.clone());
-            let sent = self.now.now;
+            let sent = self.now.monotonic;
             let book = &mut self.planner.book;
-            book.inquired(&agent, kept, sent, self.now);
+            book.apply_inquiry(&agent, kept, sent, self.now);
         }
     }
 
@@ -483,7 +485,7 @@
             self.end(&task, run, how);
         }
         for at in 0..self.workers.len() {
-            if self.now.now > self.workers[at].granted {
+            if self.now.monotonic > self.workers[at].granted {
                 self.end_at(at, RunOutcome::Lapsed, |_| true);
                 self.workers[at].lapsed = self.workers[at].number;
             }
@@ -606,9 +608,9 @@
         if self.fault(4) {
             return;
         }
-        let sent = self.now.now;
+        let sent = self.now.monotonic;
         let report = self.report(at);
-        self.planner.book.report(report, self.now);
+        self.planner.book.apply_report(report, self.now);
         self.decide();
         if !self.fault(4) {
             self.write();
@@ -679,7 +681,7 @@
         worker.token = token;
         worker.granted =
             worker.granted.max(sent + Options::default().survival);
-        worker.answered = self.now.now;
+        worker.answered = self.now.monotonic;
         worker.kept = None;
         worker.gone = None;
         let ordered = |refused: &Refused| {
@@ -873,7 +875,7 @@
     }
 
     fn round(&mut self) {
-        self.now.now += ROUND;
+        self.now.monotonic += ROUND;
         self.now.wall += ROUND;
         if self.faults && self.jobs.len() < 12 && self.random.u32(..3) == 0 {
             self.submit();
--- a/tests/it/guarantees.rs
+++ b/tests/it/guarantees.rs
@@ -145,7 +145,7 @@
     for _ in 0..2 {
         for at in 0..site.workers.len() {
             let report = site.workers[at].report();
-            site.book.report(report, site.now);
+            site.book.apply_report(report, site.now);
         }
         site.step();
         site.write();
--- a/tests/it/predict.rs
+++ b/tests/it/predict.rs
@@ -57,7 +57,7 @@
     let mut next = Scheduler::new(Options::default(), site.now);
     for job in jobs {
         let kept = site.book.progress(&job.id).cloned();
-        next.accept(job, kept, site.now);
+        next.accept_job(job, kept, site.now);
     }
     site.book = next;
     site.settle();
--- a/tests/it/shortage.rs
+++ b/tests/it/shortage.rs
@@ -33,7 +33,7 @@
     }
     let told = site.book.take_decisions().into_iter().rev();
     let shortage = told.filter_map(|decision| match decision {
-        Decision::Waits { shortage, .. } => shortage,
+        Decision::Waiting { shortage, .. } => shortage,
         _ => None,
     });
     shortage.last().expect("it waits")
@@ -50,7 +50,7 @@
         ),
         // Half of each worker is: what is left holds no whole one.
         (
-            ShortageKind::Together,
+            ShortageKind::Fragmented,
             vec![takes(4, 33, 4, false), takes(2, 1, 8, true)],
         ),
         // Cores are: the accelerators beside them are stranded.
@@ -76,7 +76,7 @@
     ];
     for (lack, steps) in cases {
         let told = lacks(1, steps);
-        assert_eq!(told.lack, lack, "{told:?}");
+        assert_eq!(told.kind, lack, "{told:?}");
     }
 }
 
@@ -85,5 +85,5 @@
     let whole = |replicas| takes(replicas, 1, 8, true);
     let told = lacks(1, vec![whole(1), whole(2), whole(3)]);
     assert_eq!((told.needed, told.free, told.fits), (24, 8, 1));
-    assert_eq!(told.dear, None, "nothing is stopped for it");
+    assert_eq!(told.preemption_cost, None, "nothing is stopped for it");
 }
--- a/tests/it/shrunk.rs
+++ b/tests/it/shrunk.rs
@@ -30,7 +30,7 @@
 fn report(site: &mut Site) {
     for at in 0..site.workers.len() {
         let report = site.workers[at].report();
-        site.book.report(report, site.now);
+        site.book.apply_report(report, site.now);
     }
 }
 
@@ -47,7 +47,7 @@
 fn hand_over(site: &mut Site, job: &Job) {
     let kept = site.book.progress(&job.id).cloned();
     site.book = Scheduler::new(Options::default(), site.now);
-    site.book.accept(job.clone(), kept, site.now);
+    site.book.accept_job(job.clone(), kept, site.now);
 }
 
 #[test]
--- a/tests/it/stops.rs
+++ b/tests/it/stops.rs
@@ -61,7 +61,7 @@
 fn the_limit_follows_what_is_won() {
     let policy = Policy::default();
     let stake = |work, slack_ms| Need {
-        work,
+        core_seconds: work,
         slack_ms,
         stop: Duration::from_millis(900),
     };
--- a/tests/it/takeover.rs
+++ b/tests/it/takeover.rs
@@ -19,14 +19,14 @@
     site.settle();
     site.workers[0].end(RunOutcome::Failed, |running| running.task.index == 0);
     let report = site.workers[0].report();
-    site.book.report(report, site.now);
+    site.book.apply_report(report, site.now);
     // It is written, but the worker does not hear so.
     site.write();
     let kept = site.book.progress("gang").cloned();
     site.book = Scheduler::new(Options::default(), site.now);
-    site.book.accept(gang, kept, site.now);
+    site.book.accept_job(gang, kept, site.now);
     let report = site.workers[0].report();
-    site.book.report(report, site.now);
+    site.book.apply_report(report, site.now);
     let progress = site.book.progress("gang").expect("is known");
     let failed: Vec<u32> =
         progress.units.values().map(|unit| unit.failed).collect();
@@ -41,7 +41,7 @@
     site.submit(job("gang", 1, vec![gang], &site));
     for worker in &mut site.workers {
         let report = worker.report();
-        site.book.report(report, site.now);
+        site.book.apply_report(report, site.now);
     }
     site.step();
     site.write();
@@ -52,7 +52,7 @@
     site.workers[0].obey(&orders);
     site.workers[0].end(RunOutcome::Done, |_| true);
     let report = site.workers[0].report();
-    site.book.report(report, site.now);
+    site.book.apply_report(report, site.now);
     site.write();
     let orders = site.book.orders(&second);
     assert_eq!((orders.starts.len(), orders.stops.len()), (0, 1));
@@ -63,7 +63,7 @@
     let mut next = Scheduler::new(Options::default(), site.now);
     for job in jobs {
         let kept = site.book.progress(&job.id).cloned();
-        next.accept(job.clone(), kept, site.now);
+        next.accept_job(job.clone(), kept, site.now);
     }
     site.book = next;
 }
@@ -72,7 +72,7 @@
 fn heard(site: &mut Site, workers: &[usize]) {
     for at in workers {
         let report = site.workers[*at].report();
-        site.book.report(report, site.now);
+        site.book.apply_report(report, site.now);
     }
     site.step();
 }
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -21,7 +21,7 @@
 # What is changed, where, from what to what.
 MUTATIONS = [
     ("births are not compared in looks", STATE,
-     "if known.beat.life.is_other(look.born) {", "if false {"),
+     "if known.beat.life.is_other_life(look.born) {", "if false {"),
     ("late starts are not barred in a new birth", STATE,
      "known.late = earlier.late_in(&known.beat.life);", ""),
     ("orders outlive what is told to be gone", STATE,
