--- a/src/graph/advice.rs
+++ b/src/graph/advice.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::graph::entry::Entry;
+use crate::graph::job_record::JobRecord;
 use crate::graph::place::Request;
 use crate::graph::unit::Phase;
 use crate::graph::JobId;
@@ -19,12 +19,12 @@
 
 /// The most workers that one question names; the users reckon with as many
 /// a step.
-const NAMED: usize = 30;
+const MAX_NAMED_WORKERS: usize = 30;
 /// The least rest of a ticket with which a run is given out: it must be
 /// written and ordered by then.
-const REST: Duration = Duration::from_millis(400);
+const MIN_TICKET_VALIDITY: Duration = Duration::from_millis(400);
 /// How long is waited before a question without answer is put again.
-const AGAIN: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// One time of a step of a job.
 pub type StepKey = (JobId, u32, usize);
@@ -49,7 +49,7 @@
 
 /// What is known of a step's leave.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Leave {
+pub(super) struct Permission {
     /// The tickets, and until when each holds.
     tickets: BTreeMap<Life, (String, Instant)>,
     /// Who may never run the step.
@@ -58,11 +58,11 @@
     not_before: Option<Instant>,
 }
 
-impl Leave {
+impl Permission {
     /// Returns whether a run on a life may be given out.
     pub fn allows(&self, life: &Life, now: Instant) -> bool {
         let ticket = self.tickets.get(life);
-        ticket.is_some_and(|(_, until)| now + REST < *until)
+        ticket.is_some_and(|(_, until)| now + MIN_TICKET_VALIDITY < *until)
     }
 
     /// Returns the ticket for a life, however old.
@@ -73,17 +73,17 @@
 
 /// Whether a unit's starts need leave, and the leave that there is.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Needed<'a> {
-    No,
-    Yes(Option<&'a Leave>),
+pub(super) enum Requirement<'a> {
+    NotNeeded,
+    Needed(Option<&'a Permission>),
 }
 
-impl Needed<'_> {
+impl Requirement<'_> {
     /// Returns whether the unit may run on a life.
     pub fn allows(&self, life: &Life, now: Instant) -> bool {
         match self {
-            Needed::No => true,
-            Needed::Yes(leave) => {
+            Requirement::NotNeeded => true,
+            Requirement::Needed(leave) => {
                 leave.is_some_and(|leave| leave.allows(life, now))
             }
         }
@@ -92,30 +92,36 @@
 
 impl Scheduler {
     /// Returns where a unit may run, as far as leave goes.
-    pub(super) fn leave_of(&self, request: &Request) -> Needed<'_> {
-        let entry = self.jobs.get(&request.id);
-        match entry.is_none_or(|entry| entry.job.advice.is_none()) {
-            true => Needed::No,
-            false => Needed::Yes(self.leave.get(&request.step_key())),
+    pub(super) fn requirement_of(&self, request: &Request) -> Requirement<'_> {
+        let record = self.jobs.get(&request.id);
+        match record.is_none_or(|record| record.job.advice.is_none()) {
+            true => Requirement::NotNeeded,
+            false => {
+                Requirement::Needed(self.permissions.get(&request.step_key()))
+            }
         }
     }
 
     /// Returns what is to be asked next, if anything is.
     pub fn take_question(&mut self, now: Timestamp) -> Option<Question> {
         let question = self.next_question(now)?;
-        let leave = self.leave.entry(question.step.clone()).or_default();
-        leave.not_before = Some(now.monotonic + AGAIN);
+        let leave = self.permissions.entry(question.step.clone()).or_default();
+        leave.not_before = Some(now.monotonic + RETRY_INTERVAL);
         Some(question)
     }
 
     fn next_question(&self, now: Timestamp) -> Option<Question> {
-        self.live()
-            .filter(|entry| entry.job.advice.is_some() && !entry.over())
-            .find_map(|entry| self.question_of(entry, now))
+        self.live_jobs()
+            .filter(|record| record.job.advice.is_some() && !record.is_over())
+            .find_map(|record| self.question_of(record, now))
     }
 
-    fn question_of(&self, entry: &Entry, now: Timestamp) -> Option<Question> {
-        let waits = entry
+    fn question_of(
+        &self,
+        record: &JobRecord,
+        now: Timestamp,
+    ) -> Option<Question> {
+        let waits = record
             .units
             .iter()
             .filter(|(_, unit)| matches!(unit.phase, Phase::Waiting));
@@ -124,17 +130,18 @@
             if !asked.insert((key.time, key.step)) {
                 continue;
             }
-            let expected = self.expect(entry, key.step);
-            let request = Request::new(entry, key, unit, expected);
+            let expected = self.expected_time(record, key.step);
+            let request = Request::new(record, key, unit, expected);
             let step = request.step_key();
-            let leave = self.leave.get(&step).cloned().unwrap_or_default();
+            let leave =
+                self.permissions.get(&step).cloned().unwrap_or_default();
             if leave
                 .not_before
                 .is_some_and(|before| now.monotonic < before)
             {
                 continue;
             }
-            let lives = self.unasked(&request, &leave, now);
+            let lives = self.lives_to_ask(&request, &leave, now);
             if !lives.is_empty() {
                 return Some(Question { step, lives });
             }
@@ -144,16 +151,16 @@
 
     /// Returns the lives that a unit could use and has no leave for, those
     /// with room first.
-    fn unasked(
+    fn lives_to_ask(
         &self,
         request: &Request,
-        leave: &Leave,
+        leave: &Permission,
         now: Timestamp,
     ) -> Vec<Life> {
         let mut open: Vec<(bool, &Life)> = self
             .workers
             .values()
-            .filter(|worker| self.usable(worker, request, now))
+            .filter(|worker| self.is_usable(worker, request, now))
             .filter(|worker| !leave.barred.contains(&worker.life))
             .filter(|worker| !leave.allows(&worker.life, now.monotonic))
             .map(|worker| {
@@ -163,7 +170,7 @@
             .collect();
         open.sort();
         let lives = open.into_iter().map(|(_, life)| life.clone());
-        lives.take(NAMED).collect()
+        lives.take(MAX_NAMED_WORKERS).collect()
     }
 
     /// Takes in what the service answered to a question that was sent at
@@ -171,23 +178,23 @@
     pub fn apply_advice(
         &mut self,
         question: &Question,
-        good: Option<Vec<Ticket>>,
+        granted: Option<Vec<Ticket>>,
         sent: Instant,
     ) {
         let job = self.jobs.get(&question.step.0).map(|e| &e.job);
         let Some(advice) = job.and_then(|job| job.advice) else {
             return;
         };
-        let Some(good) = good else {
+        let Some(granted) = granted else {
             return;
         };
         self.changed = true;
-        let leave = self.leave.entry(question.step.clone()).or_default();
+        let leave = self.permissions.entry(question.step.clone()).or_default();
         leave.not_before = None;
         // Who may run a step does not change.
         leave.barred.extend(question.lives.iter().cloned());
         let until = sent + advice.valid;
-        for ticket in good {
+        for ticket in granted {
             leave.barred.remove(&ticket.life);
             leave.tickets.insert(ticket.life, (ticket.text, until));
         }
@@ -195,7 +202,7 @@
 
     /// Forgets a ticket that a worker no longer takes.
     pub(super) fn drop_ticket(&mut self, step: &StepKey, life: &Life) {
-        if let Some(leave) = self.leave.get_mut(step) {
+        if let Some(leave) = self.permissions.get_mut(step) {
             leave.tickets.remove(life);
         }
     }
--- a/src/graph/birth.rs
+++ b/src/graph/birth.rs
@@ -28,17 +28,17 @@
         let running = lists.running.iter().map(|r| (&r.task, r.run));
         let ended = lists.ended.iter().map(|e| (&e.task, e.run));
         let listed: BTreeSet<(&Task, Run)> = running.chain(ended).collect();
-        for id in &self.open {
-            let Some(entry) = self.jobs.get_mut(id) else {
+        for id in &self.open_jobs {
+            let Some(record) = self.jobs.get_mut(id) else {
                 continue;
             };
-            let mut units = std::mem::take(&mut entry.units);
+            let mut units = std::mem::take(&mut record.units);
             for (key, unit) in &mut units {
                 let Phase::Running(members) = &mut unit.phase else {
                     continue;
                 };
-                let kept = entry.progress.units.get(key);
-                let run = kept.map_or(0, |kept| kept.run);
+                let progress = record.progress.units.get(key);
+                let run = progress.map_or(0, |progress| progress.run);
                 for member in members {
                     let place = &member.place;
                     let here = place.agent == *agent
@@ -47,13 +47,13 @@
                     let moves = here
                         && (place.life.may_equal(life)
                             || listed
-                                .contains(&(&entry.task(key, member), run)));
+                                .contains(&(&record.task(key, member), run)));
                     if moves {
                         member.place.life = life.clone();
                     }
                 }
             }
-            entry.units = units;
+            record.units = units;
         }
     }
 }
--- a/src/graph/crash.rs
+++ b/src/graph/crash.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use crate::graph::entry::Entry;
+use crate::graph::job_record::JobRecord;
 use crate::graph::place::Request;
 use crate::graph::scheduler::Worker;
 use crate::graph::unit::Member;
@@ -26,52 +26,53 @@
 
 /// How long a task must have been seen at work before the loss of its worker
 /// is not held to be its doing.
-const PROVEN: Duration = Duration::from_secs(1);
+const PROVEN_AFTER: Duration = Duration::from_secs(1);
 /// For how long nothing else begins on a worker where a suspect has begun:
 /// until it is proven, and that is reported.
-const TRIAL: Duration = Duration::from_millis(1500);
+const ISOLATION_TIME: Duration = Duration::from_millis(1500);
 /// How long a suspect waits for a worker that runs nothing.
-const ALONE: Duration = Duration::from_secs(2);
+const EMPTY_WORKER_WAIT: Duration = Duration::from_secs(2);
 /// How many workers must suddenly be lost under a task for it to be tried
 /// alone. One may be chance: where a fifth of the workers crash at once,
 /// whatever had just begun there would wait for workers of its own.
-const SUSPECT: u32 = 2;
+const SUSPECT_LOSSES: u32 = 2;
 /// How many workers in a row may be lost under a task that was not proven on
 /// them. Callers' rules allow two; the third, alone on a worker of its own,
 /// tells a bad task from one that met two bad workers.
-const SUDDEN: u32 = 3;
+const MAX_SUDDEN_LOSSES: u32 = 3;
 /// How many workers may be lost under a task at all before its runs are
 /// counted, and how many more it gets then: callers' rules allow no third.
-const LOST: u32 = 3;
-const MORE: Run = 2;
+const MAX_LOSSES: u32 = 3;
+const EXTRA_RUNS: Run = 2;
 /// Under how many lost workers callers' rules let a task be given up.
-const GIVEN_UP: u32 = 2;
+const MIN_CERTAIN_LOSSES: u32 = 2;
 /// How many workers may go or fall silent under a task: one that takes VMs
 /// along would else be tried on one after the other where planners change, and
 /// none of them waits long enough to call one of them gone.
-const UNHEARD: u32 = 6;
+const MAX_UNCONFIRMED_LOSSES: u32 = 6;
 /// How long a run goes on after which what was lost before it is forgotten.
-const FORGIVEN: Duration = Duration::from_secs(60);
+const LOSS_EXPIRY: Duration = Duration::from_secs(60);
 
 impl Loss {
     /// Returns whether the task must not begin again after a run.
-    pub(super) fn is_spent(&self, run: Run) -> bool {
+    pub(super) fn must_not_restart(&self, run: Run) -> bool {
         let more = run.saturating_sub(self.limit);
         // Those that were excused may have been its doing as well: then the
         // starts since the third loss are so many more.
         let silent = self.silent.len() as u32;
-        let may = MORE.saturating_sub(self.excused + silent);
+        let may = EXTRA_RUNS.saturating_sub(self.excused + silent);
         let all = self.lost + self.excused + silent;
-        self.lost + silent >= UNHEARD
-            || self.sudden >= SUDDEN
-            || self.lost >= LOST && more >= may
-            || self.lost >= GIVEN_UP && all >= LOST + MORE
+        self.lost + silent >= MAX_UNCONFIRMED_LOSSES
+            || self.sudden >= MAX_SUDDEN_LOSSES
+            || self.lost >= MAX_LOSSES && more >= may
+            || self.lost >= MIN_CERTAIN_LOSSES
+                && all >= MAX_LOSSES + EXTRA_RUNS
     }
 
     /// Counts a worker that went down.
-    pub(super) fn count(&mut self) {
+    pub(super) fn count_lost(&mut self) {
         self.lost += 1;
-        if self.lost == LOST {
+        if self.lost == MAX_LOSSES {
             self.limit = self.run;
         }
     }
@@ -81,32 +82,32 @@
     /// Returns whether it was at work long enough for the loss of its worker
     /// not to be its doing.
     pub(super) fn is_proven(&self) -> bool {
-        self.ran() >= PROVEN
+        self.worked_for() >= PROVEN_AFTER
     }
 
     /// Returns how long it was seen at work, at least.
-    pub(super) fn ran(&self) -> Duration {
-        let seen = self.seen.unwrap_or(self.since);
-        seen.saturating_duration_since(self.since)
+    pub(super) fn worked_for(&self) -> Duration {
+        let seen = self.last_listed.unwrap_or(self.assigned_at);
+        seen.saturating_duration_since(self.assigned_at)
     }
 }
 
-impl Entry {
+impl JobRecord {
     /// Returns what is kept of the losses under a member's task, and its run,
     /// now that it is counted; nothing if that one was counted before, told
     /// to this planner or an earlier one.
-    fn loss(
+    fn new_loss(
         &mut self,
         key: &UnitKey,
         member: &Member,
     ) -> Option<(Run, &mut Loss)> {
-        let kept = self.progress.units.entry(*key).or_default();
-        let run = kept.run;
-        let loss = kept.lost.entry(member.index).or_default();
+        let progress = self.progress.units.entry(*key).or_default();
+        let run = progress.run;
+        let loss = progress.lost.entry(member.index).or_default();
         if loss.run >= run {
             return None;
         }
-        if member.ran() >= FORGIVEN {
+        if member.worked_for() >= LOSS_EXPIRY {
             *loss = Loss::default();
         }
         loss.run = run;
@@ -116,28 +117,34 @@
     /// Returns whether workers were suddenly lost under a task of a unit, more
     /// than by chance.
     pub(super) fn is_suspect(&self, key: &UnitKey) -> bool {
-        if !self.blamed {
+        if !self.has_losses {
             return false;
         }
-        let kept = self.progress.units.get(key);
-        kept.is_some_and(|kept| {
-            kept.lost.values().any(|loss| loss.sudden >= SUSPECT)
+        let progress = self.progress.units.get(key);
+        progress.is_some_and(|progress| {
+            progress
+                .lost
+                .values()
+                .any(|loss| loss.sudden >= SUSPECT_LOSSES)
         })
     }
 
     /// Returns whether a unit has taken down so many workers that it must
     /// not begin again.
-    pub(super) fn is_spent(&self, key: &UnitKey) -> bool {
-        let kept = self.progress.units.get(key);
-        kept.is_some_and(|kept| {
-            kept.lost.values().any(|loss| loss.is_spent(kept.run))
+    pub(super) fn must_not_restart(&self, key: &UnitKey) -> bool {
+        let progress = self.progress.units.get(key);
+        progress.is_some_and(|progress| {
+            progress
+                .lost
+                .values()
+                .any(|loss| loss.must_not_restart(progress.run))
         })
     }
 
     /// Returns whether a suspect of the job is at work and not yet proven:
     /// others would take down a worker each that this one may spare.
-    pub(super) fn is_on_trial(&self) -> bool {
-        if !self.blamed {
+    pub(super) fn has_unproven_suspect(&self) -> bool {
+        if !self.has_losses {
             return false;
         }
         let suspects = self.units.iter().filter(|(key, unit)| {
@@ -150,124 +157,133 @@
 
 impl Scheduler {
     /// Counts the loss of a member's worker against its task.
-    pub(super) fn blame(&mut self, id: &str, key: &UnitKey, member: &Member) {
-        let begun = self.begun(id, key, member);
+    pub(super) fn count_loss(
+        &mut self,
+        id: &str,
+        key: &UnitKey,
+        member: &Member,
+    ) {
+        let begun = self.had_begun(id, key, member);
         let worker = self.workers.get(&member.place.agent);
         let worker = worker.filter(|w| w.life == member.place.life);
-        let announced = worker.is_some_and(|worker| worker.announced);
+        let announced = worker.is_some_and(|worker| worker.announced_leaving);
         // What was never handed to the agent has surely not begun there.
-        let never = !member.handed || begun == Some(false);
+        let never = !member.sent || begun == Some(false);
         // Nothing begins on a worker that leaves, so that what is not proven
         // there began just before: it may still be its doing.
         let excused = announced && member.is_proven();
         if never {
             return;
         }
-        let Some(entry) = self.jobs.get_mut(id) else {
+        let Some(record) = self.jobs.get_mut(id) else {
             return;
         };
-        let of = entry.subject(key);
-        let Some((run, loss)) = entry.loss(key, member) else {
+        let of = record.subject(key);
+        let Some((run, loss)) = record.new_loss(key, member) else {
             return;
         };
         if excused {
             loss.excused += 1;
-            self.touch(id);
+            self.mark_dirty(id);
             return;
         }
         // How long an earlier planner has seen it at work is not known; and
         // an agent that went with its worker tells nothing.
-        let known = begun.is_some() && !announced && !member.adopted;
+        let known = begun.is_some() && !announced && !member.inherited;
         let sudden = known && !member.is_proven();
-        loss.count();
+        loss.count_lost();
         loss.sudden += u32::from(sudden);
         let loss = loss.clone();
-        entry.blamed = true;
+        record.has_losses = true;
         if sudden {
-            entry.acquitted = false;
+            record.cleared = false;
         }
-        self.touch(id);
-        self.note(Decision::LossCounted {
+        self.mark_dirty(id);
+        self.record_decision(Decision::LossCounted {
             of,
             run,
             task: member.index,
             life: member.place.life.clone(),
-            ran: member.ran(),
+            ran: member.worked_for(),
             loss,
         });
         if sudden {
-            self.avoid(id, key, &member.place.agent);
+            self.avoid_worker(id, key, &member.place.agent);
         }
     }
 
     /// Counts the loss of a member's worker that only fell silent; returns
     /// whether it was not counted before.
-    pub(super) fn count_silent(
+    pub(super) fn add_unconfirmed(
         &mut self,
         id: &str,
         key: &UnitKey,
         member: &Member,
     ) -> bool {
-        let Some(entry) = self.jobs.get_mut(id) else {
+        let Some(record) = self.jobs.get_mut(id) else {
             return false;
         };
-        let Some((_, loss)) = entry.loss(key, member) else {
+        let Some((_, loss)) = record.new_loss(key, member) else {
             return false;
         };
         loss.silent.push(member.place.clone());
-        self.touch(id);
+        self.mark_dirty(id);
         true
     }
 
     /// Returns whether a member had begun on its worker before that went, if
     /// its agent tells so.
-    pub(super) fn begun(
+    pub(super) fn had_begun(
         &self,
         id: &str,
         key: &UnitKey,
         member: &Member,
     ) -> Option<bool> {
-        let before = self.before.get(&member.place.agent)?;
+        let before = self.past_lives.get(&member.place.agent)?;
         if before.life != member.place.life {
             return None;
         }
-        let entry = self.jobs.get(id)?;
-        let task = entry.task(key, member);
-        let run = entry.progress.units.get(key)?.run;
-        let told = before.begun.contains(&(task, run));
-        (told || !before.unseen).then_some(told)
+        let record = self.jobs.get(id)?;
+        let task = record.task(key, member);
+        let run = record.progress.units.get(key)?.run;
+        let listed = before.begun.contains(&(task, run));
+        (listed || !before.unseen).then_some(listed)
     }
 
     /// Takes in that a suspect is proven: its siblings need no longer wait
     /// for each other.
-    pub(super) fn acquit(&mut self, id: &str, key: &UnitKey) {
-        if let Some(entry) = self.jobs.get_mut(id) {
-            entry.acquitted |= entry.is_suspect(key);
+    pub(super) fn clear_suspicion(&mut self, id: &str, key: &UnitKey) {
+        if let Some(record) = self.jobs.get_mut(id) {
+            record.cleared |= record.is_suspect(key);
         }
     }
 
     /// Keeps everything else off the workers where a suspect begins, for as
     /// long as its trial takes.
-    pub(super) fn try_alone(
+    pub(super) fn isolate_workers(
         &mut self,
         id: &str,
         key: &UnitKey,
         places: &[Place],
         now: Timestamp,
     ) {
-        if !self.jobs.get(id).is_some_and(|entry| entry.is_suspect(key)) {
+        if !self
+            .jobs
+            .get(id)
+            .is_some_and(|record| record.is_suspect(key))
+        {
             return;
         }
         for place in places {
             if let Some(worker) = self.workers.get_mut(&place.agent) {
-                worker.trial = Some(now.monotonic + TRIAL);
+                worker.isolated_until = Some(now.monotonic + ISOLATION_TIME);
             }
         }
     }
 
     /// Returns the workers for a unit: for a suspect those that run nothing,
     /// if they are enough or it has not waited for that yet.
-    pub(super) fn apart<'a>(
+    pub(super) fn isolate_suspect<'a>(
         &self,
         request: &Request,
         sound: Vec<(&'a AgentId, &'a Worker)>,
@@ -281,19 +297,19 @@
         let slots = alone.map(|(_, w)| u64::from(request.slots(w))).sum();
         let enough = u64::from(request.width) <= slots;
         // What is urgent makes its own room, and does not wait for more.
-        let waits =
-            request.priority > 0 && now.monotonic < request.ready + ALONE;
+        let waits = request.priority > 0
+            && now.monotonic < request.ready + EMPTY_WORKER_WAIT;
         match enough || waits {
             true => sound.into_iter().filter(|(_, w)| empty(w)).collect(),
             false => sound,
         }
     }
 
-    fn avoid(&mut self, id: &str, key: &UnitKey, agent: &AgentId) {
-        let entry = self.jobs.get_mut(id);
-        let unit = entry.and_then(|entry| entry.units.get_mut(key));
+    fn avoid_worker(&mut self, id: &str, key: &UnitKey, agent: &AgentId) {
+        let record = self.jobs.get_mut(id);
+        let unit = record.and_then(|record| record.units.get_mut(key));
         if let Some(unit) = unit {
-            unit.avoid.push(agent.clone());
+            unit.avoided.push(agent.clone());
         }
     }
 }
--- a/src/graph/guarantee.rs
+++ b/src/graph/guarantee.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::graph::entry::Entry;
+use crate::graph::job_record::JobRecord;
 use crate::graph::place::Request;
 use crate::graph::unit::Phase;
 use crate::graph::Job;
@@ -18,7 +18,7 @@
 
 /// What it takes beside stops until a unit begins that was given room: the
 /// write of its run, and the orders.
-const ORDER: Duration = Duration::from_millis(500);
+const ORDER_LATENCY: Duration = Duration::from_millis(500);
 
 /// How an urgent unit stands to what its account is guaranteed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,18 +54,18 @@
 
 impl Scheduler {
     /// Returns the urgent jobs that are not over.
-    fn urgent_jobs(&self) -> impl Iterator<Item = &Entry> {
-        self.live()
-            .filter(|entry| !entry.over() && entry.job.priority == 0)
+    fn urgent_jobs(&self) -> impl Iterator<Item = &JobRecord> {
+        self.live_jobs()
+            .filter(|record| !record.is_over() && record.job.priority == 0)
     }
 
     /// Returns the accelerators that the urgent work of each account asks
     /// for.
-    fn needed(&self) -> BTreeMap<&SharedStr, i64> {
+    fn demand(&self) -> BTreeMap<&SharedStr, i64> {
         let mut needed = BTreeMap::new();
-        for entry in self.urgent_jobs() {
-            let most = accelerators(&entry.job);
-            *needed.entry(&entry.job.account).or_default() += most;
+        for record in self.urgent_jobs() {
+            let most = accelerators(&record.job);
+            *needed.entry(&record.job.account).or_default() += most;
         }
         needed
     }
@@ -77,58 +77,63 @@
     /// Finds the urgent jobs that are within what their accounts are
     /// guaranteed: of each account the first that fit into it, in the order
     /// in which they were accepted. What lies beyond borrows.
-    pub(super) fn promise(&mut self, now: Timestamp) {
-        let mut urgent: Vec<&Entry> = self.urgent_jobs().collect();
-        urgent.sort_by_key(|entry| (entry.accepted, &entry.job.id));
+    pub(super) fn assign_guarantees(&mut self, now: Timestamp) {
+        let mut urgent: Vec<&JobRecord> = self.urgent_jobs().collect();
+        urgent.sort_by_key(|record| (record.accepted_at, &record.job.id));
         let mut promised: BTreeMap<&SharedStr, i64> = BTreeMap::new();
         let mut within = BTreeSet::new();
-        for entry in urgent {
-            let account = &entry.job.account;
+        for record in urgent {
+            let account = &record.job.account;
             let taken = promised.entry(account).or_default();
-            let needed = accelerators(&entry.job);
+            let needed = accelerators(&record.job);
             if *taken + needed <= self.guaranteed(account) {
                 *taken += needed;
-                within.insert(entry.job.id.clone());
+                within.insert(record.job.id.clone());
             }
         }
-        let soon = self.urgent_jobs().filter(|entry| {
-            !within.contains(&entry.job.id) && self.is_soon(entry, now)
+        let soon = self.urgent_jobs().filter(|record| {
+            !within.contains(&record.job.id)
+                && self.is_within_guarantee_soon(record, now)
         });
         let soon: Vec<JobId> =
-            soon.map(|entry| entry.job.id.clone()).collect();
+            soon.map(|record| record.job.id.clone()).collect();
         within.extend(soon);
-        self.promised = within;
+        self.within_guarantee = within;
     }
 
     /// Returns whether a job that is beyond its account's guarantee may be
     /// within it by the time it has to have begun, and room for it has to be
     /// made now: once the account's other work has ended it would be too late
     /// for stops.
-    fn is_soon(&self, entry: &Entry, now: Timestamp) -> bool {
-        let by = entry.accepted + self.terms.reclaim_time;
+    fn is_within_guarantee_soon(
+        &self,
+        record: &JobRecord,
+        now: Timestamp,
+    ) -> bool {
+        let by = record.accepted_at + self.terms.reclaim_time;
         if now.monotonic >= by
-            || now.monotonic + self.terms.stop_time + ORDER < by
+            || now.monotonic + self.terms.stop_time + ORDER_LATENCY < by
         {
             return false;
         }
-        let account = &entry.job.account;
+        let account = &record.job.account;
         let others = self.urgent_jobs().filter(|other| {
             other.job.account == *account
-                && other.job.id != entry.job.id
+                && other.job.id != record.job.id
                 && !self.may_be_over(other)
         });
         let others: i64 = others.map(|other| accelerators(&other.job)).sum();
-        others + accelerators(&entry.job) <= self.guaranteed(account)
+        others + accelerators(&record.job) <= self.guaranteed(account)
     }
 
     /// Returns whether all of a job may be over within a stop: nothing of it
     /// has yet to begin.
-    fn may_be_over(&self, entry: &Entry) -> bool {
-        let steps = 0..entry.job.steps.len();
-        let mut open = steps.filter(|step| !entry.step_done(0, *step));
-        let mut units = entry.units.values();
-        entry.job.repeat.is_none()
-            && open.all(|step| entry.opened.contains(&(0, step)))
+    fn may_be_over(&self, record: &JobRecord) -> bool {
+        let steps = 0..record.job.steps.len();
+        let mut open = steps.filter(|step| !record.is_step_done(0, *step));
+        let mut units = record.units.values();
+        record.job.repeat.is_none()
+            && open.all(|step| record.opened_steps.contains(&(0, step)))
             && units.all(|unit| {
                 matches!(unit.phase, Phase::Running(_) | Phase::Done)
             })
@@ -136,64 +141,74 @@
 
     /// Returns whether a job was within what its account is guaranteed when
     /// the present pass began.
-    pub(super) fn is_promised(&self, entry: &Entry) -> bool {
-        self.promised.contains(&entry.job.id)
+    pub(super) fn is_within_guarantee(&self, record: &JobRecord) -> bool {
+        self.within_guarantee.contains(&record.job.id)
     }
 
     /// Returns by when a unit has to begin that is within its account's
     /// guarantee: what has not run yet from when its job was accepted.
-    pub(super) fn owed(&self, entry: &Entry, key: &UnitKey) -> Instant {
-        let kept = entry.progress.units.get(key);
-        let first = entry.job.steps[key.step].after.is_empty()
-            && entry.job.repeat.is_none()
-            && kept.is_none_or(|kept| kept.run <= 1);
-        let ready = entry.units.get(key).map(|unit| unit.ready);
+    pub(super) fn must_begin_by(
+        &self,
+        record: &JobRecord,
+        key: &UnitKey,
+    ) -> Instant {
+        let progress = record.progress.units.get(key);
+        let first = record.job.steps[key.step].after.is_empty()
+            && record.job.repeat.is_none()
+            && progress.is_none_or(|progress| progress.run <= 1);
+        let ready = record.units.get(key).map(|unit| unit.ready_since);
         let since = match ready {
             Some(ready) if !first => ready,
-            _ => entry.accepted,
+            _ => record.accepted_at,
         };
         since + self.terms.reclaim_time
     }
 
     /// Returns whether room of a pool is kept for units within guarantees.
-    pub(super) fn keeps_promised(&self, pool: &SharedStr) -> bool {
-        let promised = self.promised.iter().filter_map(|id| self.jobs.get(id));
-        let mut here = promised.filter(|entry| entry.job.pool == *pool);
-        here.any(|entry| {
-            let mut units = entry.units.values();
+    pub(super) fn reserves_for_guarantees(&self, pool: &SharedStr) -> bool {
+        let promised = self
+            .within_guarantee
+            .iter()
+            .filter_map(|id| self.jobs.get(id));
+        let mut here = promised.filter(|record| record.job.pool == *pool);
+        here.any(|record| {
+            let mut units = record.units.values();
             units.any(|unit| matches!(unit.phase, Phase::Reserved(_)))
         })
     }
 
     /// Returns when room for a unit within its account's guarantee has to be
     /// decided on, so that it begins in time though others are stopped for it.
-    pub(super) fn last_call(&self, request: &Request) -> Option<Instant> {
-        let entry = self.jobs.get(&request.id)?;
-        let by = self.owed(entry, &request.key);
-        let takes = self.terms.stop_time + ORDER;
+    pub(super) fn latest_decision(
+        &self,
+        request: &Request,
+    ) -> Option<Instant> {
+        let record = self.jobs.get(&request.id)?;
+        let by = self.must_begin_by(record, &request.key);
+        let takes = self.terms.stop_time + ORDER_LATENCY;
         let last = by.checked_sub(takes).unwrap_or(by);
-        self.is_promised(entry).then_some(last)
+        self.is_within_guarantee(record).then_some(last)
     }
 
     /// Returns how a unit stands to what its account is guaranteed, if it is
     /// urgent.
     pub(super) fn standing(
         &self,
-        entry: &Entry,
+        record: &JobRecord,
         key: &UnitKey,
         now: Timestamp,
     ) -> Option<GuaranteeStatus> {
-        if entry.job.priority > 0 {
+        if record.job.priority > 0 {
             return None;
         }
-        let account = &entry.job.account;
-        let owed = self.owed(entry, key);
+        let account = &record.job.account;
+        let owed = self.must_begin_by(record, key);
         let left = owed.saturating_duration_since(now.monotonic).as_millis();
         let past = now.monotonic.saturating_duration_since(owed).as_millis();
         Some(GuaranteeStatus {
             guaranteed: self.guaranteed(account),
-            needed: self.needed().get(account).copied().unwrap_or(0),
-            within: self.is_promised(entry),
+            needed: self.demand().get(account).copied().unwrap_or(0),
+            within: self.is_within_guarantee(record),
             left_ms: left as i64 - past as i64,
         })
     }
@@ -201,17 +216,21 @@
     /// Returns who holds the accelerators of a pool.
     pub(super) fn holders(&self, pool: &SharedStr) -> Holders {
         let mut holders = Holders::default();
-        for entry in self.live().filter(|entry| entry.job.pool == *pool) {
-            let held = entry.units.iter().filter(|(_, unit)| {
+        for record in
+            self.live_jobs().filter(|record| record.job.pool == *pool)
+        {
+            let held = record.units.iter().filter(|(_, unit)| {
                 matches!(unit.phase, Phase::Running(_) | Phase::Reserved(_))
             });
             let held = held.map(|(key, unit)| {
-                let each = entry.job.steps[key.step].resources.accelerators;
+                let each = record.job.steps[key.step].resources.accelerators;
                 each * unit.members().count() as i64
             });
             let held: i64 = held.sum();
-            match entry.job.priority {
-                0 if self.is_promised(entry) => holders.within += held,
+            match record.job.priority {
+                0 if self.is_within_guarantee(record) => {
+                    holders.within += held
+                }
                 0 => holders.borrowed += held,
                 _ => holders.lower += held,
             }
--- a/src/graph/history.rs
+++ b/src/graph/history.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::graph::entry::Entry;
+use crate::graph::job_record::JobRecord;
 use crate::graph::Job;
 use crate::graph::JobId;
 use crate::graph::Prediction;
@@ -16,19 +16,19 @@
 use crate::graph::SharedStr;
 
 /// How many steps of a queue are remembered.
-const KEPT: usize = 31;
+const MAX_SAMPLES: usize = 31;
 /// How many steps of a queue are needed before they count.
-const LEAST: usize = 4;
+const MIN_SAMPLES: usize = 4;
 /// What speaks for declared times before any run has, as a sum of squares of
 /// logarithms: four steps that are off by a quarter.
-const DECLARED: f64 = 0.25;
+const DECLARED_WEIGHT: f64 = 0.25;
 /// How many runs of a step what was expected before them counts for.
-const BEFORE: f64 = 0.5;
+const PRIOR_WEIGHT: f64 = 0.5;
 /// The longest that is believed of a run: callers declare anything, and
 /// several times as long must still be a time.
-const LONGEST: Duration = Duration::from_secs(30 * 24 * 3600);
+const MAX_RUN_TIME: Duration = Duration::from_secs(30 * 24 * 3600);
 /// The shortest run, so that every run has a logarithm.
-const SHORTEST: Duration = Duration::from_millis(1);
+const MIN_RUN_TIME: Duration = Duration::from_millis(1);
 
 /// The runs of one step that were done: its tasks are alike, so that a wide
 /// step tells no more than a narrow one.
@@ -37,12 +37,12 @@
     job: JobId,
     step: usize,
     declared: Duration,
-    ran: Runs,
+    ran: RunTimes,
 }
 
 /// What a queue's runs have shown.
 #[derive(Clone, Copy, Debug)]
-struct Fit {
+struct QueueFit {
     /// Half of the runs took no longer.
     median: Duration,
     /// The means of the logarithms of declared and real times.
@@ -54,13 +54,13 @@
 
 /// The runs of one step that were done.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Runs {
+pub(super) struct RunTimes {
     /// The sum of the logarithms of how long they took.
     sum: f64,
     count: f64,
 }
 
-impl Runs {
+impl RunTimes {
     /// Takes note of a run.
     pub fn push(&mut self, ran: Duration) {
         self.sum += logarithm(ran);
@@ -78,7 +78,7 @@
 pub(super) struct History {
     runs: BTreeMap<SharedStr, VecDeque<Sample>>,
     /// What the runs of each queue with runs enough have shown.
-    fits: BTreeMap<SharedStr, Fit>,
+    fits: BTreeMap<SharedStr, QueueFit>,
 }
 
 impl History {
@@ -97,17 +97,17 @@
                     job: job.id.clone(),
                     step,
                     declared: job.steps[step].estimate,
-                    ran: Runs::default(),
+                    ran: RunTimes::default(),
                 };
                 sample.ran.push(ran);
                 runs.push_back(sample);
             }
         }
-        if runs.len() > KEPT {
+        if runs.len() > MAX_SAMPLES {
             runs.pop_front();
         }
-        if runs.len() >= LEAST {
-            let fit = Fit::of(runs);
+        if runs.len() >= MIN_SAMPLES {
+            let fit = QueueFit::of(runs);
             self.fits.insert(job.queue.clone(), fit);
         }
     }
@@ -127,12 +127,12 @@
             }
             _ => declared,
         };
-        expected.min(LONGEST)
+        expected.min(MAX_RUN_TIME)
     }
 }
 
-impl Fit {
-    fn of(runs: &VecDeque<Sample>) -> Fit {
+impl QueueFit {
+    fn of(runs: &VecDeque<Sample>) -> QueueFit {
         let count = runs.len() as f64;
         let mean =
             |of: fn(&Sample) -> f64| runs.iter().map(of).sum::<f64>() / count;
@@ -145,8 +145,8 @@
             square += off * off;
         }
         // Until the runs say otherwise, a difference declared is one.
-        let slope = (both + DECLARED) / (square + DECLARED);
-        Fit {
+        let slope = (both + DECLARED_WEIGHT) / (square + DECLARED_WEIGHT);
+        QueueFit {
             median: median(runs),
             declared,
             ran,
@@ -157,15 +157,19 @@
 
 impl Scheduler {
     /// Returns how long a task of a job's step is expected to run.
-    pub(super) fn expect(&self, entry: &Entry, step: usize) -> Duration {
+    pub(super) fn expected_time(
+        &self,
+        record: &JobRecord,
+        step: usize,
+    ) -> Duration {
         let prediction = self.terms.policy.prediction;
-        let declared = entry.job.steps[step].estimate;
-        let queue = &entry.job.queue;
+        let declared = record.job.steps[step].estimate;
+        let queue = &record.job.queue;
         let expected = self.history.expect(queue, declared, prediction);
-        match entry.ran.get(&step) {
+        match record.run_times.get(&step) {
             Some(runs) if prediction == Prediction::Fitted => {
-                let before = BEFORE * logarithm(expected);
-                exponential((before + runs.sum) / (BEFORE + runs.count))
+                let before = PRIOR_WEIGHT * logarithm(expected);
+                exponential((before + runs.sum) / (PRIOR_WEIGHT + runs.count))
             }
             _ => expected,
         }
@@ -173,11 +177,11 @@
 }
 
 fn logarithm(time: Duration) -> f64 {
-    time.max(SHORTEST).as_secs_f64().ln()
+    time.max(MIN_RUN_TIME).as_secs_f64().ln()
 }
 
 fn exponential(logarithm: f64) -> Duration {
-    let longest = LONGEST.as_secs_f64();
+    let longest = MAX_RUN_TIME.as_secs_f64();
     Duration::from_secs_f64(logarithm.exp().min(longest))
 }
 
--- a/src/graph/inquiry.rs
+++ b/src/graph/inquiry.rs
@@ -7,7 +7,7 @@
 
 use std::time::Instant;
 
-use crate::graph::settle::End;
+use crate::graph::settle::MemberEnd;
 use crate::graph::AgentId;
 use crate::graph::Place;
 use crate::graph::Report;
@@ -18,9 +18,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Inquiry {
     /// It is to be asked.
-    Open,
+    Pending,
     /// It is being asked.
-    Asked,
+    Sent,
     /// All that the agent kept before then is known.
     Answered(Instant),
 }
@@ -33,9 +33,9 @@
         let open = self
             .inquiries
             .iter_mut()
-            .filter(|(_, inquiry)| **inquiry == Inquiry::Open);
+            .filter(|(_, inquiry)| **inquiry == Inquiry::Pending);
         open.map(|(agent, inquiry)| {
-            *inquiry = Inquiry::Asked;
+            *inquiry = Inquiry::Sent;
             agent.clone()
         })
         .collect()
@@ -46,14 +46,14 @@
     pub fn apply_inquiry(
         &mut self,
         agent: &AgentId,
-        kept: Option<Report>,
+        stored: Option<Report>,
         sent: Instant,
         now: Timestamp,
     ) {
         self.changed = true;
         self.inquiries
             .insert(agent.clone(), Inquiry::Answered(sent));
-        let Some(worker) = kept.and_then(|report| report.worker) else {
+        let Some(worker) = stored.and_then(|report| report.worker) else {
             return;
         };
         self.move_births(agent, &worker.life, &worker.lists);
@@ -62,31 +62,33 @@
             life: worker.life,
         };
         for ended in &worker.lists.ended {
-            let found = self.find(&ended.task, ended.run, &place);
-            if let Some((key, at)) = found {
-                self.save(&ended.task.job, &key, &ended.saved);
-                let end = End::Listed(ended.how);
-                self.end_member(&ended.task.job, &key, at, end, now);
+            let found = self.find_member(&ended.task, ended.run, &place);
+            if let Some((key, position)) = found {
+                self.store_checkpoint(&ended.task.job, &key, &ended.saved);
+                let end = MemberEnd::Listed(ended.how);
+                self.end_member(&ended.task.job, &key, position, end, now);
             }
         }
     }
 
     /// Returns whether it is known what an agent has kept until `since`;
     /// else it will be asked.
-    pub(super) fn is_inquired(
+    pub(super) fn is_inquiry_answered(
         &mut self,
         agent: &AgentId,
         since: Instant,
     ) -> bool {
-        let inquiry =
-            self.inquiries.entry(agent.clone()).or_insert(Inquiry::Open);
+        let inquiry = self
+            .inquiries
+            .entry(agent.clone())
+            .or_insert(Inquiry::Pending);
         match *inquiry {
             Inquiry::Answered(sent) if sent >= since => true,
             Inquiry::Answered(_) => {
-                *inquiry = Inquiry::Open;
+                *inquiry = Inquiry::Pending;
                 false
             }
-            Inquiry::Open | Inquiry::Asked => false,
+            Inquiry::Pending | Inquiry::Sent => false,
         }
     }
 }
--- a/src/graph/entry.rs
+++ b/src/graph/job_record.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use crate::graph::history::Runs;
+use crate::graph::history::RunTimes;
 use crate::graph::unit::Member;
 use crate::graph::unit::Unit;
 use crate::graph::Job;
@@ -16,7 +16,7 @@
 
 /// A job and how far it has come.
 #[derive(Clone, Debug)]
-pub(super) struct Entry {
+pub(super) struct JobRecord {
     pub job: Arc<Job>,
     pub progress: Progress,
     /// Counts the changes of the progress.
@@ -28,24 +28,24 @@
     /// that they wait for are done.
     pub units: BTreeMap<UnitKey, Unit>,
     /// The steps that have been opened.
-    pub opened: BTreeSet<(u32, usize)>,
+    pub opened_steps: BTreeSet<(u32, usize)>,
     /// How long whole runs of each step took.
-    pub ran: BTreeMap<usize, Runs>,
+    pub run_times: BTreeMap<usize, RunTimes>,
     /// Whether one of the units under which a worker was lost has since been
     /// at work without that.
-    pub acquitted: bool,
+    pub cleared: bool,
     /// Whether a worker was lost under any of its units: of most, none was.
-    pub blamed: bool,
-    pub accepted: Instant,
+    pub has_losses: bool,
+    pub accepted_at: Instant,
 }
 
-impl Entry {
-    pub fn over(&self) -> bool {
+impl JobRecord {
+    pub fn is_over(&self) -> bool {
         self.progress.outcome.is_some()
     }
 
     /// Returns the members that a unit has.
-    pub fn width(&self, key: &UnitKey) -> u32 {
+    pub fn member_count(&self, key: &UnitKey) -> u32 {
         match key.index {
             Some(_) => 1,
             None => self.job.steps[key.step].replicas,
@@ -53,7 +53,7 @@
     }
 
     /// Returns whether every task of a step is done.
-    pub fn step_done(&self, time: u32, step: usize) -> bool {
+    pub fn is_step_done(&self, time: u32, step: usize) -> bool {
         let done = |index| {
             let key = UnitKey { time, step, index };
             self.progress.units.get(&key).is_some_and(|unit| unit.done)
@@ -66,16 +66,16 @@
     }
 
     /// Returns whether every task of the job is done.
-    pub fn all_done(&self) -> bool {
+    pub fn is_all_done(&self) -> bool {
         (0..self.job.times()).all(|time| {
-            (0..self.job.steps.len()).all(|step| self.step_done(time, step))
+            (0..self.job.steps.len()).all(|step| self.is_step_done(time, step))
         })
     }
 
     /// Returns whether a unit's next failure would be its job's.
-    pub fn is_last(&self, key: &UnitKey) -> bool {
-        let kept = self.progress.units.get(key);
-        let failed = kept.map_or(0, |kept| kept.failed);
+    pub fn is_last_attempt(&self, key: &UnitKey) -> bool {
+        let progress = self.progress.units.get(key);
+        let failed = progress.map_or(0, |progress| progress.failed);
         !self.job.steps[key.step].lasting
             && failed + 1 >= self.job.max_attempts
     }
--- a/src/graph/life.rs
+++ b/src/graph/life.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 /// What stands between a worker's name and its birth: no sign of a name.
-const BORN: char = ' ';
+const SEPARATOR: char = ' ';
 
 /// When a worker started, in milliseconds since 1970 on its own clock.
 pub type Birth = u64;
@@ -28,7 +28,7 @@
 impl Life {
     /// Returns the life of a worker that tells its birth.
     pub fn new(name: &str, born: Birth) -> Life {
-        Life(format!("{name}{BORN}{born}").into())
+        Life(format!("{name}{SEPARATOR}{born}").into())
     }
 
     /// Returns the worker's name.
@@ -66,7 +66,7 @@
     }
 
     fn parts(&self) -> (&str, Option<Birth>) {
-        let parts = self.0.rsplit_once(BORN);
+        let parts = self.0.rsplit_once(SEPARATOR);
         let born = parts.map(|(name, born)| (name, born.parse().ok()));
         match born {
             Some((name, Some(born))) => (name, Some(born)),
--- a/src/graph/loss.rs
+++ b/src/graph/liveness.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use crate::graph::settle::End;
-use crate::graph::unit::Cause;
+use crate::graph::settle::MemberEnd;
+use crate::graph::unit::BreakCause;
 use crate::graph::unit::Member;
+use crate::graph::unit::MemberState;
 use crate::graph::unit::Phase;
-use crate::graph::unit::State;
+use crate::graph::unit::StopReason;
 use crate::graph::unit::Unit;
-use crate::graph::unit::Why;
 use crate::graph::Decision;
 use crate::graph::Place;
 use crate::graph::Scheduler;
@@ -16,84 +16,84 @@
 
 /// How long a planner counts as new: agents find it within tenths of a
 /// second, and one that lost its VM with the last planner does not come.
-const NEW: Duration = Duration::from_millis(1500);
+const STARTUP_TIME: Duration = Duration::from_millis(1500);
 /// How long a member may show no work before it may be taken for stuck.
-const STUCK: Duration = Duration::from_millis(2600);
+const STUCK_TIMEOUT: Duration = Duration::from_millis(2600);
 /// How many times longer than expected a run may take that has shown work.
-const OVERDUE: f64 = 4.0;
+const OVERDUE_FACTOR: f64 = 4.0;
 /// How many times longer a run may take that has never shown any.
-const OVERDUE_IDLE: f64 = 1.5;
+const IDLE_OVERDUE_FACTOR: f64 = 1.5;
 
 impl Scheduler {
     /// Ends the members on places that are gone.
-    pub(super) fn lose(
+    pub(super) fn end_lost(
         &mut self,
         gone: impl Fn(&Place) -> bool,
         now: Timestamp,
     ) {
-        self.lose_by(End::Gone, gone, now);
+        self.end_members_on(MemberEnd::WorkerLost, gone, now);
     }
 
     /// Ends the members on places that are gone, or may be.
-    pub(super) fn lose_by(
+    pub(super) fn end_members_on(
         &mut self,
-        end: End,
+        end: MemberEnd,
         gone: impl Fn(&Place) -> bool,
         now: Timestamp,
     ) {
         let mut lost = Vec::new();
-        for entry in self.live() {
-            for (key, unit) in &entry.units {
+        for record in self.live_jobs() {
+            for (key, unit) in &record.units {
                 let Phase::Running(members) = &unit.phase else {
                     continue;
                 };
                 let here = members.iter().enumerate().filter(|(_, m)| {
-                    m.state != State::Ended && gone(&m.place)
+                    m.state != MemberState::Ended && gone(&m.place)
                 });
-                lost.extend(
-                    here.map(|(at, _)| (entry.job.id.clone(), *key, at)),
-                );
+                lost.extend(here.map(|(position, _)| {
+                    (record.job.id.clone(), *key, position)
+                }));
             }
         }
-        for (id, key, at) in lost {
-            self.end_member(&id, &key, at, end, now);
+        for (id, key, position) in lost {
+            self.end_member(&id, &key, position, end, now);
         }
-        self.unreserve_lost(gone, now);
+        self.release_lost_reservations(gone, now);
     }
 
-    fn unreserve_lost(
+    fn release_lost_reservations(
         &mut self,
         gone: impl Fn(&Place) -> bool,
         now: Timestamp,
     ) {
         let mut given_up = Vec::new();
-        for entry in self.live() {
-            for (key, unit) in &entry.units {
+        for record in self.live_jobs() {
+            for (key, unit) in &record.units {
                 if let Phase::Reserved(members) = &unit.phase {
                     if members.iter().any(|m| gone(&m.place)) {
-                        given_up.push((entry.job.id.clone(), *key));
+                        given_up.push((record.job.id.clone(), *key));
                     }
                 }
             }
         }
         for (id, key) in given_up {
-            self.stop_unit(&id, &key, Why::Broken, now);
+            self.stop_unit(&id, &key, StopReason::Broken, now);
         }
     }
 
     /// Takes the members for gone whose agents have been silent for so long
     /// that their workers' leases have run out.
-    pub(super) fn lose_silent(&mut self, now: Timestamp) {
+    pub(super) fn expire_silent_workers(&mut self, now: Timestamp) {
         let wait = self.terms.survival + self.terms.lease_margin;
         let mut silent = Vec::new();
-        for entry in self.live() {
-            let members = entry.units.values().flat_map(Unit::members);
+        for record in self.live_jobs() {
+            let members = record.units.values().flat_map(Unit::members);
             for member in members {
                 let heard = self
                     .workers
                     .get(&member.place.agent)
                     .filter(|worker| worker.life == member.place.life)
-                    .map_or(self.began, |worker| worker.granted);
+                    .map_or(self.claimed_at, |worker| worker.last_grant);
                 let known = silent.iter().any(|(p, _)| *p == member.place);
                 if now.monotonic >= heard + wait && !known {
                     silent.push((member.place.clone(), heard));
@@ -101,14 +101,18 @@
             }
         }
         for (place, heard) in silent {
-            if !self.is_inquired(&place.agent, heard + wait) {
+            if !self.is_inquiry_answered(&place.agent, heard + wait) {
                 continue;
             }
-            self.note(Decision::WorkerLost {
+            self.record_decision(Decision::WorkerLost {
                 life: place.life.clone(),
                 silent: now.monotonic.saturating_duration_since(heard),
             });
-            self.lose_by(End::Silent, |other| *other == place, now);
+            self.end_members_on(
+                MemberEnd::WorkerSilent,
+                |other| *other == place,
+                now,
+            );
         }
     }
 
@@ -118,29 +122,30 @@
     /// have run out, 13 s, or 6 s where its agent goes on beside it; a worker
     /// taken away at short notice is the usual case. A last attempt does
     /// wait: should that member have failed, the job is over.
-    pub(super) fn end_broken(&mut self, now: Timestamp) {
+    pub(super) fn end_broken_gangs(&mut self, now: Timestamp) {
         if !self.terms.policy.end_broken_gangs {
             return;
         }
         let mut over = Vec::new();
-        for entry in self.live() {
-            for (key, unit) in &entry.units {
-                let tells = unit.cause == Cause::Hidden && !entry.is_last(key);
-                if !tells || !self.is_hidden(unit, now) {
+        for record in self.live_jobs() {
+            for (key, unit) in &record.units {
+                let tells = unit.break_cause == BreakCause::Unreported
+                    && !record.is_last_attempt(key);
+                if !tells || !self.is_out_of_contact(unit, now) {
                     continue;
                 }
                 let Phase::Running(members) = &unit.phase else {
                     continue;
                 };
                 let left = members.iter().enumerate();
-                let left = left.filter(|(_, m)| m.state != State::Ended);
-                over.extend(
-                    left.map(|(at, _)| (entry.job.id.clone(), *key, at)),
-                );
+                let left = left.filter(|(_, m)| m.state != MemberState::Ended);
+                over.extend(left.map(|(position, _)| {
+                    (record.job.id.clone(), *key, position)
+                }));
             }
         }
-        for (id, key, at) in over {
-            self.end_member(&id, &key, at, End::Silent, now);
+        for (id, key, position) in over {
+            self.end_member(&id, &key, position, MemberEnd::WorkerSilent, now);
         }
     }
 
@@ -149,20 +154,20 @@
     /// small part of the site: gangs were spread over the first racks that
     /// reported, and took three times as long, and runs were stopped there
     /// though others would have been free 0.2 s later.
-    pub(super) fn awaits(&self, now: Timestamp) -> bool {
+    pub(super) fn awaits_reports(&self, now: Timestamp) -> bool {
         if !self.terms.policy.await_reports
-            || now.monotonic >= self.began + NEW
+            || now.monotonic >= self.claimed_at + STARTUP_TIME
         {
             return false;
         }
-        let units = self.live().flat_map(|entry| entry.units.values());
+        let units = self.live_jobs().flat_map(|record| record.units.values());
         let mut members = units.flat_map(Unit::members);
         members.any(|m| !self.workers.contains_key(&m.place.agent))
     }
 
     /// Returns whether what is left of a unit's run began on one worker that
     /// nothing is heard of, or that answers its agent no more.
-    fn is_hidden(&self, unit: &Unit, now: Timestamp) -> bool {
+    fn is_out_of_contact(&self, unit: &Unit, now: Timestamp) -> bool {
         let mut left = unit.members();
         let Some(first) = left.next() else {
             return false;
@@ -171,43 +176,44 @@
             .workers
             .get(&first.place.agent)
             .filter(|worker| worker.life == first.place.life);
-        let heard = worker.map_or(self.began, |worker| worker.granted);
+        let heard = worker.map_or(self.claimed_at, |worker| worker.last_grant);
         let unheard = now.monotonic >= heard + self.terms.contact_timeout;
         let silent = worker.is_some_and(|worker| worker.silent);
         (unheard || silent)
-            && first.state == State::Present
-            && left
-                .all(|m| m.place == first.place && m.state == State::Present)
+            && first.state == MemberState::Running
+            && left.all(|m| {
+                m.place == first.place && m.state == MemberState::Running
+            })
     }
 
     /// Stops the runs that make no progress.
-    pub(super) fn stop_stuck(&mut self, now: Timestamp) {
+    pub(super) fn stop_stuck_runs(&mut self, now: Timestamp) {
         if !self.terms.policy.stop_stuck {
             return;
         }
         let mut stuck = Vec::new();
-        for entry in self.live() {
-            for (key, unit) in &entry.units {
-                let step = &entry.job.steps[key.step];
+        for record in self.live_jobs() {
+            for (key, unit) in &record.units {
+                let step = &record.job.steps[key.step];
                 if !matches!(unit.phase, Phase::Running(_))
-                    || unit.stop.is_some()
+                    || unit.stop_reason.is_some()
                     || step.lasting
                 {
                     continue;
                 }
-                let expected = self.expect(entry, key.step);
+                let expected = self.expected_time(record, key.step);
                 let far = step.same_rack || step.data_rack.is_some();
                 let expected = match far {
                     true => expected.mul_f64(self.terms.far_slowdown),
                     false => expected,
                 };
                 if unit.members().any(|m| self.is_stuck(m, expected, now)) {
-                    stuck.push((entry.job.id.clone(), *key));
+                    stuck.push((record.job.id.clone(), *key));
                 }
             }
         }
         for (id, key) in stuck {
-            self.stop_unit(&id, &key, Why::Stuck, now);
+            self.stop_unit(&id, &key, StopReason::Stuck, now);
         }
     }
 
@@ -222,15 +228,16 @@
     ) -> bool {
         let worker = self.workers.get(&member.place.agent);
         let fresh = worker.is_some_and(|worker| {
-            now.monotonic < worker.granted + self.terms.contact_timeout
+            now.monotonic < worker.last_grant + self.terms.contact_timeout
         });
-        let factor = match member.worked {
-            true => OVERDUE,
-            false => OVERDUE_IDLE,
+        let factor = match member.showed_work {
+            true => OVERDUE_FACTOR,
+            false => IDLE_OVERDUE_FACTOR,
         };
-        let overdue = member.since + expected.mul_f64(factor) + STUCK;
+        let overdue =
+            member.assigned_at + expected.mul_f64(factor) + STUCK_TIMEOUT;
         fresh
             && now.monotonic >= overdue
-            && now.monotonic >= member.moved + STUCK
+            && now.monotonic >= member.last_work + STUCK_TIMEOUT
     }
 }
--- a/src/graph/orders.rs
+++ b/src/graph/orders.rs
@@ -5,10 +5,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::graph::advice::Leave;
-use crate::graph::entry::Entry;
+use crate::graph::advice::Permission;
+use crate::graph::job_record::JobRecord;
+use crate::graph::unit::MemberState;
 use crate::graph::unit::Phase;
-use crate::graph::unit::State;
 use crate::graph::unit::Unit;
 use crate::graph::AgentId;
 use crate::graph::Life;
@@ -86,9 +86,9 @@
                 all.insert(agent.clone(), orders);
             }
         }
-        for id in &self.open {
-            if let Some(entry) = self.jobs.get_mut(id) {
-                order(entry, &self.leave, &mut all);
+        for id in &self.open_jobs {
+            if let Some(record) = self.jobs.get_mut(id) {
+                order(record, &self.permissions, &mut all);
             }
         }
         all
@@ -97,18 +97,18 @@
     /// Acknowledges the ends that are written, and returns an agent's orders
     /// beside what is to be started and stopped of known runs.
     fn begin_orders(&mut self, agent: &AgentId) -> Option<Orders> {
-        let paces = self.paces(agent);
+        let paces = self.pace_orders(agent);
         let worker = self.workers.get_mut(agent)?;
-        while let Some(end) = worker.unnoted.front() {
+        while let Some(end) = worker.unacked_ends.front() {
             let written = self
                 .jobs
                 .get(&end.job)
-                .is_none_or(|entry| entry.written >= end.version);
+                .is_none_or(|record| record.written >= end.version);
             if !written {
                 break;
             }
-            worker.noted = end.number;
-            worker.unnoted.pop_front();
+            worker.acked_end = end.number;
+            worker.unacked_ends.pop_front();
         }
         let stray = |(task, run): &(Task, Run)| Stop {
             task: task.clone(),
@@ -116,44 +116,44 @@
         };
         Some(Orders {
             life: Some(worker.life.clone()),
-            noted: worker.noted,
+            noted: worker.acked_end,
             starts: Vec::new(),
-            stops: worker.strays.iter().map(stray).collect(),
+            stops: worker.unknown_runs.iter().map(stray).collect(),
             paces,
         })
     }
 }
 
 fn order(
-    entry: &mut Entry,
-    leave: &BTreeMap<StepKey, Leave>,
+    record: &mut JobRecord,
+    leave: &BTreeMap<StepKey, Permission>,
     all: &mut BTreeMap<AgentId, Orders>,
 ) {
-    let mut units = std::mem::take(&mut entry.units);
+    let mut units = std::mem::take(&mut record.units);
     for (key, unit) in &mut units {
-        let step = (entry.job.id.clone(), key.time, key.step);
-        order_unit(entry, key, unit, leave.get(&step), all);
+        let step = (record.job.id.clone(), key.time, key.step);
+        order_unit(record, key, unit, leave.get(&step), all);
     }
-    entry.units = units;
+    record.units = units;
 }
 
 fn order_unit(
-    entry: &Entry,
+    record: &JobRecord,
     key: &UnitKey,
     unit: &mut Unit,
-    leave: Option<&Leave>,
+    leave: Option<&Permission>,
     all: &mut BTreeMap<AgentId, Orders>,
 ) {
     let Phase::Running(members) = &mut unit.phase else {
         return;
     };
-    let Some(kept) = entry.progress.units.get(key) else {
+    let Some(progress) = record.progress.units.get(key) else {
         return;
     };
-    let stopped = unit.stop.is_some();
+    let stopped = unit.stop_reason.is_some();
     for member in members.iter_mut() {
-        let waits = matches!(member.state, State::Ordered(_));
-        if member.state == State::Ended || !stopped && !waits {
+        let waits = matches!(member.state, MemberState::Ordered(_));
+        if member.state == MemberState::Ended || !stopped && !waits {
             continue;
         }
         let life = &member.place.life;
@@ -162,26 +162,28 @@
         let Some(orders) = orders else {
             continue;
         };
-        let task = entry.task(key, member);
+        let task = record.task(key, member);
         match member.state {
             // Once a gang is done without a member, that one must not begin
             // any more.
-            State::Ordered(_) | State::Present if stopped || kept.done => {
+            MemberState::Ordered(_) | MemberState::Running
+                if stopped || progress.done =>
+            {
                 orders.stops.push(Stop {
                     task,
-                    run: kept.run,
+                    run: progress.run,
                 });
             }
-            State::Ordered(version) if version <= entry.written => {
-                member.handed = true;
+            MemberState::Ordered(version) if version <= record.written => {
+                member.sent = true;
                 orders.starts.push(Start {
                     task,
-                    run: kept.run,
-                    spec: entry.job.spec.clone(),
-                    saved: Some(kept.from.clone())
+                    run: progress.run,
+                    spec: record.job.spec.clone(),
+                    saved: Some(progress.from.clone())
                         .filter(|from| !from.is_empty()),
                     ticket: leave.and_then(|leave| leave.ticket(life)),
-                    charge: entry.job.steps[key.step].charge(),
+                    charge: record.job.steps[key.step].charge(),
                 });
             }
             _ => {}
--- a/src/graph/place.rs
+++ b/src/graph/place.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::graph::entry::Entry;
-use crate::graph::schedule::LONGEST_IDLE;
+use crate::graph::job_record::JobRecord;
+use crate::graph::schedule::MAX_WAIT_WHEN_IDLE;
 use crate::graph::scheduler::Worker;
 use crate::graph::unit::Unit;
 use crate::graph::AgentId;
@@ -35,40 +35,40 @@
     pub avoid: Vec<AgentId>,
     pub ready: Instant,
     /// Whether it may use room that is kept for others but empty.
-    pub past_kept: bool,
+    pub may_use_reserved: bool,
     /// How long it is expected to run.
     pub expected: Duration,
     /// Whether it may not fail once more.
-    pub last: bool,
+    pub last_attempt: bool,
     /// Whether a worker was suddenly lost under it.
     pub suspect: bool,
 }
 
 impl Request {
     pub fn new(
-        entry: &Entry,
+        record: &JobRecord,
         key: &UnitKey,
         unit: &Unit,
         expected: Duration,
     ) -> Request {
-        let step = &entry.job.steps[key.step];
+        let step = &record.job.steps[key.step];
         Request {
-            id: entry.job.id.clone(),
+            id: record.job.id.clone(),
             key: *key,
-            priority: entry.job.priority,
-            pool: entry.job.pool.clone(),
-            width: entry.width(key),
+            priority: record.job.priority,
+            pool: record.job.pool.clone(),
+            width: record.member_count(key),
             charge: step.charge(),
             label: step.label.clone(),
             data_rack: step.data_rack.clone(),
             same_rack: step.gang && step.same_rack,
             per_worker: step.per_worker,
-            avoid: unit.avoid.clone(),
-            ready: unit.ready,
-            past_kept: false,
+            avoid: unit.avoided.clone(),
+            ready: unit.ready_since,
+            may_use_reserved: false,
             expected,
-            last: entry.is_last(key),
-            suspect: entry.is_suspect(key),
+            last_attempt: record.is_last_attempt(key),
+            suspect: record.is_suspect(key),
         }
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Returns whether a rack is one where the unit is not slow.
-    pub fn near(&self, rack: &SharedStr) -> bool {
+    pub fn is_near(&self, rack: &SharedStr) -> bool {
         self.data_rack.as_ref().is_none_or(|data| data == rack)
     }
 }
@@ -98,7 +98,7 @@
     /// How many tasks of the unit's step it may still take.
     pub quota: u32,
     /// What speaks against it, the lower the better.
-    pub doubt: usize,
+    pub failures: usize,
 }
 
 impl Candidate {
@@ -120,8 +120,8 @@
         let all = self.workers.values();
         let free =
             all.filter(|w| w.pool == request.pool)
-                .map(|worker| match request.past_kept {
-                    true => worker.empty(),
+                .map(|worker| match request.may_use_reserved {
+                    true => worker.unoccupied(),
                     false => worker.free(),
                 });
         let most = free.map(|free| u64::from(free.times(&request.charge)));
@@ -133,22 +133,23 @@
         if slots.map(u64::from).sum::<u64>() < u64::from(request.width) {
             return None;
         }
-        let choices = self.among(request, &candidates, now).into_iter();
-        choices.filter_map(|chosen| fill(request, chosen)).next()
+        let choices =
+            self.by_rack_choice(request, &candidates, now).into_iter();
+        choices.filter_map(|chosen| pack(request, chosen)).next()
     }
 
     /// Returns the workers to try together, the best choice first.
-    pub(super) fn choices(
+    pub(super) fn candidate_sets(
         &self,
         request: &Request,
         now: Timestamp,
     ) -> Vec<Vec<Candidate>> {
         let candidates = self.candidates(request, now);
-        self.among(request, &candidates, now)
+        self.by_rack_choice(request, &candidates, now)
     }
 
     /// Returns the candidates to try together, the best choice first.
-    fn among(
+    fn by_rack_choice(
         &self,
         request: &Request,
         candidates: &[Candidate],
@@ -157,8 +158,8 @@
         // Grouped once: to go through all of them for each of 30 racks was
         // most of a pass with a burst of urgent gangs.
         let mut by_rack: BTreeMap<&SharedStr, Vec<usize>> = BTreeMap::new();
-        for (at, candidate) in candidates.iter().enumerate() {
-            by_rack.entry(&candidate.rack).or_default().push(at);
+        for (index, candidate) in candidates.iter().enumerate() {
+            by_rack.entry(&candidate.rack).or_default().push(index);
         }
         let within = |racks: Option<BTreeSet<SharedStr>>| {
             let Some(racks) = racks else {
@@ -167,14 +168,16 @@
             let here = racks.iter().filter_map(|rack| by_rack.get(rack));
             let mut here: Vec<usize> = here.flatten().copied().collect();
             here.sort_unstable();
-            here.iter().map(|at| candidates[*at].clone()).collect()
+            here.iter()
+                .map(|index| candidates[*index].clone())
+                .collect()
         };
-        let racks = self.racks(request, candidates, now).into_iter();
+        let racks = self.rack_choices(request, candidates, now).into_iter();
         racks.map(within).collect()
     }
 
     /// Returns the sets of racks to try in turn; `None` is all of them.
-    fn racks(
+    fn rack_choices(
         &self,
         request: &Request,
         candidates: &[Candidate],
@@ -201,7 +204,7 @@
         let slow_if_spread = request.same_rack || request.data_rack.is_some();
         let spread =
             choices.is_empty() || now.monotonic >= self.near_until(request);
-        if spread && !(slow_if_spread && self.awaits(now)) {
+        if spread && !(slow_if_spread && self.awaits_reports(now)) {
             choices.push(None);
         }
         choices
@@ -214,14 +217,14 @@
         for worker in self.workers.values() {
             let here = slots.entry(&worker.rack).or_default();
             let stays = !worker.leaving && !worker.gone;
-            let open = !self.closed.contains(&worker.hall);
+            let open = !self.closed_halls.contains(&worker.hall);
             if worker.pool == request.pool && stays && open {
                 *here = here.saturating_add(request.slots(worker));
             }
         }
         slots
             .into_iter()
-            .filter(|(rack, _)| request.near(rack))
+            .filter(|(rack, _)| request.is_near(rack))
             .filter(|(_, slots)| *slots >= request.width)
             .map(|(rack, _)| rack.clone())
             .collect()
@@ -229,15 +232,15 @@
 
     /// Returns until when only racks will do where a unit is not slow.
     fn near_until(&self, request: &Request) -> Instant {
-        let dear = request
+        let extra_time = request
             .expected
             .mul_f64((self.terms.far_slowdown - 1.0).max(0.0));
-        let wait = dear.mul_f64(self.terms.policy.near_wait);
-        let until = match self.mostly_idle(&request.pool) {
-            true => request.ready + wait.min(LONGEST_IDLE),
+        let wait = extra_time.mul_f64(self.terms.policy.near_wait);
+        let until = match self.is_mostly_idle(&request.pool) {
+            true => request.ready + wait.min(MAX_WAIT_WHEN_IDLE),
             false => request.ready + wait,
         };
-        match self.last_call(request) {
+        match self.latest_decision(request) {
             // Later there is no time left for stops elsewhere.
             Some(last) => until.min(last),
             None => until,
@@ -250,17 +253,17 @@
         request: &Request,
         now: Timestamp,
     ) -> Vec<Candidate> {
-        let leave = self.leave_of(request);
+        let leave = self.requirement_of(request);
         let sound: Vec<(&AgentId, &Worker)> = self
             .workers
             .iter()
-            .filter(|(_, worker)| self.usable(worker, request, now))
+            .filter(|(_, worker)| self.is_usable(worker, request, now))
             .filter(|(_, worker)| leave.allows(&worker.life, now.monotonic))
             .collect();
-        let wary = self.terms.policy.probation && request.last;
-        let sound = untried(request, sound, wary);
-        let sound = self.apart(request, sound, now);
-        let spare = self.spare(request, &sound, now);
+        let wary = self.terms.policy.probation && request.last_attempt;
+        let sound = prefer_untried(request, sound, wary);
+        let sound = self.isolate_suspect(request, sound, now);
+        let spare = self.spare_workers(request, &sound, now);
         sound
             .into_iter()
             .filter(|(agent, _)| !spare.contains(*agent))
@@ -270,17 +273,17 @@
                     life: worker.life.clone(),
                 },
                 rack: worker.rack.clone(),
-                free: match request.past_kept {
-                    true => worker.empty(),
+                free: match request.may_use_reserved {
+                    true => worker.unoccupied(),
                     false => worker.free(),
                 },
                 quota: self.quota(request, agent),
-                doubt: worker.health.doubt(),
+                failures: worker.health.failure_count(),
             })
             .collect()
     }
 
-    pub(super) fn usable(
+    pub(super) fn is_usable(
         &self,
         worker: &Worker,
         request: &Request,
@@ -289,12 +292,14 @@
         let label = request.label.as_ref();
         worker.pool == request.pool
             && !worker.leaving
-            && !self.closed.contains(&worker.hall)
+            && !self.closed_halls.contains(&worker.hall)
             && !worker.silent
             && !worker.gone
-            && !worker.health.apart(now.monotonic)
-            && worker.trial.is_none_or(|until| now.monotonic >= until)
-            && now.monotonic < worker.granted + self.terms.contact_timeout
+            && !worker.health.is_quarantined(now.monotonic)
+            && worker
+                .isolated_until
+                .is_none_or(|until| now.monotonic >= until)
+            && now.monotonic < worker.last_grant + self.terms.contact_timeout
             && label.is_none_or(|label| worker.labels.contains(label))
             && worker.capacity.holds(&request.charge)
     }
@@ -304,10 +309,10 @@
         let Some(most) = request.per_worker else {
             return u32::MAX;
         };
-        let Some(entry) = self.jobs.get(&request.id) else {
+        let Some(record) = self.jobs.get(&request.id) else {
             return 0;
         };
-        let here = entry
+        let here = record
             .units
             .iter()
             .filter(|(key, _)| {
@@ -323,18 +328,19 @@
 /// Leaves out the workers where a unit has failed, and for a wary one those
 /// in doubt, if the others could hold it; a unit that has waited while most
 /// is idle takes them all the same.
-fn untried<'a>(
+fn prefer_untried<'a>(
     request: &Request,
     sound: Vec<(&'a AgentId, &'a Worker)>,
     wary: bool,
 ) -> Vec<(&'a AgentId, &'a Worker)> {
     let slots = |worker: &Worker| u64::from(request.slots(worker));
     let tried = |agent: &AgentId, worker: &Worker| {
-        request.avoid.contains(agent) || wary && worker.health.doubt() > 0
+        request.avoid.contains(agent)
+            || wary && worker.health.failure_count() > 0
     };
     let others = sound.iter().filter(|(agent, w)| !tried(agent, w));
     let held: u64 = others.map(|(_, worker)| slots(worker)).sum();
-    if request.past_kept || held < u64::from(request.width) {
+    if request.may_use_reserved || held < u64::from(request.width) {
         return sound;
     }
     let others = sound.into_iter().filter(|(agent, w)| !tried(agent, w));
@@ -343,7 +349,7 @@
 
 /// Returns a place for each member on the given workers, the fullest that
 /// still fit going first so that whole workers stay free.
-pub(super) fn fill(
+pub(super) fn pack(
     request: &Request,
     mut candidates: Vec<Candidate>,
 ) -> Option<Vec<Place>> {
@@ -354,7 +360,7 @@
             .filter(|c| c.quota > 0 && c.free.holds(&request.charge))
             .min_by_key(|c| {
                 let left = c.free.minus(&request.charge);
-                (c.doubt, left.accelerators, left.cpu)
+                (c.failures, left.accelerators, left.cpu)
             })?;
         best.free = best.free.minus(&request.charge);
         best.quota -= 1;
--- a/src/graph/preempt.rs
+++ b/src/graph/preempt.rs
@@ -7,14 +7,14 @@
 
 use crate::graph::budget;
 use crate::graph::budget::Need;
-use crate::graph::entry::Entry;
+use crate::graph::job_record::JobRecord;
 use crate::graph::place::Candidate;
 use crate::graph::place::Request;
 use crate::graph::unit::Member;
+use crate::graph::unit::MemberState;
 use crate::graph::unit::Phase;
-use crate::graph::unit::State;
+use crate::graph::unit::StopReason;
 use crate::graph::unit::Unit;
-use crate::graph::unit::Why;
 use crate::graph::AgentId;
 use crate::graph::JobId;
 use crate::graph::Place;
@@ -25,14 +25,14 @@
 use crate::graph::UnitKey;
 
 /// The thousandths of a core that an accelerator's work counts as.
-const ACCELERATOR_CPU: i64 = 8000;
+const ACCELERATOR_MILLICORES: i64 = 8000;
 /// The work of a checkpointing unit that a stop loses: from its last
 /// checkpoint, and resuming.
-const LOST_WITH_CHECKPOINT: Duration = Duration::from_millis(300);
+const CHECKPOINT_LOSS: Duration = Duration::from_millis(300);
 
 /// What stopping urgent work weighs in core-seconds, beside what it throws
 /// away: it is late then, so that any other work goes first.
-const LENT: f64 = 1e6;
+const BORROWER_WEIGHT: f64 = 1e6;
 
 /// A run that could be stopped.
 #[derive(Clone, Debug)]
@@ -44,9 +44,9 @@
     /// The core-seconds that would be lost.
     cost: f64,
     /// Whether only so many of its step may be away.
-    spared: bool,
+    limited_absence: bool,
     /// Whether it is urgent, and has what others are guaranteed.
-    lent: bool,
+    borrows: bool,
 }
 
 impl Victim {
@@ -58,8 +58,8 @@
 
     /// Returns what speaks against stopping it, in core-seconds.
     fn weight(&self) -> f64 {
-        match self.lent {
-            true => LENT + self.cost,
+        match self.borrows {
+            true => BORROWER_WEIGHT + self.cost,
             false => self.cost,
         }
     }
@@ -72,13 +72,13 @@
 pub(super) struct Victims {
     /// Whose they are, once they have been gone through, and whether for
     /// units within guarantees.
-    of: Option<(SharedStr, bool)>,
+    scope: Option<(SharedStr, bool)>,
     all: Vec<Victim>,
     /// Which of them run on each agent's worker, the cheapest first.
     by_agent: BTreeMap<AgentId, Vec<usize>>,
     /// The core-seconds that the last unit's room would have thrown away, if
     /// it was not taken for that.
-    pub(super) dear: Option<f64>,
+    pub(super) rejected_cost: Option<f64>,
     /// Which of them are being stopped already.
     stopped: BTreeSet<usize>,
     /// What it costs to make room on each agent's worker: the gangs of a
@@ -100,11 +100,11 @@
 impl Victims {
     fn new(of: (SharedStr, bool), all: Vec<Victim>) -> Victims {
         let mut by_agent: BTreeMap<AgentId, Vec<usize>> = BTreeMap::new();
-        for (at, victim) in all.iter().enumerate() {
+        for (index, victim) in all.iter().enumerate() {
             for place in &victim.places {
                 let here = by_agent.entry(place.agent.clone()).or_default();
-                if here.last() != Some(&at) {
-                    here.push(at);
+                if here.last() != Some(&index) {
+                    here.push(index);
                 }
             }
         }
@@ -112,31 +112,31 @@
             here.sort_by(|a, b| all[*a].weight().total_cmp(&all[*b].weight()));
         }
         Victims {
-            of: Some(of),
+            scope: Some(of),
             all,
             by_agent,
-            dear: None,
+            rejected_cost: None,
             stopped: BTreeSet::new(),
             costs: RefCell::default(),
         }
     }
 
     /// Takes in that one is being stopped.
-    fn stop(&mut self, at: usize) {
-        self.stopped.insert(at);
+    fn stop(&mut self, index: usize) {
+        self.stopped.insert(index);
         let costs = self.costs.get_mut();
-        for place in &self.all[at].places {
+        for place in &self.all[index].places {
             costs.remove(&place.agent);
         }
     }
 
     /// Returns those on an agent's worker that are not being stopped.
-    fn on<'a>(
+    fn remaining_on<'a>(
         &'a self,
         agent: &AgentId,
     ) -> impl Iterator<Item = usize> + use<'a> {
         let here = self.by_agent.get(agent).map_or(&[][..], Vec::as_slice);
-        let going = |at: &usize| !self.stopped.contains(at);
+        let going = |index: &usize| !self.stopped.contains(index);
         here.iter().copied().filter(going)
     }
 }
@@ -162,46 +162,55 @@
         victims: &mut Victims,
         now: Timestamp,
     ) -> bool {
-        if self.awaits(now) {
+        if self.awaits_reports(now) {
             return false;
         }
-        let entry = self.jobs.get(id);
-        let promised = entry.is_some_and(|entry| self.is_promised(entry));
+        let record = self.jobs.get(id);
+        let promised =
+            record.is_some_and(|record| self.is_within_guarantee(record));
         let of = (request.pool.clone(), promised);
-        if victims.of.as_ref() != Some(&of) {
+        if victims.scope.as_ref() != Some(&of) {
             let all = self.victims(request, promised, now);
             *victims = Victims::new(of, all);
         }
         let mut best: Option<Eviction> = None;
-        for chosen in self.choices(request, now) {
+        for chosen in self.candidate_sets(request, now) {
             let most = best.as_ref().map_or(f64::INFINITY, |best| best.weight);
-            best = evict(request, chosen, victims, most).or(best);
+            best = find_eviction(request, chosen, victims, most).or(best);
         }
         let Some(eviction) = best else {
             return false;
         };
-        let costs = eviction.victims.iter().map(|at| victims.all[*at].cost);
+        let costs = eviction
+            .victims
+            .iter()
+            .map(|index| victims.all[*index].cost);
         let cost: f64 = costs.sum();
-        if !promised && cost > self.most_lost(id, key, request, now) {
-            victims.dear = Some(cost);
+        if !promised && cost > self.max_loss(id, key, request, now) {
+            victims.rejected_cost = Some(cost);
             return false;
         }
         let stopped = (eviction.victims.len(), cost);
         self.reserve(id, key, eviction.places, stopped, now);
-        for at in eviction.victims {
-            let victim = &victims.all[at];
-            self.stop_unit(&victim.id, &victim.key, Why::Preempted, now);
-            victims.stop(at);
+        for index in eviction.victims {
+            let victim = &victims.all[index];
+            self.stop_unit(
+                &victim.id,
+                &victim.key,
+                StopReason::Preempted,
+                now,
+            );
+            victims.stop(index);
         }
         // Of some steps only so many may be away: which, is looked up anew.
-        if victims.all.iter().any(|victim| victim.spared) {
-            victims.of = None;
+        if victims.all.iter().any(|victim| victim.limited_absence) {
+            victims.scope = None;
         }
         true
     }
 
     /// Returns how many core-seconds may be thrown away for a unit.
-    fn most_lost(
+    fn max_loss(
         &self,
         id: &str,
         key: &UnitKey,
@@ -225,34 +234,34 @@
         now: Timestamp,
     ) -> Vec<Victim> {
         let mut victims = Vec::new();
-        for entry in self.live() {
+        for record in self.live_jobs() {
             // What borrows holds what others are guaranteed, however urgent:
             // else they would have it back only once that ends by itself.
             let lent = promised
-                && entry.job.priority == request.priority
-                && !self.is_promised(entry);
-            if !lent && entry.job.priority <= request.priority
-                || entry.job.pool != request.pool
+                && record.job.priority == request.priority
+                && !self.is_within_guarantee(record);
+            if !lent && record.job.priority <= request.priority
+                || record.job.pool != request.pool
             {
                 continue;
             }
-            let mut spared = spared(entry);
-            for (key, unit) in &entry.units {
+            let mut left = absences_left(record);
+            for (key, unit) in &record.units {
                 let runs = matches!(
                     unit.phase,
                     Phase::Running(_) | Phase::Reserved(_)
                 );
-                if !runs || unit.stop.is_some() {
+                if !runs || unit.stop_reason.is_some() {
                     continue;
                 }
-                match spared.get_mut(&(key.time, key.step)) {
+                match left.get_mut(&(key.time, key.step)) {
                     Some(0) => continue,
-                    Some(left) => *left -= 1,
+                    Some(more) => *more -= 1,
                     None => {}
                 }
                 victims.push(Victim {
-                    lent,
-                    ..victim(entry, key, unit, now)
+                    borrows: lent,
+                    ..victim(record, key, unit, now)
                 });
             }
         }
@@ -262,70 +271,70 @@
 
 /// Returns how many more units of a step may be stopped, for the steps of
 /// which only so many may be away.
-fn spared(entry: &Entry) -> BTreeMap<(u32, usize), u32> {
-    let mut spared = BTreeMap::new();
-    for (key, unit) in &entry.units {
-        let Some(most) = entry.job.steps[key.step].may_miss else {
+fn absences_left(record: &JobRecord) -> BTreeMap<(u32, usize), u32> {
+    let mut left = BTreeMap::new();
+    for (key, unit) in &record.units {
+        let Some(most) = record.job.steps[key.step].may_miss else {
             continue;
         };
-        let left = spared.entry((key.time, key.step)).or_insert(most);
-        if !at_work(unit) {
-            *left = left.saturating_sub(1);
+        let more = left.entry((key.time, key.step)).or_insert(most);
+        if !is_fully_running(unit) {
+            *more = more.saturating_sub(1);
         }
     }
-    spared
+    left
 }
 
 /// Returns whether all of a unit's members run, and nothing stops them.
-fn at_work(unit: &Unit) -> bool {
+fn is_fully_running(unit: &Unit) -> bool {
     let Phase::Running(members) = &unit.phase else {
         return false;
     };
-    let present = |member: &Member| member.state == State::Present;
-    unit.stop.is_none() && members.iter().all(present)
+    let present = |member: &Member| member.state == MemberState::Running;
+    unit.stop_reason.is_none() && members.iter().all(present)
 }
 
 /// Returns the cores that a task's work counts as.
 pub(super) fn cores(charge: &Resources) -> f64 {
-    let cpu = charge.cpu + charge.accelerators * ACCELERATOR_CPU;
+    let cpu = charge.cpu + charge.accelerators * ACCELERATOR_MILLICORES;
     cpu as f64 / 1000.0
 }
 
 fn victim(
-    entry: &Entry,
+    record: &JobRecord,
     key: &UnitKey,
     unit: &Unit,
     now: Timestamp,
 ) -> Victim {
-    let step = &entry.job.steps[key.step];
+    let step = &record.job.steps[key.step];
     let charge = step.charge();
     let ran = |since| now.monotonic.saturating_duration_since(since);
     let reserved = matches!(unit.phase, Phase::Reserved(_));
     let lost = match step.checkpoints {
         _ if reserved => Duration::ZERO,
-        true => LOST_WITH_CHECKPOINT,
+        true => CHECKPOINT_LOSS,
         false => unit
             .members()
-            .map(|m| ran(m.since))
+            .map(|m| ran(m.assigned_at))
             .max()
             .unwrap_or_default(),
     };
     let places: Vec<Place> = unit.members().map(|m| m.place.clone()).collect();
     let cores = cores(&charge) * places.len() as f64;
     Victim {
-        id: entry.job.id.clone(),
+        id: record.job.id.clone(),
         key: *key,
         charge,
         cost: cores * lost.as_secs_f64(),
         places,
-        spared: step.may_miss.is_some(),
-        lent: false,
+        limited_absence: step.may_miss.is_some(),
+        borrows: false,
     }
 }
 
 /// Finds the cheapest runs to stop, one member at a time, if they cost less
 /// than `most`.
-fn evict(
+fn find_eviction(
     request: &Request,
     mut candidates: Vec<Candidate>,
     victims: &Victims,
@@ -342,23 +351,26 @@
             .iter()
             .enumerate()
             .filter(|(_, c)| c.quota > 0)
-            .filter_map(|(at, candidate)| {
-                let cost = clear(request, candidate, victims, &eviction)?;
-                Some((at, cost))
+            .filter_map(|(index, candidate)| {
+                let cost =
+                    clearing_cost(request, candidate, victims, &eviction)?;
+                Some((index, cost))
             })
             .min_by(|a, b| a.1.total_cmp(&b.1));
-        let (at, cost) = best?;
+        let (index, cost) = best?;
         eviction.weight += cost;
         if eviction.weight >= most {
             return None;
         }
-        for victim in stops(request, &candidates[at], victims, &eviction) {
+        for victim in
+            victims_on(request, &candidates[index], victims, &eviction)
+        {
             eviction.victims.insert(victim);
             let places = victims.all[victim].places.iter();
             eviction.touched.extend(places.map(|p| p.agent.clone()));
-            give_back(&mut candidates, &victims.all[victim]);
+            free_room(&mut candidates, &victims.all[victim]);
         }
-        let chosen = &mut candidates[at];
+        let chosen = &mut candidates[index];
         chosen.free = chosen.free.minus(&request.charge);
         chosen.quota -= 1;
         eviction.places.push(chosen.place.clone());
@@ -368,7 +380,7 @@
 
 /// Returns what it costs to make room for one member on a worker, if that
 /// can be done.
-fn clear(
+fn clearing_cost(
     request: &Request,
     candidate: &Candidate,
     victims: &Victims,
@@ -376,7 +388,7 @@
 ) -> Option<f64> {
     let agent = &candidate.place.agent;
     if eviction.touched.contains(agent) {
-        return clear_anew(request, candidate, victims, eviction);
+        return compute_clearing_cost(request, candidate, victims, eviction);
     }
     let (charge, free) = (request.charge, candidate.free);
     let known = victims.costs.borrow().get(agent).copied();
@@ -384,13 +396,13 @@
     if let Some(known) = known {
         return known.cost;
     }
-    let cost = clear_anew(request, candidate, victims, eviction);
+    let cost = compute_clearing_cost(request, candidate, victims, eviction);
     let known = Cost { charge, free, cost };
     victims.costs.borrow_mut().insert(agent.clone(), known);
     cost
 }
 
-fn clear_anew(
+fn compute_clearing_cost(
     request: &Request,
     candidate: &Candidate,
     victims: &Victims,
@@ -398,20 +410,20 @@
 ) -> Option<f64> {
     let mut free = candidate.free;
     let mut cost = 0.0;
-    for at in victims.on(&candidate.place.agent) {
+    for index in victims.remaining_on(&candidate.place.agent) {
         if free.holds(&request.charge) {
             break;
         }
-        if !eviction.victims.contains(&at) {
-            free = free.plus(&victims.all[at].frees(&candidate.place));
-            cost += victims.all[at].weight();
+        if !eviction.victims.contains(&index) {
+            free = free.plus(&victims.all[index].frees(&candidate.place));
+            cost += victims.all[index].weight();
         }
     }
     free.holds(&request.charge).then_some(cost)
 }
 
 /// Returns the runs whose stop makes room for one member on a worker.
-fn stops(
+fn victims_on(
     request: &Request,
     candidate: &Candidate,
     victims: &Victims,
@@ -419,19 +431,19 @@
 ) -> Vec<usize> {
     let mut free = candidate.free;
     let mut stops = Vec::new();
-    for at in victims.on(&candidate.place.agent) {
+    for index in victims.remaining_on(&candidate.place.agent) {
         if free.holds(&request.charge) {
             break;
         }
-        if !eviction.victims.contains(&at) {
-            free = free.plus(&victims.all[at].frees(&candidate.place));
-            stops.push(at);
+        if !eviction.victims.contains(&index) {
+            free = free.plus(&victims.all[index].frees(&candidate.place));
+            stops.push(index);
         }
     }
     stops
 }
 
-fn give_back(candidates: &mut [Candidate], victim: &Victim) {
+fn free_room(candidates: &mut [Candidate], victim: &Victim) {
     for place in &victim.places {
         let candidate = candidates
             .iter_mut()
--- a/src/graph/shrink.rs
+++ b/src/graph/resize.rs
@@ -5,9 +5,9 @@
 //! again, and what was ordered and has not begun is taken back: a worker that
 //! does not guard its room would begin it all the same.
 
+use crate::graph::unit::MemberState;
 use crate::graph::unit::Phase;
-use crate::graph::unit::State;
-use crate::graph::unit::Why;
+use crate::graph::unit::StopReason;
 use crate::graph::AgentId;
 use crate::graph::Decision;
 use crate::graph::JobId;
@@ -33,18 +33,18 @@
         };
         worker.capacity = to;
         // What is kept for units that have not begun is looked at by itself.
-        let taken = worker.used.minus(&worker.kept);
+        let taken = worker.used.minus(&worker.reserved);
         if !to.holds(&taken) {
-            self.withdrawn.insert(agent.clone(), Why::Shrunk);
+            self.withdrawals.insert(agent.clone(), StopReason::Shrunk);
         }
-        self.note(resized);
+        self.record_decision(resized);
     }
 
     /// Takes back what was ordered on workers that must begin nothing more,
     /// as far as it has not begun.
-    pub(super) fn take_back(&mut self, now: Timestamp) {
-        for (agent, why) in std::mem::take(&mut self.withdrawn) {
-            for (id, key) in self.ordered_on(&agent) {
+    pub(super) fn withdraw_orders(&mut self, now: Timestamp) {
+        for (agent, why) in std::mem::take(&mut self.withdrawals) {
+            for (id, key) in self.units_ordered_on(&agent) {
                 self.stop_unit(&id, &key, why, now);
             }
         }
@@ -52,17 +52,17 @@
 
     /// Returns the units with a member on a worker that is not known to have
     /// begun there.
-    fn ordered_on(&self, agent: &AgentId) -> Vec<(JobId, UnitKey)> {
+    fn units_ordered_on(&self, agent: &AgentId) -> Vec<(JobId, UnitKey)> {
         let mut ordered = Vec::new();
-        for entry in self.live() {
-            for (key, unit) in &entry.units {
+        for record in self.live_jobs() {
+            for (key, unit) in &record.units {
                 let runs = matches!(unit.phase, Phase::Running(_));
                 let here = unit.members().any(|member| {
                     member.place.agent == *agent
-                        && matches!(member.state, State::Ordered(_))
+                        && matches!(member.state, MemberState::Ordered(_))
                 });
                 if runs && here {
-                    ordered.push((entry.job.id.clone(), *key));
+                    ordered.push((record.job.id.clone(), *key));
                 }
             }
         }
--- a/src/graph/scheduler.rs
+++ b/src/graph/scheduler.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::graph::advice::Leave;
-use crate::graph::entry::Entry;
+use crate::graph::advice::Permission;
 use crate::graph::health::Health;
 use crate::graph::history::History;
 use crate::graph::inquiry::Inquiry;
-use crate::graph::pace::Filling;
-use crate::graph::silence::Silence;
-use crate::graph::unit::Why;
+use crate::graph::job_record::JobRecord;
+use crate::graph::pace::FillerPace;
+use crate::graph::unconfirmed::UnconfirmedLoss;
+use crate::graph::unit::StopReason;
 use crate::graph::AgentId;
 use crate::graph::Decision;
 use crate::graph::JobId;
@@ -71,7 +71,7 @@
 
 /// An end that is not yet acknowledged.
 #[derive(Clone, Debug)]
-pub(super) struct Unnoted {
+pub(super) struct UnackedEnd {
     pub number: u64,
     pub job: JobId,
     /// The version of the job's progress that holds it.
@@ -91,47 +91,47 @@
     /// Whether it has not answered its agent for long.
     pub silent: bool,
     /// Until when it stays at least, while it is leaving.
-    pub stays: Option<Instant>,
+    pub leaves_at: Option<Instant>,
     /// What the members placed here take, and what is kept for others.
     pub used: Resources,
     /// The part of that which is kept for units that have not begun.
-    pub kept: Resources,
+    pub reserved: Resources,
     pub process: String,
     pub sequence: u64,
     /// When the last report that was granted survival came in.
-    pub granted: Instant,
+    pub last_grant: Instant,
     /// The highest end that was taken in.
-    pub taken: u64,
+    pub highest_end: u64,
     /// The highest end that is acknowledged.
-    pub noted: u64,
-    pub unnoted: VecDeque<Unnoted>,
+    pub acked_end: u64,
+    pub unacked_ends: VecDeque<UnackedEnd>,
     /// Runs that nobody here has ordered, to be stopped.
-    pub strays: BTreeSet<(Task, Run)>,
+    pub unknown_runs: BTreeSet<(Task, Run)>,
     /// What those of them take whose jobs are known: until they are stopped
     /// their room is not free, and not every worker guards it.
-    pub strayed: Resources,
+    pub unknown_charge: Resources,
     pub health: Health,
     /// The pace of what fills there.
-    pub filling: Filling,
+    pub filler_pace: FillerPace,
     /// Runs that were listed with another pace.
-    pub paced: Vec<(Task, Run)>,
+    pub off_pace: Vec<(Task, Run)>,
     /// Whether its life is over, as far as its agent knows.
     pub gone: bool,
     /// Whether it has said, while it still answered, that it is leaving.
-    pub announced: bool,
+    pub announced_leaving: bool,
     /// Until when a suspect has it alone.
-    pub trial: Option<Instant>,
+    pub isolated_until: Option<Instant>,
 }
 
 impl Worker {
     pub fn free(&self) -> Resources {
-        self.capacity.minus(&self.used).minus(&self.strayed)
+        self.capacity.minus(&self.used).minus(&self.unknown_charge)
     }
 
     /// Returns the room that nothing is in, though it may be kept.
-    pub fn empty(&self) -> Resources {
-        let used = self.used.minus(&self.kept);
-        self.capacity.minus(&used).minus(&self.strayed)
+    pub fn unoccupied(&self) -> Resources {
+        let used = self.used.minus(&self.reserved);
+        self.capacity.minus(&used).minus(&self.unknown_charge)
     }
 }
 
@@ -140,32 +140,32 @@
 pub struct Scheduler {
     pub(super) terms: Options,
     /// When this planner claimed: no grant of an earlier one is later.
-    pub(super) began: Instant,
+    pub(super) claimed_at: Instant,
     pub(super) workers: BTreeMap<AgentId, Worker>,
     /// What agents say of the lives before those in the books.
-    pub(super) before: BTreeMap<AgentId, PastLife>,
-    pub(super) jobs: BTreeMap<JobId, Entry>,
+    pub(super) past_lives: BTreeMap<AgentId, PastLife>,
+    pub(super) jobs: BTreeMap<JobId, JobRecord>,
     /// Jobs with units that are not done.
-    pub(super) open: BTreeSet<JobId>,
+    pub(super) open_jobs: BTreeSet<JobId>,
     /// The accelerators that each client account is guaranteed.
     pub(super) guarantees: BTreeMap<SharedStr, i64>,
     /// The urgent jobs that are within them, as of the last pass.
-    pub(super) promised: BTreeSet<JobId>,
+    pub(super) within_guarantee: BTreeSet<JobId>,
     pub(super) history: History,
     /// When the last urgent job of each pool was accepted.
-    pub(super) urgent: BTreeMap<SharedStr, Instant>,
+    pub(super) last_urgent: BTreeMap<SharedStr, Instant>,
     /// Who may run the steps whose starts need leave.
-    pub(super) leave: BTreeMap<StepKey, Leave>,
+    pub(super) permissions: BTreeMap<StepKey, Permission>,
     /// Losses of workers that only fell silent.
-    pub(super) silences: Vec<Silence>,
+    pub(super) unconfirmed: Vec<UnconfirmedLoss>,
     /// What is asked about agents that are silent.
     pub(super) inquiries: BTreeMap<AgentId, Inquiry>,
     /// Halls that are to be given no new work.
-    pub(super) closed: BTreeSet<SharedStr>,
+    pub(super) closed_halls: BTreeSet<SharedStr>,
     /// Workers from which what has not begun is to be taken back, and why.
-    pub(super) withdrawn: BTreeMap<AgentId, Why>,
+    pub(super) withdrawals: BTreeMap<AgentId, StopReason>,
     pub(super) dirty: BTreeSet<JobId>,
-    pub(super) stirred: BTreeSet<AgentId>,
+    pub(super) agents_to_order: BTreeSet<AgentId>,
     /// Whether anything came in since the last pass that may change what it
     /// decides, beside the time.
     pub(super) changed: bool,
@@ -181,22 +181,22 @@
     pub fn new(terms: Options, now: Timestamp) -> Scheduler {
         Scheduler {
             terms,
-            began: now.monotonic,
+            claimed_at: now.monotonic,
             workers: BTreeMap::new(),
-            before: BTreeMap::new(),
+            past_lives: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            open: BTreeSet::new(),
+            open_jobs: BTreeSet::new(),
             guarantees: BTreeMap::new(),
-            promised: BTreeSet::new(),
+            within_guarantee: BTreeSet::new(),
             history: History::default(),
-            urgent: BTreeMap::new(),
-            leave: BTreeMap::new(),
-            silences: Vec::new(),
+            last_urgent: BTreeMap::new(),
+            permissions: BTreeMap::new(),
+            unconfirmed: Vec::new(),
             inquiries: BTreeMap::new(),
-            closed: BTreeSet::new(),
-            withdrawn: BTreeMap::new(),
+            closed_halls: BTreeSet::new(),
+            withdrawals: BTreeMap::new(),
             dirty: BTreeSet::new(),
-            stirred: BTreeSet::new(),
+            agents_to_order: BTreeSet::new(),
             changed: true,
             decisions: Vec::new(),
         }
@@ -211,15 +211,17 @@
     /// Sets the halls that are to be given no new work. What runs there goes
     /// on; what was ordered and has not begun is taken back.
     pub fn set_closed_halls(&mut self, closed: BTreeSet<SharedStr>) {
-        if closed == self.closed {
+        if closed == self.closed_halls {
             return;
         }
-        self.closed = closed;
+        self.closed_halls = closed;
         self.changed = true;
         let agents = self.workers.iter();
-        let inside = agents.filter(|(_, w)| self.closed.contains(&w.hall));
-        let inside = inside.map(|(agent, _)| (agent.clone(), Why::Closed));
-        self.withdrawn.extend(inside);
+        let inside =
+            agents.filter(|(_, w)| self.closed_halls.contains(&w.hall));
+        let inside =
+            inside.map(|(agent, _)| (agent.clone(), StopReason::Closed));
+        self.withdrawals.extend(inside);
     }
 
     /// Returns whether anything came in since the last pass that may change
@@ -237,12 +239,12 @@
 
     /// Returns whether orders may have changed since they were last taken.
     pub fn has_changed_orders(&self) -> bool {
-        !self.stirred.is_empty()
+        !self.agents_to_order.is_empty()
     }
 
     /// Returns the jobs that are not over, or still hold something.
-    pub(super) fn live(&self) -> impl Iterator<Item = &Entry> {
-        self.open.iter().filter_map(|id| self.jobs.get(id))
+    pub(super) fn live_jobs(&self) -> impl Iterator<Item = &JobRecord> {
+        self.open_jobs.iter().filter_map(|id| self.jobs.get(id))
     }
 
     /// Returns whether a job is known.
@@ -252,7 +254,7 @@
 
     /// Returns how a job stands.
     pub fn progress(&self, id: &str) -> Option<&Progress> {
-        self.jobs.get(id).map(|entry| &entry.progress)
+        self.jobs.get(id).map(|record| &record.progress)
     }
 
     /// Returns what was decided since this was last called.
@@ -260,7 +262,7 @@
         std::mem::take(&mut self.decisions)
     }
 
-    pub(super) fn note(&mut self, decision: Decision) {
+    pub(super) fn record_decision(&mut self, decision: Decision) {
         if self.decisions.len() < MAX_DECISIONS {
             self.decisions.push(decision);
         }
@@ -269,7 +271,7 @@
     /// Returns the agents whose orders may have changed since this was last
     /// called.
     pub fn take_agents_to_order(&mut self) -> BTreeSet<AgentId> {
-        std::mem::take(&mut self.stirred)
+        std::mem::take(&mut self.agents_to_order)
     }
 
     /// Returns up to `most` jobs whose progress must be written, each with
@@ -279,12 +281,12 @@
         ids.iter()
             .filter_map(|id| {
                 self.dirty.remove(id);
-                let entry = self.jobs.get(id)?;
+                let record = self.jobs.get(id)?;
                 Some(Unwritten {
                     id: id.clone(),
-                    queue: entry.job.queue.clone(),
-                    version: entry.version,
-                    progress: entry.progress.clone(),
+                    queue: record.job.queue.clone(),
+                    version: record.version,
+                    progress: record.progress.clone(),
                 })
             })
             .collect()
@@ -292,66 +294,66 @@
 
     /// Takes note that a version of a job's progress is written.
     pub fn mark_written(&mut self, id: &str, version: u64) {
-        let Some(entry) = self.jobs.get_mut(id) else {
+        let Some(record) = self.jobs.get_mut(id) else {
             return;
         };
-        entry.written = entry.written.max(version);
-        let written = entry.written;
-        for unit in entry.units.values() {
+        record.written = record.written.max(version);
+        let written = record.written;
+        for unit in record.units.values() {
             let agents = unit.members().map(|m| m.place.agent.clone());
-            self.stirred.extend(agents);
+            self.agents_to_order.extend(agents);
         }
         for (agent, worker) in &mut self.workers {
             let waits = worker
-                .unnoted
+                .unacked_ends
                 .iter()
                 .any(|end| &*end.job == id && end.version <= written);
             if waits {
-                self.stirred.insert(agent.clone());
+                self.agents_to_order.insert(agent.clone());
             }
         }
-        let over = self.jobs.get(id).is_some_and(Entry::over);
-        if over && self.settled(id) {
-            self.open.remove(id);
+        let over = self.jobs.get(id).is_some_and(JobRecord::is_over);
+        if over && self.holds_nothing(id) {
+            self.open_jobs.remove(id);
         }
     }
 
     /// Returns whether there is a job that is not over, or holds something.
     pub fn is_idle(&self) -> bool {
-        self.open.is_empty()
+        self.open_jobs.is_empty()
     }
 
     /// Returns the jobs that ended before `before` and hold nothing any
     /// more.
     pub fn ended_before(&self, before: std::time::SystemTime) -> Vec<JobId> {
-        let old = |entry: &&Entry| {
-            entry.progress.ended.is_some_and(|ended| ended < before)
-                && entry.written == entry.version
+        let old = |record: &&JobRecord| {
+            record.progress.ended.is_some_and(|ended| ended < before)
+                && record.written == record.version
         };
         let ids = self.jobs.values().filter(old);
-        ids.map(|entry| entry.job.id.clone())
-            .filter(|id| self.settled(id))
+        ids.map(|record| record.job.id.clone())
+            .filter(|id| self.holds_nothing(id))
             .collect()
     }
 
     /// Forgets a job whose records are removed.
     pub fn forget_job(&mut self, id: &str) {
         self.jobs.remove(id);
-        self.open.remove(id);
+        self.open_jobs.remove(id);
         self.dirty.remove(id);
-        self.leave.retain(|(job, ..), _| &**job != id);
+        self.permissions.retain(|(job, ..), _| &**job != id);
     }
 
-    fn settled(&self, id: &str) -> bool {
-        self.jobs.get(id).is_none_or(|entry| {
-            entry.units.values().all(|u| u.members().next().is_none())
+    fn holds_nothing(&self, id: &str) -> bool {
+        self.jobs.get(id).is_none_or(|record| {
+            record.units.values().all(|u| u.members().next().is_none())
         })
     }
 
-    pub(super) fn touch(&mut self, id: &str) {
-        if let Some(entry) = self.jobs.get_mut(id) {
-            entry.version += 1;
-            self.dirty.insert(entry.job.id.clone());
+    pub(super) fn mark_dirty(&mut self, id: &str) {
+        if let Some(record) = self.jobs.get_mut(id) {
+            record.version += 1;
+            self.dirty.insert(record.job.id.clone());
         }
     }
 
@@ -364,15 +366,15 @@
     }
 
     /// Adds to what is kept on a worker.
-    pub(super) fn keep(&mut self, place: &Place, charge: &Resources) {
+    pub(super) fn reserve_on(&mut self, place: &Place, charge: &Resources) {
         if let Some(worker) = self.workers.get_mut(&place.agent) {
             if worker.life == place.life {
-                worker.kept = worker.kept.plus(charge);
+                worker.reserved = worker.reserved.plus(charge);
             }
         }
     }
 
-    pub(super) fn vacate(&mut self, place: &Place, charge: &Resources) {
+    pub(super) fn release(&mut self, place: &Place, charge: &Resources) {
         if let Some(worker) = self.workers.get_mut(&place.agent) {
             if worker.life == place.life {
                 worker.used = worker.used.minus(charge);
@@ -382,52 +384,55 @@
     }
 
     pub(super) fn succeed_if_done(&mut self, id: &str, now: Timestamp) {
-        let Some(entry) = self.jobs.get(id) else {
+        let Some(record) = self.jobs.get(id) else {
             return;
         };
-        if !entry.over() && !entry.job.is_lasting() && entry.all_done() {
-            self.finish(id, Outcome::Succeeded, now);
+        if !record.is_over()
+            && !record.job.is_lasting()
+            && record.is_all_done()
+        {
+            self.end_job(id, Outcome::Succeeded, now);
         }
     }
 
     /// Ends a job and stops what still runs of it.
-    pub(super) fn finish(
+    pub(super) fn end_job(
         &mut self,
         id: &str,
         outcome: Outcome,
         now: Timestamp,
     ) {
-        let Some(entry) = self.jobs.get_mut(id) else {
+        let Some(record) = self.jobs.get_mut(id) else {
             return;
         };
-        if entry.over() {
+        if record.is_over() {
             return;
         }
-        entry.progress.outcome = Some(outcome);
-        entry.progress.ended = Some(now.wall);
+        record.progress.outcome = Some(outcome);
+        record.progress.ended = Some(now.wall);
         // The members of a gang that is done end by themselves.
         let done = |key: &&UnitKey| {
-            let kept = entry.progress.units.get(key);
-            kept.is_some_and(|kept| kept.done)
+            let progress = record.progress.units.get(key);
+            progress.is_some_and(|progress| progress.done)
         };
-        let keys = entry.units.keys().filter(|key| !done(key));
+        let keys = record.units.keys().filter(|key| !done(key));
         let keys: Vec<UnitKey> = keys.copied().collect();
         for key in keys {
-            self.stop_unit(id, &key, Why::Over, now);
+            self.stop_unit(id, &key, StopReason::Over, now);
         }
-        self.touch(id);
-        let Some(entry) = self.jobs.get(id) else {
+        self.mark_dirty(id);
+        let Some(record) = self.jobs.get(id) else {
             return;
         };
         let over = Decision::JobEnded {
-            job: entry.job.id.clone(),
-            account: entry.job.account.clone(),
-            queue: entry.job.queue.clone(),
+            job: record.job.id.clone(),
+            account: record.job.account.clone(),
+            queue: record.job.queue.clone(),
             outcome,
-            took: now.monotonic.saturating_duration_since(entry.accepted),
-            objective: self.objective(entry),
+            took: now.monotonic.saturating_duration_since(record.accepted_at),
+            objective: self.objective(record),
         };
-        self.note(over);
+        self.record_decision(over);
     }
 }
 
--- a/src/graph/settle.rs
+++ b/src/graph/settle.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::graph::entry::Entry;
-use crate::graph::unit::Cause;
-use crate::graph::unit::Cut;
+use crate::graph::job_record::JobRecord;
+use crate::graph::unit::BreakCause;
+use crate::graph::unit::Interruption;
+use crate::graph::unit::MemberState;
 use crate::graph::unit::Phase;
-use crate::graph::unit::State;
-use crate::graph::unit::Why;
+use crate::graph::unit::StopReason;
 use crate::graph::AgentId;
 use crate::graph::Decision;
 use crate::graph::JobId;
@@ -25,39 +25,47 @@
 
 /// How long a unit waits after a run that was refused, or failed where it
 /// had failed before: the same would come of it at once.
-const AGAIN: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// What came of a member's run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum End {
+pub(super) enum MemberEnd {
     /// Its worker listed how it ended.
     Listed(RunOutcome),
     /// It never began, and never will.
-    Never(Refusal),
+    NeverBegan(Refusal),
     /// Its worker is gone.
-    Gone,
+    WorkerLost,
     /// Its worker, or the agent beside it, says nothing: it may be there.
-    Silent,
+    WorkerSilent,
 }
 
-impl End {
+impl MemberEnd {
     /// Returns the word for it in logs.
     fn word(self) -> &'static str {
         match self {
-            End::Listed(RunOutcome::Done) => "done",
-            End::Listed(RunOutcome::Failed) => "failed",
-            End::Listed(RunOutcome::Stopped) => "stopped",
-            End::Listed(RunOutcome::Lapsed) => "lease ran out",
-            End::Listed(RunOutcome::Broken) => "another member ended",
-            End::Listed(RunOutcome::Alone) => "other members did not come",
-            End::Never(Refusal::Barred) => "never began",
-            End::Never(Refusal::Room) => "refused: no room",
-            End::Never(Refusal::Leaving) => "refused: worker leaving",
-            End::Never(Refusal::Unhealthy) => "refused: worker unhealthy",
-            End::Never(Refusal::Invalid) => "refused: order invalid",
-            End::Never(Refusal::Ticket) => "refused: leave ran out",
-            End::Gone => "worker gone",
-            End::Silent => "worker silent",
+            MemberEnd::Listed(RunOutcome::Done) => "done",
+            MemberEnd::Listed(RunOutcome::Failed) => "failed",
+            MemberEnd::Listed(RunOutcome::Stopped) => "stopped",
+            MemberEnd::Listed(RunOutcome::Lapsed) => "lease ran out",
+            MemberEnd::Listed(RunOutcome::Broken) => "another member ended",
+            MemberEnd::Listed(RunOutcome::Alone) => {
+                "other members did not come"
+            }
+            MemberEnd::NeverBegan(Refusal::Barred) => "never began",
+            MemberEnd::NeverBegan(Refusal::Room) => "refused: no room",
+            MemberEnd::NeverBegan(Refusal::Leaving) => {
+                "refused: worker leaving"
+            }
+            MemberEnd::NeverBegan(Refusal::Unhealthy) => {
+                "refused: worker unhealthy"
+            }
+            MemberEnd::NeverBegan(Refusal::Invalid) => {
+                "refused: order invalid"
+            }
+            MemberEnd::NeverBegan(Refusal::Ticket) => "refused: leave ran out",
+            MemberEnd::WorkerLost => "worker gone",
+            MemberEnd::WorkerSilent => "worker silent",
         }
     }
 }
@@ -68,109 +76,116 @@
         &mut self,
         id: &str,
         key: &UnitKey,
-        at: usize,
-        end: End,
+        position: usize,
+        end: MemberEnd,
         now: Timestamp,
     ) {
-        let Some(entry) = self.jobs.get_mut(id) else {
+        let Some(record) = self.jobs.get_mut(id) else {
             return;
         };
-        let charge = entry.job.steps[key.step].charge();
-        let job = entry.job.id.clone();
-        let of = entry.subject(key);
-        let from = entry.progress.units.get(key);
-        let whole = from.is_some_and(|kept| kept.from.is_empty());
-        let Some(unit) = entry.units.get_mut(key) else {
+        let charge = record.job.steps[key.step].charge();
+        let job = record.job.id.clone();
+        let of = record.subject(key);
+        let progress_before = record.progress.units.get(key);
+        let from_start =
+            progress_before.is_some_and(|progress| progress.from.is_empty());
+        let Some(unit) = record.units.get_mut(key) else {
             return;
         };
         let Phase::Running(members) = &mut unit.phase else {
             return;
         };
-        let member = &mut members[at];
+        let member = &mut members[position];
         // The end of another member may have ended it: its room would be
         // given back twice.
-        if member.state == State::Ended {
+        if member.state == MemberState::Ended {
             return;
         }
-        member.state = State::Ended;
+        member.state = MemberState::Ended;
         let lost = member.clone();
         let place = member.place.clone();
-        let since = member.since;
-        let began = !member.adopted;
-        let stopped = unit.stop;
-        unit.cause = match (unit.cause, end) {
-            (Cause::Open, End::Listed(RunOutcome::Broken)) => Cause::Hidden,
+        let since = member.assigned_at;
+        let began = !member.inherited;
+        let stopped = unit.stop_reason;
+        unit.break_cause = match (unit.break_cause, end) {
+            (BreakCause::NoEnds, MemberEnd::Listed(RunOutcome::Broken)) => {
+                BreakCause::Unreported
+            }
             // Stopped by us, after the run broke.
             (
-                Cause::Hidden,
-                End::Listed(RunOutcome::Broken | RunOutcome::Stopped),
-            ) => Cause::Hidden,
-            _ => Cause::Known,
+                BreakCause::Unreported,
+                MemberEnd::Listed(RunOutcome::Broken | RunOutcome::Stopped),
+            ) => BreakCause::Unreported,
+            _ => BreakCause::Identified,
         };
-        let known_bad = unit.avoid.contains(&place.agent);
-        unit.cut = unit.cut.max(match end {
-            End::Listed(RunOutcome::Failed) if known_bad => Cut::Refused,
-            End::Listed(RunOutcome::Failed | RunOutcome::Broken)
-            | End::Gone
-            | End::Silent => Cut::Lost,
-            End::Never(Refusal::Barred) | End::Listed(_) => Cut::Stopped,
-            End::Never(_) => Cut::Refused,
+        let known_bad = unit.avoided.contains(&place.agent);
+        unit.interruption = unit.interruption.max(match end {
+            MemberEnd::Listed(RunOutcome::Failed) if known_bad => {
+                Interruption::Refused
+            }
+            MemberEnd::Listed(RunOutcome::Failed | RunOutcome::Broken)
+            | MemberEnd::WorkerLost
+            | MemberEnd::WorkerSilent => Interruption::Lost,
+            MemberEnd::NeverBegan(Refusal::Barred) | MemberEnd::Listed(_) => {
+                Interruption::Stopped
+            }
+            MemberEnd::NeverBegan(_) => Interruption::Refused,
         });
         let mut failed = false;
-        let mut learnt = None;
+        let mut run_time = None;
         match end {
-            End::Listed(RunOutcome::Done) => {
+            MemberEnd::Listed(RunOutcome::Done) => {
                 unit.any_done = true;
                 let ran = now.monotonic.saturating_duration_since(since);
-                learnt = (whole && began).then_some(ran);
+                run_time = (from_start && began).then_some(ran);
             }
-            End::Listed(RunOutcome::Failed) => {
+            MemberEnd::Listed(RunOutcome::Failed) => {
                 failed = true;
-                unit.avoid.push(place.agent.clone());
+                unit.avoided.push(place.agent.clone());
             }
-            End::Never(Refusal::Room | Refusal::Unhealthy) => {
-                unit.avoid.push(place.agent.clone());
+            MemberEnd::NeverBegan(Refusal::Room | Refusal::Unhealthy) => {
+                unit.avoided.push(place.agent.clone());
             }
             _ => {}
         }
-        let kept = entry.progress.units.entry(*key).or_default();
-        let run = kept.run;
+        let progress = record.progress.units.entry(*key).or_default();
+        let run = progress.run;
         // Counted at once, whatever becomes of the other members: the end
         // may be acknowledged before theirs are known.
-        if failed && kept.counted < run {
-            kept.counted = run;
-            kept.failed += 1;
-            self.touch(id);
+        if failed && progress.counted < run {
+            progress.counted = run;
+            progress.failed += 1;
+            self.mark_dirty(id);
         }
         match end {
-            End::Gone => self.blame(id, key, &lost),
-            End::Silent => self.blame_later(id, key, &lost, now),
+            MemberEnd::WorkerLost => self.count_loss(id, key, &lost),
+            MemberEnd::WorkerSilent => self.defer_loss(id, key, &lost, now),
             _ => {}
         }
-        if let Some(ran) = learnt {
-            self.learn(&job, key, ran);
+        if let Some(ran) = run_time {
+            self.record_run_time(&job, key, ran);
         }
-        self.note(Decision::Ended {
+        self.record_decision(Decision::Ended {
             of,
             run,
-            member: at,
+            member: position,
             life: place.life.clone(),
             how: end.word(),
             ran: now.monotonic.saturating_duration_since(since),
         });
-        self.vacate(&place, &charge);
-        if end == End::Never(Refusal::Ticket) {
+        self.release(&place, &charge);
+        if end == MemberEnd::NeverBegan(Refusal::Ticket) {
             self.drop_ticket(&(job.clone(), key.time, key.step), &place.life);
         }
-        self.judge(&place, &job, key, end, stopped, now);
-        self.settle_unit(id, key, now);
+        self.update_worker_health(&place, &job, key, end, stopped, now);
+        self.advance_unit(id, key, now);
     }
 
     /// Returns whether a unit's run is slow by its place: a gang's spread
     /// over racks, or a task's away from its data.
-    fn is_far(&self, entry: &Entry, key: &UnitKey) -> bool {
-        let step = &entry.job.steps[key.step];
-        let Some(unit) = entry.units.get(key) else {
+    fn ran_far(&self, record: &JobRecord, key: &UnitKey) -> bool {
+        let step = &record.job.steps[key.step];
+        let Some(unit) = record.units.get(key) else {
             return false;
         };
         let Phase::Running(members) = &unit.phase else {
@@ -187,145 +202,145 @@
     }
 
     /// Takes note of how long a whole run took.
-    fn learn(&mut self, id: &JobId, key: &UnitKey, ran: Duration) {
-        let Some(entry) = self.jobs.get(id) else {
+    fn record_run_time(&mut self, id: &JobId, key: &UnitKey, ran: Duration) {
+        let Some(record) = self.jobs.get(id) else {
             return;
         };
-        if self.is_far(entry, key) {
+        if self.ran_far(record, key) {
             return;
         }
-        let job = entry.job.clone();
+        let job = record.job.clone();
         self.history.learn(&job, key.step, ran);
-        if let Some(entry) = self.jobs.get_mut(id) {
-            entry.ran.entry(key.step).or_default().push(ran);
+        if let Some(record) = self.jobs.get_mut(id) {
+            record.run_times.entry(key.step).or_default().push(ran);
         }
     }
 
     /// Returns whether a job has failed on no other worker.
-    fn failed_only(&self, id: &str, agent: &AgentId) -> bool {
-        self.jobs.get(id).is_some_and(|entry| {
-            let avoided = entry.units.values().flat_map(|unit| &unit.avoid);
+    fn failed_only_on(&self, id: &str, agent: &AgentId) -> bool {
+        self.jobs.get(id).is_some_and(|record| {
+            let avoided = record.units.values().flat_map(|unit| &unit.avoided);
             avoided.into_iter().all(|other| other == agent)
         })
     }
 
-    fn judge(
+    fn update_worker_health(
         &mut self,
         place: &Place,
         job: &JobId,
         key: &UnitKey,
-        end: End,
-        stopped: Option<Why>,
+        end: MemberEnd,
+        stopped: Option<StopReason>,
         now: Timestamp,
     ) {
         let policy = self.terms.policy;
         let only_here =
-            policy.probation && self.failed_only(job, &place.agent);
+            policy.probation && self.failed_only_on(job, &place.agent);
         let Some(worker) = self.workers.get_mut(&place.agent) else {
             return;
         };
-        let apart = match end {
-            End::Listed(RunOutcome::Done) => {
-                worker.health.done();
+        let quarantined = match end {
+            MemberEnd::Listed(RunOutcome::Done) => {
+                worker.health.record_success();
                 false
             }
             _ if !policy.quarantine => false,
-            End::Listed(RunOutcome::Failed) => {
-                worker.health.failed(job, key, only_here, now.monotonic)
-            }
-            End::Never(Refusal::Unhealthy) => {
-                worker.health.stuck(now.monotonic)
+            MemberEnd::Listed(RunOutcome::Failed) => worker
+                .health
+                .record_failure(job, key, only_here, now.monotonic),
+            MemberEnd::NeverBegan(Refusal::Unhealthy) => {
+                worker.health.record_stuck(now.monotonic)
             }
-            End::Listed(_) if stopped == Some(Why::Stuck) => {
-                worker.health.stuck(now.monotonic)
+            MemberEnd::Listed(_) if stopped == Some(StopReason::Stuck) => {
+                worker.health.record_stuck(now.monotonic)
             }
             _ => false,
         };
-        if apart {
-            let told = Decision::WorkerQuarantined {
+        if quarantined {
+            let decision = Decision::WorkerQuarantined {
                 life: place.life.clone(),
-                time: worker.health.apart_for(now.monotonic),
-                failed: worker.health.doubt(),
+                time: worker.health.quarantine_left(now.monotonic),
+                failed: worker.health.failure_count(),
             };
-            self.note(told);
+            self.record_decision(decision);
         }
     }
 
     /// Moves a unit on after one of its members has ended.
-    fn settle_unit(&mut self, id: &str, key: &UnitKey, now: Timestamp) {
-        let Some(entry) = self.jobs.get_mut(id) else {
+    fn advance_unit(&mut self, id: &str, key: &UnitKey, now: Timestamp) {
+        let Some(record) = self.jobs.get_mut(id) else {
             return;
         };
-        let over = entry.over();
-        let lasting = entry.job.steps[key.step].lasting;
-        let limit = entry.job.max_attempts;
-        let Some(unit) = entry.units.get_mut(key) else {
+        let over = record.is_over();
+        let lasting = record.job.steps[key.step].lasting;
+        let limit = record.job.max_attempts;
+        let Some(unit) = record.units.get_mut(key) else {
             return;
         };
         let Phase::Running(members) = &unit.phase else {
             return;
         };
-        let left = members.iter().any(|m| m.state != State::Ended);
+        let left = members.iter().any(|m| m.state != MemberState::Ended);
         let done = unit.any_done && !lasting;
-        let Some(kept) = entry.progress.units.get_mut(key) else {
+        let Some(progress) = record.progress.units.get_mut(key) else {
             return;
         };
-        if done && !kept.done {
+        if done && !progress.done {
             // One member's end counts for the whole gang.
-            kept.done = true;
-            kept.on.clear();
-            kept.saved.clear();
-            self.touch(id);
+            progress.done = true;
+            progress.on.clear();
+            progress.saved.clear();
+            self.mark_dirty(id);
             self.succeed_if_done(id, now);
-            self.end_unhanded(id, key, now);
+            self.end_unsent(id, key, now);
         } else if left && !done {
             // The others of a gang cannot go on alone.
-            self.stop_unit(id, key, Why::Broken, now);
+            self.stop_unit(id, key, StopReason::Broken, now);
         }
         if left {
             return;
         }
-        let Some(entry) = self.jobs.get_mut(id) else {
+        let Some(record) = self.jobs.get_mut(id) else {
             return;
         };
-        let Some(unit) = entry.units.get_mut(key) else {
+        let Some(unit) = record.units.get_mut(key) else {
             return;
         };
-        unit.stop = None;
-        unit.ready = now.monotonic;
+        unit.stop_reason = None;
+        unit.ready_since = now.monotonic;
         unit.any_done = false;
         if done {
             unit.phase = Phase::Done;
             return;
         }
         // The next run avoids what the last one failed on: it need not wait.
-        let again = match unit.cut {
-            Cut::Lost => Duration::ZERO,
-            Cut::Stopped | Cut::Refused => AGAIN,
+        let delay = match unit.interruption {
+            Interruption::Lost => Duration::ZERO,
+            Interruption::Stopped | Interruption::Refused => RETRY_DELAY,
         };
-        unit.cut = Cut::Stopped;
+        unit.interruption = Interruption::Stopped;
         unit.phase = Phase::Waiting;
-        unit.not_before = now.monotonic + again;
-        let Some(kept) = entry.progress.units.get_mut(key) else {
+        unit.not_before = now.monotonic + delay;
+        let Some(progress) = record.progress.units.get_mut(key) else {
             return;
         };
-        kept.on.clear();
-        let failed = !lasting && kept.failed >= limit;
-        let spent = failed || entry.is_spent(key);
-        self.touch(id);
+        progress.on.clear();
+        let failed = !lasting && progress.failed >= limit;
+        let spent = failed || record.must_not_restart(key);
+        self.mark_dirty(id);
         if spent && !over {
-            self.finish(id, Outcome::Failed, now);
+            self.end_job(id, Outcome::Failed, now);
         }
     }
 
     /// Takes a task for done that was, by a run which was given up: its
     /// worker was taken for gone, or it began by a late order. It must not
     /// begin again once that end is acknowledged.
-    pub(super) fn credit(&mut self, task: &Task, now: Timestamp) {
-        let Some(entry) = self.jobs.get(&task.job) else {
+    pub(super) fn mark_task_done(&mut self, task: &Task, now: Timestamp) {
+        let Some(record) = self.jobs.get(&task.job) else {
             return;
         };
-        let Some(step) = entry.job.steps.get(task.step) else {
+        let Some(step) = record.job.steps.get(task.step) else {
             return;
         };
         let key = UnitKey {
@@ -333,21 +348,21 @@
             step: task.step,
             index: Some(task.index),
         };
-        let open = entry.progress.units.get(&key).is_some_and(|k| !k.done);
+        let open = record.progress.units.get(&key).is_some_and(|k| !k.done);
         // A gang's run that was given up was broken elsewhere.
-        if !open || step.lasting || step.gang || entry.over() {
+        if !open || step.lasting || step.gang || record.is_over() {
             return;
         }
         let id = &*task.job;
-        self.unreserve(id, &key);
+        self.release_reservation(id, &key);
         // Another run of it is stopped, and counts for nothing.
-        self.stop_unit(id, &key, Why::Over, now);
-        let Some(entry) = self.jobs.get_mut(id) else {
+        self.stop_unit(id, &key, StopReason::Over, now);
+        let Some(record) = self.jobs.get_mut(id) else {
             return;
         };
-        let (Some(unit), Some(kept)) = (
-            entry.units.get_mut(&key),
-            entry.progress.units.get_mut(&key),
+        let (Some(unit), Some(progress)) = (
+            record.units.get_mut(&key),
+            record.progress.units.get_mut(&key),
         ) else {
             return;
         };
@@ -355,10 +370,10 @@
         if !unit.any_done {
             unit.phase = Phase::Done;
         }
-        kept.done = true;
-        kept.on.clear();
-        kept.saved.clear();
-        self.touch(id);
+        progress.done = true;
+        progress.on.clear();
+        progress.saved.clear();
+        self.mark_dirty(id);
         self.succeed_if_done(id, now);
     }
 
@@ -367,61 +382,69 @@
         &mut self,
         id: &str,
         key: &UnitKey,
-        why: Why,
+        why: StopReason,
         now: Timestamp,
     ) {
-        let Some(entry) = self.jobs.get_mut(id) else {
+        let Some(record) = self.jobs.get_mut(id) else {
             return;
         };
-        let of = entry.subject(key);
-        let run = entry.progress.units.get(key).map_or(0, |kept| kept.run);
-        let Some(unit) = entry.units.get_mut(key) else {
+        let of = record.subject(key);
+        let run = record
+            .progress
+            .units
+            .get(key)
+            .map_or(0, |progress| progress.run);
+        let Some(unit) = record.units.get_mut(key) else {
             return;
         };
         match &unit.phase {
             Phase::Reserved(_) => {
-                self.unreserve(id, key);
+                self.release_reservation(id, key);
             }
-            Phase::Running(_) if unit.stop.is_none() => {
-                unit.stop = Some(why);
+            Phase::Running(_) if unit.stop_reason.is_none() => {
+                unit.stop_reason = Some(why);
                 let agents: Vec<AgentId> =
                     unit.members().map(|m| m.place.agent.clone()).collect();
-                self.stirred.extend(agents);
-                self.note(Decision::Stopped {
+                self.agents_to_order.extend(agents);
+                self.record_decision(Decision::Stopped {
                     of,
                     run,
                     why: why.word(),
                 });
-                self.end_unhanded(id, key, now);
+                self.end_unsent(id, key, now);
             }
             _ => {}
         }
     }
 
     /// Ends the members whose start was never handed out.
-    fn end_unhanded(&mut self, id: &str, key: &UnitKey, now: Timestamp) {
+    fn end_unsent(&mut self, id: &str, key: &UnitKey, now: Timestamp) {
         let unhanded = |book: &Scheduler| {
             let unit = book.jobs.get(id)?.units.get(key)?;
             let Phase::Running(members) = &unit.phase else {
                 return None;
             };
             members.iter().position(|m| {
-                !m.handed && matches!(m.state, State::Ordered(_))
+                !m.sent && matches!(m.state, MemberState::Ordered(_))
             })
         };
-        while let Some(at) = unhanded(self) {
-            let end = End::Never(Refusal::Barred);
-            self.end_member(id, key, at, end, now);
+        while let Some(position) = unhanded(self) {
+            let end = MemberEnd::NeverBegan(Refusal::Barred);
+            self.end_member(id, key, position, end, now);
         }
     }
 
     /// Gives up the room that is kept for a unit; returns where it was.
-    pub(super) fn unreserve(&mut self, id: &str, key: &UnitKey) -> Vec<Place> {
-        let Some(entry) = self.jobs.get_mut(id) else {
+    pub(super) fn release_reservation(
+        &mut self,
+        id: &str,
+        key: &UnitKey,
+    ) -> Vec<Place> {
+        let Some(record) = self.jobs.get_mut(id) else {
             return Vec::new();
         };
-        let charge = entry.job.steps[key.step].charge();
-        let Some(unit) = entry.units.get_mut(key) else {
+        let charge = record.job.steps[key.step].charge();
+        let Some(unit) = record.units.get_mut(key) else {
             return Vec::new();
         };
         let Phase::Reserved(members) = &unit.phase else {
@@ -431,8 +454,8 @@
             members.iter().map(|m| m.place.clone()).collect();
         unit.phase = Phase::Waiting;
         for place in &places {
-            self.vacate(place, &charge);
-            self.keep(place, &Resources::default().minus(&charge));
+            self.release(place, &charge);
+            self.reserve_on(place, &Resources::default().minus(&charge));
         }
         places
     }
--- a/src/graph/shortage.rs
+++ b/src/graph/shortage.rs
@@ -64,11 +64,11 @@
     pub(super) fn shortage(
         &self,
         request: &Request,
-        dear: Option<f64>,
+        preemption_cost: Option<f64>,
         now: Timestamp,
     ) -> Shortage {
         let workers = self.workers.values();
-        let usable = workers.filter(|w| self.usable(w, request, now));
+        let usable = workers.filter(|w| self.is_usable(w, request, now));
         let usable: Vec<&Worker> = usable.collect();
         let accelerators = Resources {
             accelerators: request.charge.accelerators,
@@ -78,7 +78,7 @@
             let each = usable.iter().map(|w| room(w).times(charge));
             each.fold(0, u32::saturating_add)
         };
-        let free = usable.iter().map(|w| w.empty().accelerators).sum();
+        let free = usable.iter().map(|w| w.unoccupied().accelerators).sum();
         let needed = request.charge.accelerators * i64::from(request.width);
         let candidates = self.candidates(request, now);
         let fits = candidates.iter().map(|c| c.slots(&request.charge));
@@ -86,9 +86,9 @@
         let width = request.width;
         let lack = if free < needed {
             ShortageKind::Accelerators
-        } else if slots(Worker::empty, &accelerators) < width {
+        } else if slots(Worker::unoccupied, &accelerators) < width {
             ShortageKind::Fragmented
-        } else if slots(Worker::empty, &request.charge) < width {
+        } else if slots(Worker::unoccupied, &request.charge) < width {
             ShortageKind::Cores
         } else if slots(Worker::free, &request.charge) < width {
             ShortageKind::Kept
@@ -102,7 +102,7 @@
             needed,
             free,
             fits,
-            preemption_cost: dear,
+            preemption_cost: preemption_cost,
             holders: self.holders(&request.pool),
         }
     }
--- a/src/graph/spare.rs
+++ b/src/graph/spare.rs
@@ -17,14 +17,14 @@
 use crate::graph::Timestamp;
 
 /// The most that is left.
-const MOST_SPARE: f64 = 0.3;
+const MAX_SPARE_SHARE: f64 = 0.3;
 /// How long after the last urgent job that is so.
-const SPARE_FOR: Duration = Duration::from_secs(30);
+const SPARE_AFTER_URGENT: Duration = Duration::from_secs(30);
 
 impl Scheduler {
     /// Returns the empty workers that a unit leaves to urgent ones, in as
     /// few racks as may be.
-    pub(super) fn spare(
+    pub(super) fn spare_workers(
         &self,
         request: &Request,
         sound: &[(&AgentId, &Worker)],
@@ -32,13 +32,13 @@
     ) -> BTreeSet<AgentId> {
         let share = (self.terms.policy.spare_share
             * f64::from(request.priority))
-        .min(MOST_SPARE);
+        .min(MAX_SPARE_SHARE);
         let most = (sound.len() as f64 * share) as usize;
         let urgent = self
-            .urgent
+            .last_urgent
             .get(&request.pool)
-            .is_some_and(|last| now.monotonic < *last + SPARE_FOR);
-        if request.priority == 0 || request.past_kept || !urgent {
+            .is_some_and(|last| now.monotonic < *last + SPARE_AFTER_URGENT);
+        if request.priority == 0 || request.may_use_reserved || !urgent {
             return BTreeSet::new();
         }
         let slots = || sound.iter().map(|(_, w)| u64::from(request.slots(w)));
--- /dev/null
+++ b/src/graph/unconfirmed.rs
@@ -0,0 +1,195 @@
+//! Workers that say nothing, under tasks that may not be at fault.
+//!
+//! A worker whose process is down is told from one that is cut off by the
+//! answer of its machine, or by the next life there. One that is cut off is
+//! not taken down by its tasks: a job may not be given up for it, though its
+//! tasks begin elsewhere. So its loss counts only once it is sure.
+
+use std::time::Duration;
+use std::time::Instant;
+
+use crate::graph::job_record::JobRecord;
+use crate::graph::unit::Member;
+use crate::graph::unit::Phase;
+use crate::graph::AgentId;
+use crate::graph::Decision;
+use crate::graph::JobId;
+use crate::graph::Loss;
+use crate::graph::Outcome;
+use crate::graph::Place;
+use crate::graph::Scheduler;
+use crate::graph::Timestamp;
+use crate::graph::UnitKey;
+use crate::graph::WorkerReport;
+
+/// For how long nothing must be heard of a worker, after its tasks were begun
+/// elsewhere, until it counts as down: a task that takes a VM along with its
+/// agent would else be tried on one VM after the other.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// A loss of a worker that may still be there.
+#[derive(Clone, Debug)]
+pub(super) struct UnconfirmedLoss {
+    place: Place,
+    job: JobId,
+    key: UnitKey,
+    /// The task that ran there.
+    index: u32,
+    /// How long it was seen at work.
+    ran: Duration,
+    /// When it counts as down, unless it does already.
+    confirm_at: Option<Instant>,
+}
+
+impl Scheduler {
+    /// Takes in that a member's worker may be lost: its loss is counted once
+    /// that is sure.
+    pub(super) fn defer_loss(
+        &mut self,
+        id: &str,
+        key: &UnitKey,
+        member: &Member,
+        now: Timestamp,
+    ) {
+        let never =
+            !member.sent || self.had_begun(id, key, member) == Some(false);
+        let Some(job) = self.jobs.get(id).map(|record| record.job.id.clone())
+        else {
+            return;
+        };
+        if never || !self.add_unconfirmed(id, key, member) {
+            return;
+        }
+        self.unconfirmed.push(UnconfirmedLoss {
+            place: member.place.clone(),
+            job,
+            key: *key,
+            index: member.index,
+            ran: member.worked_for(),
+            confirm_at: Some(now.monotonic + CONFIRMATION_TIMEOUT),
+        });
+    }
+
+    /// Takes over the losses of a job that were not sure for the planner
+    /// before: it may have been told nothing more.
+    pub(super) fn adopt_unconfirmed(
+        &mut self,
+        record: &JobRecord,
+        now: Timestamp,
+    ) {
+        for (key, progress) in &record.progress.units {
+            for (index, loss) in &progress.lost {
+                let losses = loss.silent.iter().map(|place| UnconfirmedLoss {
+                    place: place.clone(),
+                    job: record.job.id.clone(),
+                    key: *key,
+                    index: *index,
+                    ran: Duration::ZERO,
+                    confirm_at: Some(now.monotonic + CONFIRMATION_TIMEOUT),
+                });
+                self.unconfirmed.extend(losses);
+            }
+        }
+    }
+
+    /// Takes in which life is there now: one that had fallen silent, and was
+    /// not lost, or another one.
+    pub(super) fn resolve_unconfirmed(
+        &mut self,
+        agent: &AgentId,
+        said: &WorkerReport,
+        now: Timestamp,
+    ) {
+        if self.unconfirmed.is_empty() || said.silent {
+            return;
+        }
+        let losses = std::mem::take(&mut self.unconfirmed);
+        let here =
+            |unconfirmed: &UnconfirmedLoss| unconfirmed.place.agent == *agent;
+        let (resolved, open) = losses.into_iter().partition(here);
+        self.unconfirmed = open;
+        let resolved: Vec<UnconfirmedLoss> = resolved;
+        for unconfirmed in resolved {
+            match unconfirmed.place.life == said.life {
+                true => self.retract_loss(&unconfirmed),
+                false => self.confirm_loss(&unconfirmed, now),
+            }
+        }
+    }
+
+    /// Counts the workers that have said nothing for so long that they must
+    /// be down.
+    pub(super) fn confirm_overdue(&mut self, now: Timestamp) {
+        let due = |s: &UnconfirmedLoss| {
+            s.confirm_at.is_some_and(|time| now.monotonic >= time)
+        };
+        if !self.unconfirmed.iter().any(due) {
+            return;
+        }
+        for mut unconfirmed in std::mem::take(&mut self.unconfirmed) {
+            if due(&unconfirmed) {
+                self.confirm_loss(&unconfirmed, now);
+                unconfirmed.confirm_at = None;
+            }
+            let record = self.jobs.get(&unconfirmed.job);
+            if record.is_some_and(|record| !record.is_over()) {
+                self.unconfirmed.push(unconfirmed);
+            }
+        }
+    }
+
+    /// Counts a loss, unless it is counted: its worker was down.
+    fn confirm_loss(&mut self, unconfirmed: &UnconfirmedLoss, now: Timestamp) {
+        if unconfirmed.confirm_at.is_none() {
+            return;
+        }
+        let id = &*unconfirmed.job;
+        let Some(loss) = self.loss_of(unconfirmed) else {
+            return;
+        };
+        loss.silent.retain(|place| *place != unconfirmed.place);
+        loss.count_lost();
+        let loss = loss.clone();
+        self.mark_dirty(id);
+        let Some(record) = self.jobs.get_mut(id) else {
+            return;
+        };
+        record.has_losses = true;
+        let of = record.subject(&unconfirmed.key);
+        let unit = record.units.get(&unconfirmed.key);
+        let waits = unit.is_some_and(|u| matches!(u.phase, Phase::Waiting));
+        let spent = record.must_not_restart(&unconfirmed.key)
+            && waits
+            && !record.is_over();
+        self.record_decision(Decision::LossCounted {
+            of,
+            run: loss.run,
+            task: unconfirmed.index,
+            life: unconfirmed.place.life.clone(),
+            ran: unconfirmed.ran,
+            loss,
+        });
+        if spent {
+            self.end_job(id, Outcome::Failed, now);
+        }
+    }
+
+    /// Takes a loss back: its worker was there all the while.
+    fn retract_loss(&mut self, unconfirmed: &UnconfirmedLoss) {
+        let counted = unconfirmed.confirm_at.is_none();
+        let Some(loss) = self.loss_of(unconfirmed) else {
+            return;
+        };
+        match counted {
+            true => loss.lost = loss.lost.saturating_sub(1),
+            false => loss.silent.retain(|place| *place != unconfirmed.place),
+        }
+        self.mark_dirty(&unconfirmed.job);
+    }
+
+    fn loss_of(&mut self, unconfirmed: &UnconfirmedLoss) -> Option<&mut Loss> {
+        let record = self.jobs.get_mut(&unconfirmed.job)?;
+        let progress = record.progress.units.get_mut(&unconfirmed.key)?;
+        progress.lost.get_mut(&unconfirmed.index)
+    }
+}
--- a/src/graph/unit.rs
+++ b/src/graph/unit.rs
@@ -8,11 +8,11 @@
 
 /// How far a member has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum State {
+pub(super) enum MemberState {
     /// Its start is ordered, once this version of the progress is written.
     Ordered(u64),
     /// Its worker lists it as running.
-    Present,
+    Running,
     /// It has ended, or never began and never will.
     Ended,
 }
@@ -22,25 +22,25 @@
 pub(super) struct Member {
     pub index: u32,
     pub place: Place,
-    pub state: State,
+    pub state: MemberState,
     /// Whether its start was ever handed to an agent.
-    pub handed: bool,
-    pub since: Instant,
+    pub sent: bool,
+    pub assigned_at: Instant,
     /// Whether an earlier planner gave it out: how long it has run is then
     /// not known.
-    pub adopted: bool,
+    pub inherited: bool,
     /// Whether it was ever seen at work.
-    pub worked: bool,
+    pub showed_work: bool,
     /// When it was last seen at work.
-    pub moved: Instant,
+    pub last_work: Instant,
     /// When it was last listed by a worker that answers.
-    pub seen: Option<Instant>,
+    pub last_listed: Option<Instant>,
 }
 
 /// What a unit was last seen to wait for.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Told {
-    pub what: WaitReason,
+pub(super) struct LoggedWait {
+    pub reason: WaitReason,
     /// Whether it was within its account's guarantee.
     pub within: bool,
     pub at: Instant,
@@ -62,7 +62,7 @@
 
 /// Why a run is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Why {
+pub(super) enum StopReason {
     /// Its job is over.
     Over,
     /// Its room goes to a job of higher priority.
@@ -79,36 +79,36 @@
     Closed,
 }
 
-impl Why {
+impl StopReason {
     /// Returns the word for it in logs.
     pub fn word(self) -> &'static str {
         match self {
-            Why::Over => "job over",
-            Why::Preempted => "room for urgent work",
-            Why::Broken => "member lost",
-            Why::Stuck => "stuck",
-            Why::Leaving => "worker leaving",
-            Why::Shrunk => "worker has shrunk",
-            Why::Closed => "hall closed",
+            StopReason::Over => "job over",
+            StopReason::Preempted => "room for urgent work",
+            StopReason::Broken => "member lost",
+            StopReason::Stuck => "stuck",
+            StopReason::Leaving => "worker leaving",
+            StopReason::Shrunk => "worker has shrunk",
+            StopReason::Closed => "hall closed",
         }
     }
 }
 
 /// What the ended members of a gang's run tell of why it broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Cause {
+pub(super) enum BreakCause {
     /// None has ended.
-    Open,
+    NoEnds,
     /// Another one ended before them: one that has not been heard of.
-    Hidden,
+    Unreported,
     /// One of them is the cause.
-    Known,
+    Identified,
 }
 
 /// How a run has come to its end before it was done; what weighs most of its
 /// members' ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Cut {
+pub(super) enum Interruption {
     /// It was stopped.
     Stopped,
     /// A member failed where the unit had not failed before, or went with
@@ -123,32 +123,32 @@
 pub(super) struct Unit {
     pub phase: Phase,
     /// Since when it could be placed.
-    pub ready: Instant,
+    pub ready_since: Instant,
     /// Before which it is not placed.
     pub not_before: Instant,
     /// Where it has failed.
-    pub avoid: Vec<AgentId>,
-    pub stop: Option<Why>,
-    pub waits: Option<Told>,
+    pub avoided: Vec<AgentId>,
+    pub stop_reason: Option<StopReason>,
+    pub logged_wait: Option<LoggedWait>,
     pub any_done: bool,
     /// What is known of why its run broke.
-    pub cause: Cause,
+    pub break_cause: BreakCause,
     /// How its run has come to its end, as far as its members' ends tell.
-    pub cut: Cut,
+    pub interruption: Interruption,
 }
 
 impl Unit {
     pub fn new(now: Instant) -> Unit {
         Unit {
             phase: Phase::Waiting,
-            ready: now,
+            ready_since: now,
             not_before: now,
-            avoid: Vec::new(),
-            stop: None,
-            waits: None,
+            avoided: Vec::new(),
+            stop_reason: None,
+            logged_wait: None,
             any_done: false,
-            cause: Cause::Open,
-            cut: Cut::Stopped,
+            break_cause: BreakCause::NoEnds,
+            interruption: Interruption::Stopped,
         }
     }
 
@@ -158,6 +158,6 @@
             Phase::Reserved(members) | Phase::Running(members) => members,
             Phase::Waiting | Phase::Done => &[],
         };
-        members.iter().filter(|m| m.state != State::Ended)
+        members.iter().filter(|m| m.state != MemberState::Ended)
     }
 }
--- a/src/graph/urgency.rs
+++ b/src/graph/urgency.rs
@@ -9,11 +9,11 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::graph::entry::Entry;
-use crate::graph::place::fill;
+use crate::graph::job_record::JobRecord;
+use crate::graph::place::pack;
 use crate::graph::place::Request;
 use crate::graph::preempt::cores;
-use crate::graph::unit::Told;
+use crate::graph::unit::LoggedWait;
 use crate::graph::Decision;
 use crate::graph::JobId;
 use crate::graph::Scheduler;
@@ -22,16 +22,16 @@
 use crate::graph::WaitReason;
 
 /// How long after it was told what a unit waits for is looked at again.
-const LOOK_AGAIN: Duration = Duration::from_millis(1000);
+const WAIT_CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// How many times its objective a job takes at most to be of any use.
-const USELESS: u32 = 3;
+const USELESS_FACTOR: u32 = 3;
 
 /// What kind of unit waits, what goes first in front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Class {
     /// Urgent, and within its account's guarantee.
-    Promised,
+    Guaranteed,
     /// Urgent, and in time if it starts soon.
     Urgent,
     /// Urgent, and late all the same.
@@ -39,7 +39,7 @@
     /// Any other.
     Other,
     /// Of no use any more.
-    Hopeless,
+    Useless,
 }
 
 /// Where a unit stands among those that wait.
@@ -56,25 +56,25 @@
     /// Returns where a unit stands among those that wait.
     pub(super) fn rank(
         &self,
-        entry: &Entry,
+        record: &JobRecord,
         key: &UnitKey,
         now: Timestamp,
     ) -> Rank {
-        let job = &entry.job;
-        let (latest, hopeless) = self.due(entry, key);
+        let job = &record.job;
+        let (latest, hopeless) = self.deadlines(record, key);
         let first = !self.terms.policy.late_last || now.monotonic <= latest;
         let class = match job.priority {
             // Beside other urgent work it waits behind borrowers that are in
             // a greater hurry, past the time in which it is to begin.
-            0 if self.is_promised(entry) => Class::Promised,
+            0 if self.is_within_guarantee(record) => Class::Guaranteed,
             0 if first => Class::Urgent,
             0 => Class::Late,
-            _ if now.monotonic >= hopeless => Class::Hopeless,
+            _ if now.monotonic >= hopeless => Class::Useless,
             _ => Class::Other,
         };
         let step = &job.steps[key.step];
-        let work = cores(&step.charge()) * f64::from(entry.width(key));
-        let work = work * self.expect(entry, key.step).as_secs_f64();
+        let work = cores(&step.charge()) * f64::from(record.member_count(key));
+        let work = work * self.expected_time(record, key.step).as_secs_f64();
         let size = match class {
             Class::Late => work as u64,
             _ => 0,
@@ -88,95 +88,108 @@
 
     /// Returns by when a unit would have to start to be in time, and from
     /// when on it is of no use.
-    fn due(&self, entry: &Entry, key: &UnitKey) -> (Instant, Instant) {
-        let job = &entry.job;
-        let objective = self.objective(entry);
+    fn deadlines(
+        &self,
+        record: &JobRecord,
+        key: &UnitKey,
+    ) -> (Instant, Instant) {
+        let job = &record.job;
+        let objective = self.objective(record);
         // Of a job that runs several times, each time counts by itself.
         let late = job.due(key.time).duration_since(job.accepted);
-        let due = entry.accepted + late.unwrap_or_default();
-        let latest = due + objective.saturating_sub(self.chain(entry));
-        (latest, due + objective * USELESS)
+        let due = record.accepted_at + late.unwrap_or_default();
+        let latest = due
+            + objective.saturating_sub(self.expected_critical_path(record));
+        (latest, due + objective * USELESS_FACTOR)
     }
 
     /// Returns within which a job is to end, as far as its runs tell.
-    pub(super) fn objective(&self, entry: &Entry) -> Duration {
-        let stretch = entry.job.stretch.max(1.0);
-        self.chain(entry).mul_f64(stretch) + entry.job.target
+    pub(super) fn objective(&self, record: &JobRecord) -> Duration {
+        let stretch = record.job.stretch.max(1.0);
+        self.expected_critical_path(record).mul_f64(stretch)
+            + record.job.target
     }
 
     /// Returns the longest chain of expected work through a job's steps.
-    pub(super) fn chain(&self, entry: &Entry) -> Duration {
-        entry.job.critical_path(|step| self.expect(entry, step))
+    pub(super) fn expected_critical_path(
+        &self,
+        record: &JobRecord,
+    ) -> Duration {
+        record
+            .job
+            .critical_path(|step| self.expected_time(record, step))
     }
 
     /// Returns what is left until a unit would have to start, in ms; below
     /// 0 once that is past.
     pub(super) fn slack(
         &self,
-        entry: &Entry,
+        record: &JobRecord,
         key: &UnitKey,
         now: Timestamp,
     ) -> i64 {
-        let (latest, _) = self.due(entry, key);
+        let (latest, _) = self.deadlines(record, key);
         let left = latest.saturating_duration_since(now.monotonic).as_millis();
         let past = now.monotonic.saturating_duration_since(latest).as_millis();
         left as i64 - past as i64
     }
 
-    /// Tells what a unit waits for, unless that was told already; `dear` is
+    /// Tells what a unit waits for, unless that was told already; `preemption_cost` is
     /// what stopping others for it would throw away.
-    pub(super) fn tell_wait(
+    pub(super) fn record_wait(
         &mut self,
         id: &JobId,
         key: &UnitKey,
-        dear: Option<f64>,
+        preemption_cost: Option<f64>,
         now: Timestamp,
     ) {
-        let Some(entry) = self.jobs.get(id) else {
+        let Some(record) = self.jobs.get(id) else {
             return;
         };
-        let Some(unit) = entry.units.get(key) else {
+        let Some(unit) = record.units.get(key) else {
             return;
         };
-        if unit
-            .waits
-            .is_some_and(|told| now.monotonic < told.at + LOOK_AGAIN)
-        {
+        if unit.logged_wait.is_some_and(|decision| {
+            now.monotonic < decision.at + WAIT_CHECK_INTERVAL
+        }) {
             return;
         }
-        let expected = self.expect(entry, key.step);
-        let request = Request::new(entry, key, unit, expected);
+        let expected = self.expected_time(record, key.step);
+        let request = Request::new(record, key, unit, expected);
         let candidates = self.candidates(&request, now);
         let workers = candidates.len();
         let what = match candidates.is_empty() {
             true => WaitReason::Worker,
-            false if fill(&request, candidates).is_some() => WaitReason::Rack,
+            false if pack(&request, candidates).is_some() => WaitReason::Rack,
             false => WaitReason::Room,
         };
-        let standing = self.standing(entry, key, now);
+        let standing = self.standing(record, key, now);
         let within = standing.is_some_and(|standing| standing.within);
-        let told = unit.waits.filter(|told| told.within == within);
-        let news = told.is_none_or(|told| told.what != what);
+        let decision = unit
+            .logged_wait
+            .filter(|decision| decision.within == within);
+        let news = decision.is_none_or(|decision| decision.reason != what);
         let lacks = news && what != WaitReason::Worker;
-        let told = Decision::Waiting {
-            of: entry.subject(key),
+        let decision = Decision::Waiting {
+            of: record.subject(key),
             what,
-            slack: self.slack(entry, key, now),
+            slack: self.slack(record, key, now),
             workers,
             standing,
-            shortage: lacks.then(|| self.shortage(&request, dear, now)),
+            shortage: lacks
+                .then(|| self.shortage(&request, preemption_cost, now)),
         };
-        let entry = self.jobs.get_mut(id);
-        let unit = entry.and_then(|e| e.units.get_mut(key));
+        let record = self.jobs.get_mut(id);
+        let unit = record.and_then(|e| e.units.get_mut(key));
         if let Some(unit) = unit {
-            unit.waits = Some(Told {
-                what,
+            unit.logged_wait = Some(LoggedWait {
+                reason: what,
                 within,
                 at: now.monotonic,
             });
         }
         if news {
-            self.note(told);
+            self.record_decision(decision);
         }
     }
 }
