--- a/src/cell/teller.rs
+++ b/src/cell/teller.rs
@@ -97,12 +97,12 @@
         Decision::Resized { .. } => "worker resized",
         Decision::WorkerQuarantined { .. } => "worker kept apart",
         Decision::Paced { .. } => "paced",
-        Decision::Waiting { what, .. } => match what {
+        Decision::Waiting { reason: what, .. } => match what {
             WaitReason::Worker => "waits for a worker",
             WaitReason::Room => "waits for room",
             WaitReason::Rack => "waits for a rack",
         },
-        Decision::Kept { .. } => "room kept",
+        Decision::Reserved { .. } => "room kept",
         Decision::Placed {
             waited,
             run,
@@ -165,7 +165,11 @@
             "accelerators" => to.accelerators,
             "accelerators_before" => from.accelerators,
             "accelerators_used" => used.accelerators, "token" => token),
-        Decision::WorkerQuarantined { life, time, failed } => slog::warn!(log,
+        Decision::WorkerQuarantined {
+            life,
+            duration: time,
+            failed,
+        } => slog::warn!(log,
             "planner: a worker is kept apart"; "worker" => &**life,
             "for_ms" => millis(time), "failed" => failed, "token" => token),
         Decision::Paced {
@@ -177,9 +181,9 @@
             "planner: what fills a worker is paced"; "agent" => &**agent,
             "from" => from, "to" => to, "worst" => worst, "token" => token),
         Decision::Waiting {
-            of,
-            what,
-            slack,
+            subject: of,
+            reason: what,
+            slack_ms: slack,
             workers,
             standing,
             shortage,
@@ -196,9 +200,9 @@
             "held_lower" => shortage.map(|s| s.holders.lower),
             Promise(*standing),
             "token" => token),
-        Decision::Kept {
-            of,
-            on,
+        Decision::Reserved {
+            subject: of,
+            lives: on,
             stopped,
             cost,
         } => slog::info!(log,
@@ -206,11 +210,11 @@
             "stopped" => stopped, "cost_core_s" => cost.round(),
             "token" => token),
         Decision::Placed {
-            of,
+            subject: of,
             run,
-            on,
+            lives: on,
             waited,
-            slack,
+            slack_ms: slack,
             expected,
             standing,
         } => slog::info!(log,
@@ -218,11 +222,15 @@
             "workers" => names(on), "waited_ms" => millis(waited),
             "slack_ms" => slack, "expected_ms" => millis(expected),
             Promise(*standing), "token" => token),
-        Decision::Stopped { of, run, why } => slog::info!(log,
+        Decision::Stopped {
+            subject: of,
+            run,
+            why,
+        } => slog::info!(log,
             "planner: a run is stopped"; of, "run" => run, "why" => why,
             "token" => token),
         Decision::Ended {
-            of,
+            subject: of,
             run,
             member,
             life,
@@ -233,7 +241,7 @@
             "worker" => &**life, "how" => how, "ran_ms" => millis(ran),
             "token" => token),
         Decision::LossCounted {
-            of,
+            subject: of,
             run,
             task,
             life,
--- a/src/graph/crash.rs
+++ b/src/graph/crash.rs
@@ -178,7 +178,7 @@
         let Some(record) = self.jobs.get_mut(id) else {
             return;
         };
-        let of = record.subject(key);
+        let subject = record.subject(key);
         let Some((run, loss)) = record.new_loss(key, member) else {
             return;
         };
@@ -200,7 +200,7 @@
         }
         self.mark_dirty(id);
         self.record_decision(Decision::LossCounted {
-            of,
+            subject,
             run,
             task: member.index,
             life: member.place.life.clone(),
--- a/src/graph/decision.rs
+++ b/src/graph/decision.rs
@@ -71,18 +71,18 @@
         /// Its life.
         life: Life,
         /// For how long.
-        time: Duration,
+        duration: Duration,
         /// The runs that failed there in a row.
         failed: usize,
     },
     /// A unit finds no place; told once, and when the reason changes.
     Waiting {
         /// The unit.
-        of: Subject,
+        subject: Subject,
         /// What for.
-        what: WaitReason,
+        reason: WaitReason,
         /// What is left until it would have to start, in ms.
-        slack: i64,
+        slack_ms: i64,
         /// How many workers it may use.
         workers: usize,
         /// How it stands to what its account is guaranteed, if it is urgent.
@@ -91,11 +91,11 @@
         shortage: Option<Shortage>,
     },
     /// Room is kept for a unit.
-    Kept {
+    Reserved {
         /// The unit.
-        of: Subject,
+        subject: Subject,
         /// Where.
-        on: Vec<Life>,
+        lives: Vec<Life>,
         /// The runs that are stopped for it.
         stopped: usize,
         /// The core-seconds that this throws away.
@@ -104,15 +104,15 @@
     /// A unit is given a run.
     Placed {
         /// The unit.
-        of: Subject,
+        subject: Subject,
         /// Which run.
         run: Run,
         /// Where its members go.
-        on: Vec<Life>,
+        lives: Vec<Life>,
         /// How long it could have been placed.
         waited: Duration,
         /// What is left until it would have to start, in ms.
-        slack: i64,
+        slack_ms: i64,
         /// How long it is expected to run.
         expected: Duration,
         /// How it stands to what its account is guaranteed, if it is urgent.
@@ -121,7 +121,7 @@
     /// A run is stopped.
     Stopped {
         /// The unit.
-        of: Subject,
+        subject: Subject,
         /// Which run.
         run: Run,
         /// Why.
@@ -130,7 +130,7 @@
     /// A run of a task has ended, or never began.
     Ended {
         /// The unit.
-        of: Subject,
+        subject: Subject,
         /// Which run.
         run: Run,
         /// The member of a gang, from 0.
@@ -145,7 +145,7 @@
     /// A worker went without a word while it ran a task.
     LossCounted {
         /// The unit.
-        of: Subject,
+        subject: Subject,
         /// Which run.
         run: Run,
         /// The task's number within its step.
--- a/src/graph/preempt.rs
+++ b/src/graph/preempt.rs
@@ -98,7 +98,7 @@
 }
 
 impl Victims {
-    fn new(of: (SharedStr, bool), all: Vec<Victim>) -> Victims {
+    fn new(scope: (SharedStr, bool), all: Vec<Victim>) -> Victims {
         let mut by_agent: BTreeMap<AgentId, Vec<usize>> = BTreeMap::new();
         for (index, victim) in all.iter().enumerate() {
             for place in &victim.places {
@@ -112,7 +112,7 @@
             here.sort_by(|a, b| all[*a].weight().total_cmp(&all[*b].weight()));
         }
         Victims {
-            scope: Some(of),
+            scope: Some(scope),
             all,
             by_agent,
             rejected_cost: None,
@@ -168,10 +168,10 @@
         let record = self.jobs.get(id);
         let promised =
             record.is_some_and(|record| self.is_within_guarantee(record));
-        let of = (request.pool.clone(), promised);
-        if victims.scope.as_ref() != Some(&of) {
+        let scope = (request.pool.clone(), promised);
+        if victims.scope.as_ref() != Some(&scope) {
             let all = self.victims(request, promised, now);
-            *victims = Victims::new(of, all);
+            *victims = Victims::new(scope, all);
         }
         let mut best: Option<Eviction> = None;
         for chosen in self.candidate_sets(request, now) {
--- a/src/graph/schedule.rs
+++ b/src/graph/schedule.rs
@@ -416,11 +416,11 @@
             return;
         };
         let placed = Decision::Placed {
-            of: record.subject(key),
+            subject: record.subject(key),
             run,
-            on: lives(&places),
+            lives: lives(&places),
             waited: now.monotonic.saturating_duration_since(ready),
-            slack: self.slack(record, key, now),
+            slack_ms: self.slack(record, key, now),
             expected: self.expected_time(record, key.step),
             standing: self.standing(record, key, now),
         };
@@ -439,7 +439,7 @@
         let Some(record) = self.jobs.get_mut(id) else {
             return;
         };
-        let of = record.subject(key);
+        let subject = record.subject(key);
         let charge = record.job.steps[key.step].charge();
         let Some(unit) = record.units.get_mut(key) else {
             return;
@@ -454,9 +454,9 @@
             self.occupy(place, &charge);
             self.reserve_on(place, &charge);
         }
-        self.record_decision(Decision::Kept {
-            of,
-            on: lives(&places),
+        self.record_decision(Decision::Reserved {
+            subject,
+            lives: lives(&places),
             stopped,
             cost,
         });
--- a/src/graph/settle.rs
+++ b/src/graph/settle.rs
@@ -85,7 +85,7 @@
         };
         let charge = record.job.steps[key.step].charge();
         let job = record.job.id.clone();
-        let of = record.subject(key);
+        let subject = record.subject(key);
         let progress_before = record.progress.units.get(key);
         let from_start =
             progress_before.is_some_and(|progress| progress.from.is_empty());
@@ -166,7 +166,7 @@
             self.record_run_time(&job, key, ran);
         }
         self.record_decision(Decision::Ended {
-            of,
+            subject,
             run,
             member: position,
             life: place.life.clone(),
@@ -259,7 +259,7 @@
         if quarantined {
             let decision = Decision::WorkerQuarantined {
                 life: place.life.clone(),
-                time: worker.health.quarantine_left(now.monotonic),
+                duration: worker.health.quarantine_left(now.monotonic),
                 failed: worker.health.failure_count(),
             };
             self.record_decision(decision);
@@ -388,7 +388,7 @@
         let Some(record) = self.jobs.get_mut(id) else {
             return;
         };
-        let of = record.subject(key);
+        let subject = record.subject(key);
         let run = record
             .progress
             .units
@@ -407,7 +407,7 @@
                     unit.members().map(|m| m.place.agent.clone()).collect();
                 self.agents_to_order.extend(agents);
                 self.record_decision(Decision::Stopped {
-                    of,
+                    subject,
                     run,
                     why: why.word(),
                 });
--- a/src/graph/shortage.rs
+++ b/src/graph/shortage.rs
@@ -20,7 +20,7 @@
     /// Enough are free together, but cores or memory are not.
     Cores,
     /// There is room enough, part of it kept for others.
-    Kept,
+    Reserved,
     /// There is room enough, part of it left to more urgent work.
     Spare,
     /// There is room enough, but not within one rack.
@@ -34,7 +34,7 @@
             ShortageKind::Accelerators => "accelerators",
             ShortageKind::Fragmented => "accelerators together",
             ShortageKind::Cores => "cores or memory",
-            ShortageKind::Kept => "room that is kept",
+            ShortageKind::Reserved => "room that is kept",
             ShortageKind::Spare => "room for urgent work",
             ShortageKind::Rack => "room in one rack",
         }
@@ -91,7 +91,7 @@
         } else if slots(Worker::unoccupied, &request.charge) < width {
             ShortageKind::Cores
         } else if slots(Worker::free, &request.charge) < width {
-            ShortageKind::Kept
+            ShortageKind::Reserved
         } else if fits < width {
             ShortageKind::Spare
         } else {
--- a/src/graph/unconfirmed.rs
+++ b/src/graph/unconfirmed.rs
@@ -155,14 +155,14 @@
             return;
         };
         record.has_losses = true;
-        let of = record.subject(&unconfirmed.key);
+        let subject = record.subject(&unconfirmed.key);
         let unit = record.units.get(&unconfirmed.key);
         let waits = unit.is_some_and(|u| matches!(u.phase, Phase::Waiting));
         let spent = record.must_not_restart(&unconfirmed.key)
             && waits
             && !record.is_over();
         self.record_decision(Decision::LossCounted {
-            of,
+            subject,
             run: loss.run,
             task: unconfirmed.index,
             life: unconfirmed.place.life.clone(),
--- a/src/graph/urgency.rs
+++ b/src/graph/urgency.rs
@@ -158,7 +158,7 @@
         let request = Request::new(record, key, unit, expected);
         let candidates = self.candidates(&request, now);
         let workers = candidates.len();
-        let what = match candidates.is_empty() {
+        let reason = match candidates.is_empty() {
             true => WaitReason::Worker,
             false if pack(&request, candidates).is_some() => WaitReason::Rack,
             false => WaitReason::Room,
@@ -168,12 +168,12 @@
         let decision = unit
             .logged_wait
             .filter(|decision| decision.within == within);
-        let news = decision.is_none_or(|decision| decision.reason != what);
-        let lacks = news && what != WaitReason::Worker;
+        let news = decision.is_none_or(|decision| decision.reason != reason);
+        let lacks = news && reason != WaitReason::Worker;
         let decision = Decision::Waiting {
-            of: record.subject(key),
-            what,
-            slack: self.slack(record, key, now),
+            subject: record.subject(key),
+            reason,
+            slack_ms: self.slack(record, key, now),
             workers,
             standing,
             shortage: lacks
@@ -183,7 +183,7 @@
         let unit = record.and_then(|e| e.units.get_mut(key));
         if let Some(unit) = unit {
             unit.logged_wait = Some(LoggedWait {
-                reason: what,
+                reason,
                 within,
                 at: now.monotonic,
             });
--- a/tests/it/predict.rs
+++ b/tests/it/predict.rs
@@ -21,9 +21,9 @@
     site.submit(job(id, 1, vec![step], site));
     site.settle();
     let placed = |decision: &Decision| match decision {
-        Decision::Placed { of, expected, .. } if &*of.job == id => {
-            Some(*expected)
-        }
+        Decision::Placed {
+            subject, expected, ..
+        } if &*subject.job == id => Some(*expected),
         _ => None,
     };
     let decisions = site.book.take_decisions();
