--- a/src/graph/advice.rs
+++ b/src/graph/advice.rs
@@ -1,8 +1,9 @@
-//! Queues whose steps run only where a service gives leave.
+//! Queues whose steps need the permission of an advice service.
 //!
-//! The service answers which of the workers named may run a step, each with
-//! a ticket that every start there brings. Its answers take time by the
-//! worker named, so few are asked about at once: those with room first.
+//! The service answers which of the workers in a question may run a step, each
+//! with a ticket that every start there must include. The service needs time
+//! for each worker in a question, so that questions name few workers: those
+//! with free resources first.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,61 +18,62 @@
 use crate::graph::Scheduler;
 use crate::graph::Timestamp;
 
-/// The most workers that one question names; the users reckon with as many
-/// a step.
+/// The most workers in one question. The users assume this number for each
+/// step.
 const MAX_NAMED_WORKERS: usize = 30;
-/// The least rest of a ticket with which a run is given out: it must be
-/// written and ordered by then.
+/// The least remaining validity of a ticket for which a run is assigned: the
+/// run must be written and ordered by then.
 const MIN_TICKET_VALIDITY: Duration = Duration::from_millis(400);
-/// How long is waited before a question without answer is put again.
+/// How long to wait before an unanswered question is asked again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One time of a step of a job.
+/// A step of a job in one repetition: the job, the repetition and the step's
+/// index.
 pub type StepKey = (JobId, u32, usize);
 
-/// A leave to run a step on a life of a worker.
+/// A permission to run a step on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    /// The life.
+    /// The life of the worker that the ticket is valid for.
     pub life: Life,
-    /// What a start there brings.
+    /// The text that a start on the worker must include.
     pub text: String,
 }
 
-/// What is to be asked of the service.
+/// A question to the advice service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Question {
-    /// The step.
+    /// The step to run.
     pub step: StepKey,
-    /// The lives of the workers that it could use.
+    /// The lives of the workers that could run the step.
     pub lives: Vec<Life>,
 }
 
-/// What is known of a step's leave.
+/// The answers of the service about a step.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Permission {
-    /// The tickets, and until when each holds.
+    /// The tickets, each with the end of its validity.
     tickets: BTreeMap<Life, (String, Instant)>,
-    /// Who may never run the step.
+    /// The workers that may never run the step.
     barred: BTreeSet<Life>,
-    /// Before when nothing more is asked.
+    /// No further question is asked before this time.
     not_before: Option<Instant>,
 }
 
 impl Permission {
-    /// Returns whether a run on a life may be given out.
+    /// Returns whether a run on this life may be assigned.
     pub fn allows(&self, life: &Life, now: Instant) -> bool {
         let ticket = self.tickets.get(life);
         ticket.is_some_and(|(_, until)| now + MIN_TICKET_VALIDITY < *until)
     }
 
-    /// Returns the ticket for a life, however old.
+    /// Returns the ticket for a life, even an expired one.
     pub fn ticket(&self, life: &Life) -> Option<String> {
         self.tickets.get(life).map(|(text, _)| text.clone())
     }
 }
 
-/// Whether a unit's starts need leave, and the leave that there is.
+/// Whether a unit's starts need permission, and the permissions so far.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Requirement<'a> {
     NotNeeded,
@@ -79,7 +81,7 @@
 }
 
 impl Requirement<'_> {
-    /// Returns whether the unit may run on a life.
+    /// Returns whether the unit may run on this life.
     pub fn allows(&self, life: &Life, now: Instant) -> bool {
         match self {
             Requirement::NotNeeded => true,
@@ -91,7 +93,8 @@
 }
 
 impl Scheduler {
-    /// Returns where a unit may run, as far as leave goes.
+    /// Returns whether a unit's starts need permission, and the permissions so
+    /// far.
     pub(super) fn requirement_of(&self, request: &Request) -> Requirement<'_> {
         let record = self.jobs.get(&request.id);
         match record.is_none_or(|record| record.job.advice.is_none()) {
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Returns what is to be asked next, if anything is.
+    /// Returns the next question to the service, if there is one.
     pub fn take_question(&mut self, now: Timestamp) -> Option<Question> {
         let question = self.next_question(now)?;
         let leave = self.permissions.entry(question.step.clone()).or_default();
@@ -149,8 +152,8 @@
         None
     }
 
-    /// Returns the lives that a unit could use and has no leave for, those
-    /// with room first.
+    /// Returns the lives that a unit could use and has no ticket for, those
+    /// with free resources first.
     fn lives_to_ask(
         &self,
         request: &Request,
@@ -173,8 +176,8 @@
         lives.take(MAX_NAMED_WORKERS).collect()
     }
 
-    /// Takes in what the service answered to a question that was sent at
-    /// `sent`; `None` if it did not answer.
+    /// Applies the service's answer to a question that was sent at `sent`, or
+    /// `None` if the service did not answer.
     pub fn apply_advice(
         &mut self,
         question: &Question,
@@ -191,7 +194,7 @@
         self.changed = true;
         let leave = self.permissions.entry(question.step.clone()).or_default();
         leave.not_before = None;
-        // Who may run a step does not change.
+        // The service's answer about a worker is final for the step.
         leave.barred.extend(question.lives.iter().cloned());
         let until = sent + advice.valid;
         for ticket in granted {
@@ -200,7 +203,7 @@
         }
     }
 
-    /// Forgets a ticket that a worker no longer takes.
+    /// Removes a ticket that a worker no longer accepts.
     pub(super) fn drop_ticket(&mut self, step: &StepKey, life: &Life) {
         if let Some(leave) = self.permissions.get_mut(step) {
             leave.tickets.remove(life);
--- a/src/graph/birth.rs
+++ b/src/graph/birth.rs
@@ -1,4 +1,4 @@
-//! Members on workers that have started again under their names.
+//! Members on workers that have restarted under their names.
 
 use std::collections::BTreeSet;
 
@@ -11,14 +11,14 @@
 use crate::graph::Task;
 
 impl Scheduler {
-    /// Gives the members that are here under an earlier birth the present
-    /// one, where it is theirs.
+    /// Moves members that are recorded under an earlier birth of a worker to
+    /// its present birth, where they belong to it.
     ///
-    /// Those that were placed by the worker's name alone must not begin anew
-    /// once births are told: their run begins there once at most. And what
-    /// was ordered to one birth is carried out by the next, before anybody
-    /// knows of that: what that one lists of them is theirs. A run's number
-    /// was given to no other worker.
+    /// Members that were placed by the worker's name alone must not begin
+    /// again once the worker reports births: a run begins at most once. An
+    /// order for one birth may also be carried out by the next before the
+    /// planner knows of the restart. Members that the present birth lists
+    /// therefore belong to it, as no other worker was assigned the same run.
     pub(super) fn move_births(
         &mut self,
         agent: &AgentId,
--- a/src/graph/budget.rs
+++ b/src/graph/budget.rs
@@ -1,32 +1,34 @@
-//! How much work may be thrown away for an urgent unit.
+//! The amount of work that may be lost for an urgent unit.
 //!
-//! The load that this answers: short gangs of up to nine whole workers, due
-//! within half again their length, on a fleet whose workers are all in some
-//! use. Room for them lies under work of a second or two on each of nine
-//! workers: more than any one figure that is right for a gang of one worker.
-//! Under a fixed limit they waited until enough had ended by itself, and
-//! others were then stopped for them when it no longer helped. What is won
-//! grows with the unit's own work, so that is the measure.
+//! The rule is made for short gangs of up to nine whole workers, due within
+//! one and a half times their length, on a fleet whose workers are all partly
+//! in use. To make room for such a gang, a second or two of work is lost on
+//! each of nine workers. That is more than any fixed limit that suits a gang
+//! of one worker. Under a fixed limit these gangs waited until enough runs had
+//! ended by themselves, and other runs were then stopped when it no longer
+//! helped. The benefit grows with the unit's own work, so the limit is
+//! proportional to that work.
 //!
-//! More than its own work throws more away and serves no more. A unit that is
-//! late already wins little, and is allowed only the least.
+//! A limit above the unit's own work loses more and serves no more callers. A
+//! unit that is already late gains little, so that only the fixed limit
+//! applies to it.
 
 use std::time::Duration;
 
 use crate::graph::Policy;
 
-/// What an urgent unit has to gain.
+/// The benefit of starting an urgent unit now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Need {
-    /// Its own work, in core-seconds.
+    /// The unit's own work, in core-seconds.
     pub core_seconds: f64,
-    /// What is left until it would have to start, in ms.
+    /// The time left until the unit's latest start, in ms.
     pub slack_ms: i64,
-    /// The longest that a stop takes.
+    /// The longest time that a stop takes.
     pub stop: Duration,
 }
 
-/// Returns the core-seconds that may be thrown away for a unit.
+/// Returns the core-seconds that may be lost for a unit.
 pub fn limit(policy: &Policy, stake: &Need) -> f64 {
     let stop = stake.stop.as_millis() as i64;
     match stake.slack_ms >= stop {
--- a/src/graph/crash.rs
+++ b/src/graph/crash.rs
@@ -1,11 +1,11 @@
-//! Tasks under which workers go down.
+//! Tasks that take down their workers.
 //!
-//! A worker that goes without a word takes the only witness along: whether
-//! it went because of a task that it ran, nobody lists. What can be told is
-//! under which tasks it went, and for how long it had carried them. A task
-//! that takes down each worker soon after its start is told from one that
-//! was there by chance by trying it again: elsewhere, and then alone, one of
-//! its job at a time.
+//! No report says whether a worker was lost because of a task that it ran. The
+//! scheduler only knows under which tasks workers were lost, and for how long
+//! each had run. A task that takes down every worker soon after its start is
+//! told apart from one that was there by chance by trying it again: first on
+//! another worker, then on a worker of its own, one such task of a job at a
+//! time.
 
 use std::time::Duration;
 
@@ -24,52 +24,57 @@
 use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
-/// How long a task must have been seen at work before the loss of its worker
-/// is not held to be its doing.
+/// How long a task must have shown work before it is not blamed for the loss
+/// of its worker.
 const PROVEN_AFTER: Duration = Duration::from_secs(1);
-/// For how long nothing else begins on a worker where a suspect has begun:
-/// until it is proven, and that is reported.
+/// How long nothing else starts on a worker where a suspect has started: until
+/// the suspect is proven and that is reported.
 const ISOLATION_TIME: Duration = Duration::from_millis(1500);
-/// How long a suspect waits for a worker that runs nothing.
+/// How long a suspect waits for an empty worker.
 const EMPTY_WORKER_WAIT: Duration = Duration::from_secs(2);
-/// How many workers must suddenly be lost under a task for it to be tried
-/// alone. One may be chance: where a fifth of the workers crash at once,
-/// whatever had just begun there would wait for workers of its own.
+/// The number of sudden losses from which a task is a suspect and runs alone.
+/// A single loss may be chance: if a fifth of the workers crash at once, all
+/// tasks that have just begun there would otherwise wait for workers of their
+/// own.
 const SUSPECT_LOSSES: u32 = 2;
-/// How many workers in a row may be lost under a task that was not proven on
-/// them. Callers' rules allow two; the third, alone on a worker of its own,
+/// The number of sudden losses in a row after which a task is given up. The
+/// callers' rules allow two. The third, on a worker that ran nothing else,
 /// tells a bad task from one that met two bad workers.
 const MAX_SUDDEN_LOSSES: u32 = 3;
-/// How many workers may be lost under a task at all before its runs are
-/// counted, and how many more it gets then: callers' rules allow no third.
+/// The number of lost workers from which the further runs of a task are
+/// limited to [`EXTRA_RUNS`].
 const MAX_LOSSES: u32 = 3;
+/// The runs that a task gets after [`MAX_LOSSES`]; the callers' rules do not
+/// allow a third.
 const EXTRA_RUNS: Run = 2;
-/// Under how many lost workers callers' rules let a task be given up.
+/// The number of certain losses from which the callers' rules let a task be
+/// given up.
 const MIN_CERTAIN_LOSSES: u32 = 2;
-/// How many workers may go or fall silent under a task: one that takes VMs
-/// along would else be tried on one after the other where planners change, and
-/// none of them waits long enough to call one of them gone.
-const MAX_UNCONFIRMED_LOSSES: u32 = 6;
-/// How long a run goes on after which what was lost before it is forgotten.
+/// The most losses, unconfirmed ones included, before a task is given up.
+/// Otherwise a task that takes down VMs would be tried on one after the other
+/// while planners change, because no planner would wait long enough to confirm
+/// a loss.
+const MAX_PRESUMED_LOSSES: u32 = 6;
+/// The length of a run after which the losses before it no longer count.
 const LOSS_EXPIRY: Duration = Duration::from_secs(60);
 
 impl Loss {
     /// Returns whether the task must not begin again after a run.
     pub(super) fn must_not_restart(&self, run: Run) -> bool {
         let more = run.saturating_sub(self.limit);
-        // Those that were excused may have been its doing as well: then the
-        // starts since the third loss are so many more.
+        // The task may have caused the excused and the unconfirmed losses as
+        // well: they count as runs since the third loss.
         let silent = self.silent.len() as u32;
         let may = EXTRA_RUNS.saturating_sub(self.excused + silent);
         let all = self.lost + self.excused + silent;
-        self.lost + silent >= MAX_UNCONFIRMED_LOSSES
+        self.lost + silent >= MAX_PRESUMED_LOSSES
             || self.sudden >= MAX_SUDDEN_LOSSES
             || self.lost >= MAX_LOSSES && more >= may
             || self.lost >= MIN_CERTAIN_LOSSES
                 && all >= MAX_LOSSES + EXTRA_RUNS
     }
 
-    /// Counts a worker that went down.
+    /// Counts a lost worker.
     pub(super) fn count_lost(&mut self) {
         self.lost += 1;
         if self.lost == MAX_LOSSES {
@@ -79,13 +84,14 @@
 }
 
 impl Member {
-    /// Returns whether it was at work long enough for the loss of its worker
-    /// not to be its doing.
+    /// Returns whether the member worked for long enough not to be blamed for
+    /// the loss of its worker.
     pub(super) fn is_proven(&self) -> bool {
         self.worked_for() >= PROVEN_AFTER
     }
 
-    /// Returns how long it was seen at work, at least.
+    /// Returns for how long the member is known to have run, up to its last
+    /// listing by a worker that answers.
     pub(super) fn worked_for(&self) -> Duration {
         let seen = self.last_listed.unwrap_or(self.assigned_at);
         seen.saturating_duration_since(self.assigned_at)
@@ -93,9 +99,9 @@
 }
 
 impl JobRecord {
-    /// Returns what is kept of the losses under a member's task, and its run,
-    /// now that it is counted; nothing if that one was counted before, told
-    /// to this planner or an earlier one.
+    /// Marks a member's run as counted and returns it with the losses under
+    /// its task, or `None` if this planner or an earlier one has counted that
+    /// run before.
     fn new_loss(
         &mut self,
         key: &UnitKey,
@@ -114,8 +120,8 @@
         Some((run, loss))
     }
 
-    /// Returns whether workers were suddenly lost under a task of a unit, more
-    /// than by chance.
+    /// Returns whether more workers were suddenly lost under a task of the
+    /// unit than chance explains.
     pub(super) fn is_suspect(&self, key: &UnitKey) -> bool {
         if !self.has_losses {
             return false;
@@ -129,7 +135,7 @@
         })
     }
 
-    /// Returns whether a unit has taken down so many workers that it must
+    /// Returns whether so many workers were lost under the unit that it must
     /// not begin again.
     pub(super) fn must_not_restart(&self, key: &UnitKey) -> bool {
         let progress = self.progress.units.get(key);
@@ -141,8 +147,8 @@
         })
     }
 
-    /// Returns whether a suspect of the job is at work and not yet proven:
-    /// others would take down a worker each that this one may spare.
+    /// Returns whether a suspect of the job is running and not yet proven.
+    /// Other suspects wait, because each might take down another worker.
     pub(super) fn has_unproven_suspect(&self) -> bool {
         if !self.has_losses {
             return false;
@@ -156,7 +162,7 @@
 }
 
 impl Scheduler {
-    /// Counts the loss of a member's worker against its task.
+    /// Counts the loss of a member's worker against the member's task.
     pub(super) fn count_loss(
         &mut self,
         id: &str,
@@ -167,10 +173,10 @@
         let worker = self.workers.get(&member.place.agent);
         let worker = worker.filter(|w| w.life == member.place.life);
         let announced = worker.is_some_and(|worker| worker.announced_leaving);
-        // What was never handed to the agent has surely not begun there.
+        // A member that was never sent to the agent cannot have begun.
         let never = !member.sent || begun == Some(false);
-        // Nothing begins on a worker that leaves, so that what is not proven
-        // there began just before: it may still be its doing.
+        // Nothing is started on a leaving worker, so that an unproven member
+        // has begun shortly before the loss and may have caused it.
         let excused = announced && member.is_proven();
         if never {
             return;
@@ -187,8 +193,8 @@
             self.mark_dirty(id);
             return;
         }
-        // How long an earlier planner has seen it at work is not known; and
-        // an agent that went with its worker tells nothing.
+        // How long the task ran under an earlier planner is unknown, and an
+        // agent that was lost with its worker reports nothing.
         let known = begun.is_some() && !announced && !member.inherited;
         let sudden = known && !member.is_proven();
         loss.count_lost();
@@ -212,8 +218,8 @@
         }
     }
 
-    /// Counts the loss of a member's worker that only fell silent; returns
-    /// whether it was not counted before.
+    /// Records the unconfirmed loss of a member's worker; returns whether that
+    /// run was not counted before.
     pub(super) fn add_unconfirmed(
         &mut self,
         id: &str,
@@ -231,8 +237,8 @@
         true
     }
 
-    /// Returns whether a member had begun on its worker before that went, if
-    /// its agent tells so.
+    /// Returns whether a member had begun before its worker was lost, if the
+    /// agent knows.
     pub(super) fn had_begun(
         &self,
         id: &str,
@@ -250,16 +256,16 @@
         (listed || !before.unseen).then_some(listed)
     }
 
-    /// Takes in that a suspect is proven: its siblings need no longer wait
-    /// for each other.
+    /// Marks a job as cleared once one of its suspects is proven, so that the
+    /// other suspects no longer wait for each other.
     pub(super) fn clear_suspicion(&mut self, id: &str, key: &UnitKey) {
         if let Some(record) = self.jobs.get_mut(id) {
             record.cleared |= record.is_suspect(key);
         }
     }
 
-    /// Keeps everything else off the workers where a suspect begins, for as
-    /// long as its trial takes.
+    /// Keeps other work off the workers where a suspect starts, for
+    /// [`ISOLATION_TIME`].
     pub(super) fn isolate_workers(
         &mut self,
         id: &str,
@@ -281,8 +287,9 @@
         }
     }
 
-    /// Returns the workers for a unit: for a suspect those that run nothing,
-    /// if they are enough or it has not waited for that yet.
+    /// Returns the workers that a unit may use. A suspect gets empty workers
+    /// if there are enough of them, or until it has waited for
+    /// [`EMPTY_WORKER_WAIT`].
     pub(super) fn isolate_suspect<'a>(
         &self,
         request: &Request,
@@ -296,7 +303,7 @@
         let alone = sound.iter().filter(|(_, worker)| empty(worker));
         let slots = alone.map(|(_, w)| u64::from(request.slots(w))).sum();
         let enough = u64::from(request.width) <= slots;
-        // What is urgent makes its own room, and does not wait for more.
+        // Urgent units do not wait: room is made for them by preemption.
         let waits = request.priority > 0
             && now.monotonic < request.ready + EMPTY_WORKER_WAIT;
         match enough || waits {
--- a/src/graph/decision.rs
+++ b/src/graph/decision.rs
@@ -1,4 +1,4 @@
-//! What was decided, for whoever reads the logs.
+//! Decisions of the scheduler, for the log.
 
 use std::time::Duration;
 
@@ -14,173 +14,177 @@
 use crate::graph::Shortage;
 use crate::graph::UnitKey;
 
-/// Which unit is meant.
+/// The identification of a unit in the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Subject {
-    /// Its job.
+    /// The unit's job.
     pub job: JobId,
     /// The client account of the job.
     pub account: SharedStr,
     /// The queue of the job.
     pub queue: SharedStr,
-    /// The unit within the job.
+    /// The unit's key within the job.
     pub unit: UnitKey,
 }
 
 /// What a unit waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitReason {
-    /// Workers that may be used at all.
+    /// No worker is usable for the unit.
     Worker,
-    /// Room on one of them.
+    /// The usable workers lack free resources.
     Room,
-    /// A rack where it is not slow.
+    /// The free resources are not in a rack where the unit runs at full speed.
     Rack,
 }
 
-/// A decision, with what it rests on.
+/// A decision and the values behind it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// A worker came into the books.
+    /// A worker was added.
     WorkerAdded {
-        /// Its agent.
+        /// The worker's agent.
         agent: AgentId,
-        /// Its life.
+        /// The worker's present life.
         life: Life,
     },
-    /// A worker is taken for gone.
+    /// A worker is considered lost.
     WorkerLost {
-        /// Its life.
+        /// The life that was lost.
         life: Life,
-        /// How long nothing was heard of it.
+        /// How long the agent has been silent.
         silent: Duration,
     },
-    /// A worker's room has changed.
+    /// A worker's capacity has changed.
     Resized {
-        /// Its life.
+        /// The worker's life.
         life: Life,
-        /// What it had.
+        /// The capacity before.
         from: Resources,
-        /// What it has now.
+        /// The capacity from now on.
         to: Resources,
-        /// What is placed there, and kept.
+        /// The resources that are occupied or reserved.
         used: Resources,
     },
-    /// A worker is kept apart.
+    /// A worker is quarantined.
     WorkerQuarantined {
-        /// Its life.
+        /// The worker's life.
         life: Life,
-        /// For how long.
+        /// The length of the quarantine.
         duration: Duration,
-        /// The runs that failed there in a row.
+        /// The number of units that failed there in a row.
         failed: usize,
     },
-    /// A unit finds no place; told once, and when the reason changes.
+    /// A unit finds no place. Reported once, and again when the reason
+    /// changes.
     Waiting {
-        /// The unit.
+        /// The waiting unit.
         subject: Subject,
-        /// What for.
+        /// What the unit waits for.
         reason: WaitReason,
-        /// What is left until it would have to start, in ms.
+        /// The time left until the unit's latest start, in ms; below 0 once
+        /// that is past.
         slack_ms: i64,
-        /// How many workers it may use.
+        /// The number of workers that the unit may use.
         workers: usize,
-        /// How it stands to what its account is guaranteed, if it is urgent.
+        /// The state of the account's guarantee, if the unit is urgent.
         standing: Option<GuaranteeStatus>,
-        /// What it lacks, where there are such workers.
+        /// What the unit lacks, if there are workers that it may use.
         shortage: Option<Shortage>,
     },
-    /// Room is kept for a unit.
+    /// Resources are reserved for a unit.
     Reserved {
-        /// The unit.
+        /// The unit with the reservation.
         subject: Subject,
-        /// Where.
+        /// The workers of its members.
         lives: Vec<Life>,
-        /// The runs that are stopped for it.
+        /// The number of runs that are stopped for the unit.
         stopped: usize,
-        /// The core-seconds that this throws away.
+        /// The core-seconds that these stops lose.
         cost: f64,
     },
-    /// A unit is given a run.
+    /// A run of a unit is assigned.
     Placed {
-        /// The unit.
+        /// The placed unit.
         subject: Subject,
-        /// Which run.
+        /// The number of the run.
         run: Run,
-        /// Where its members go.
+        /// The workers of its members.
         lives: Vec<Life>,
-        /// How long it could have been placed.
+        /// How long the unit has been ready.
         waited: Duration,
-        /// What is left until it would have to start, in ms.
+        /// The time left until the unit's latest start, in ms; below 0 once
+        /// that is past.
         slack_ms: i64,
-        /// How long it is expected to run.
+        /// The expected run time.
         expected: Duration,
-        /// How it stands to what its account is guaranteed, if it is urgent.
+        /// The state of the account's guarantee, if the unit is urgent.
         standing: Option<GuaranteeStatus>,
     },
     /// A run is stopped.
     Stopped {
-        /// The unit.
+        /// The unit whose run is stopped.
         subject: Subject,
-        /// Which run.
+        /// The number of the run.
         run: Run,
-        /// Why.
+        /// The reason, as the log names it.
         why: &'static str,
     },
-    /// A run of a task has ended, or never began.
+    /// A member's run has ended, or never began.
     Ended {
-        /// The unit.
+        /// The member's unit.
         subject: Subject,
-        /// Which run.
+        /// The number of the run.
         run: Run,
-        /// The member of a gang, from 0.
+        /// The position of the member in its gang, from 0.
         member: usize,
-        /// Where.
+        /// The member's worker.
         life: Life,
-        /// How.
+        /// The kind of end, as the log names it.
         how: &'static str,
-        /// How long after it was given out.
+        /// The time since the run was assigned.
         ran: Duration,
     },
-    /// A worker went without a word while it ran a task.
+    /// A worker was lost without a report while it ran a task.
     LossCounted {
-        /// The unit.
+        /// The task's unit.
         subject: Subject,
-        /// Which run.
+        /// The number of the run.
         run: Run,
-        /// The task's number within its step.
+        /// The task's index within its step.
         task: u32,
-        /// The worker.
+        /// The lost worker.
         life: Life,
-        /// How long the task was seen at work there, at least.
+        /// How long the task is known to have run there.
         ran: Duration,
-        /// All that were lost under the task.
+        /// All losses under the task.
         loss: Loss,
     },
-    /// Another pace is ordered for what fills a worker.
+    /// The pace of a worker's filler tasks changes.
     Paced {
         /// The worker's agent.
         agent: AgentId,
-        /// The share of their speed before, 0 to 100.
+        /// The pace before, in percent of full speed.
         from: u8,
-        /// The share from now on.
+        /// The pace from now on, in percent of full speed.
         to: u8,
-        /// The worst tail there, in parts of its target.
+        /// The worst tail latency on the worker, relative to its target.
         worst: f64,
     },
     /// A job has ended.
     JobEnded {
-        /// The job.
+        /// The job's name.
         job: JobId,
-        /// Its client account.
+        /// The job's client account.
         account: SharedStr,
-        /// Its queue.
+        /// The job's queue.
         queue: SharedStr,
-        /// How.
+        /// How the job ended.
         outcome: Outcome,
-        /// How long after it was accepted.
+        /// The time since the job was accepted.
         took: Duration,
-        /// Within which it was to end, as far as its runs tell.
+        /// The time within which the job should have ended, from its expected
+        /// run times.
         objective: Duration,
     },
 }
--- a/src/graph/guarantee.rs
+++ b/src/graph/guarantee.rs
@@ -1,4 +1,4 @@
-//! What client accounts are guaranteed, and which urgent work is within it.
+//! Guarantees of client accounts, and the urgent work within them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,25 +16,26 @@
 use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
-/// What it takes beside stops until a unit begins that was given room: the
-/// write of its run, and the orders.
+/// The time from a reservation to the start of the unit, without stops: the
+/// run must be written and the orders sent.
 const ORDER_LATENCY: Duration = Duration::from_millis(500);
 
-/// How an urgent unit stands to what its account is guaranteed.
+/// The state of an account's guarantee, for an urgent unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GuaranteeStatus {
     /// The accelerators that the account is guaranteed.
     pub guaranteed: i64,
-    /// Those that all of its urgent work asks for which is not over.
+    /// The accelerators that the account's urgent jobs request, except for
+    /// those that are over.
     pub needed: i64,
     /// Whether the unit is within the guarantee.
     pub within: bool,
-    /// What is left until such a unit has to begin, in ms; below 0 once that
-    /// is past.
+    /// The time left until a unit within the guarantee has to begin, in ms;
+    /// below 0 once that is past.
     pub left_ms: i64,
 }
 
-/// Who holds the accelerators of a pool, with those that are kept.
+/// The accelerators of a pool that are in use or reserved, by kind of work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Holders {
     /// Urgent work within guarantees.
@@ -45,7 +46,7 @@
     pub lower: i64,
 }
 
-/// Returns the most accelerators that a step of a job takes.
+/// Returns the most accelerators that a step of a job uses.
 pub(super) fn accelerators(job: &Job) -> i64 {
     let step =
         |step: &Step| i64::from(step.replicas) * step.resources.accelerators;
@@ -59,8 +60,7 @@
             .filter(|record| !record.is_over() && record.job.priority == 0)
     }
 
-    /// Returns the accelerators that the urgent work of each account asks
-    /// for.
+    /// Returns the accelerators that each account's urgent jobs request.
     fn demand(&self) -> BTreeMap<&SharedStr, i64> {
         let mut needed = BTreeMap::new();
         for record in self.urgent_jobs() {
@@ -74,9 +74,9 @@
         self.guarantees.get(account).copied().unwrap_or(0)
     }
 
-    /// Finds the urgent jobs that are within what their accounts are
-    /// guaranteed: of each account the first that fit into it, in the order
-    /// in which they were accepted. What lies beyond borrows.
+    /// Determines the urgent jobs within guarantees: for each account the
+    /// first jobs that fit, in the order in which they were accepted. Urgent
+    /// jobs beyond the guarantee borrow.
     pub(super) fn assign_guarantees(&mut self, now: Timestamp) {
         let mut urgent: Vec<&JobRecord> = self.urgent_jobs().collect();
         urgent.sort_by_key(|record| (record.accepted_at, &record.job.id));
@@ -101,10 +101,9 @@
         self.within_guarantee = within;
     }
 
-    /// Returns whether a job that is beyond its account's guarantee may be
-    /// within it by the time it has to have begun, and room for it has to be
-    /// made now: once the account's other work has ended it would be too late
-    /// for stops.
+    /// Returns whether a job beyond its account's guarantee may come within it
+    /// before the job has to have begun, so that room has to be made now. Once
+    /// the account's other work has ended, it would be too late for stops.
     fn is_within_guarantee_soon(
         &self,
         record: &JobRecord,
@@ -126,8 +125,8 @@
         others + accelerators(&record.job) <= self.guaranteed(account)
     }
 
-    /// Returns whether all of a job may be over within a stop: nothing of it
-    /// has yet to begin.
+    /// Returns whether all of a job may be over within the time of a stop,
+    /// because every unit of it has begun.
     fn may_be_over(&self, record: &JobRecord) -> bool {
         let steps = 0..record.job.steps.len();
         let mut open = steps.filter(|step| !record.is_step_done(0, *step));
@@ -139,14 +138,15 @@
             })
     }
 
-    /// Returns whether a job was within what its account is guaranteed when
-    /// the present pass began.
+    /// Returns whether a job was within its account's guarantee at the start
+    /// of the present pass.
     pub(super) fn is_within_guarantee(&self, record: &JobRecord) -> bool {
         self.within_guarantee.contains(&record.job.id)
     }
 
-    /// Returns by when a unit has to begin that is within its account's
-    /// guarantee: what has not run yet from when its job was accepted.
+    /// Returns when a unit within its account's guarantee has to begin. For
+    /// the first run of a first step the time counts from the acceptance of
+    /// the job, otherwise from when the unit became ready.
     pub(super) fn must_begin_by(
         &self,
         record: &JobRecord,
@@ -164,7 +164,8 @@
         since + self.terms.reclaim_time
     }
 
-    /// Returns whether room of a pool is kept for units within guarantees.
+    /// Returns whether any resources of a pool are reserved for units within
+    /// guarantees.
     pub(super) fn reserves_for_guarantees(&self, pool: &SharedStr) -> bool {
         let promised = self
             .within_guarantee
@@ -177,8 +178,9 @@
         })
     }
 
-    /// Returns when room for a unit within its account's guarantee has to be
-    /// decided on, so that it begins in time though others are stopped for it.
+    /// Returns the latest time at which places must be chosen for a unit
+    /// within its account's guarantee, so that it begins in time even if other
+    /// runs are stopped for it.
     pub(super) fn latest_decision(
         &self,
         request: &Request,
@@ -190,8 +192,7 @@
         self.is_within_guarantee(record).then_some(last)
     }
 
-    /// Returns how a unit stands to what its account is guaranteed, if it is
-    /// urgent.
+    /// Returns the state of the account's guarantee, if the unit is urgent.
     pub(super) fn standing(
         &self,
         record: &JobRecord,
@@ -213,7 +214,7 @@
         })
     }
 
-    /// Returns who holds the accelerators of a pool.
+    /// Returns how the accelerators of a pool are used.
     pub(super) fn holders(&self, pool: &SharedStr) -> Holders {
         let mut holders = Holders::default();
         for record in
--- a/src/graph/health.rs
+++ b/src/graph/health.rs
@@ -1,4 +1,4 @@
-//! Whether a worker can be trusted with work.
+//! Quarantine of workers on which runs fail.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,33 +7,37 @@
 use crate::graph::JobId;
 use crate::graph::UnitKey;
 
-/// How many must fail in a row before a worker is kept apart.
+/// The number of failures in a row that put a worker in quarantine.
 const FAILURES_TO_QUARANTINE: usize = 2;
-/// How long a worker is kept apart at first; it doubles each time.
+/// The length of a worker's first quarantine; each further one is twice as
+/// long.
 const FIRST_QUARANTINE: Duration = Duration::from_secs(4);
-/// The longest that a worker is kept apart.
+/// The longest quarantine.
 const MAX_QUARANTINE: Duration = Duration::from_secs(60);
 
-/// What speaks for and evidence a worker.
+/// The recent failures of a worker.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Health {
-    /// The units that failed since the last that was done.
+    /// The units that failed since the last success.
     failures: Vec<(JobId, UnitKey)>,
-    /// How often it was kept apart since the last that was done.
+    /// The number of quarantines since the last success.
     quarantines: u32,
-    /// Until when it is kept apart.
+    /// The end of the last quarantine.
     quarantined_until: Option<Instant>,
 }
 
 impl Health {
-    /// Takes note of a run that was done.
+    /// Records a run that was done, which clears all failures.
     pub fn record_success(&mut self) {
         *self = Health::default();
     }
 
-    /// Takes note of a run that failed; returns whether the worker is now
-    /// kept apart. Failures of one job speak evidence the job, unless it has
-    /// failed nowhere else: that is what `only_here` says.
+    /// Records a run that failed; returns whether the worker is newly
+    /// quarantined.
+    ///
+    /// Several failures of one job count once, because the job may be at
+    /// fault. They all count if `only_here` is set: the job has then failed on
+    /// no other worker.
     pub fn record_failure(
         &mut self,
         job: &JobId,
@@ -54,17 +58,18 @@
         evidence >= FAILURES_TO_QUARANTINE && self.quarantine(now)
     }
 
-    /// Takes note of a run that stood still.
+    /// Records a run that made no progress, or a worker that accepts nothing;
+    /// returns whether the worker is newly quarantined.
     pub fn record_stuck(&mut self, now: Instant) -> bool {
         self.quarantine(now)
     }
 
-    /// Returns whether the worker is kept apart.
+    /// Returns whether the worker is in quarantine.
     pub fn is_quarantined(&self, now: Instant) -> bool {
         self.quarantined_until.is_some_and(|until| now < until)
     }
 
-    /// Returns how much longer the worker is kept apart.
+    /// Returns the time left in quarantine.
     pub fn quarantine_left(&self, now: Instant) -> Duration {
         let left = self
             .quarantined_until
@@ -72,7 +77,7 @@
         left.unwrap_or_default()
     }
 
-    /// Returns how many units failed since the last that was done.
+    /// Returns the number of units that failed since the last success.
     pub fn failure_count(&self) -> usize {
         self.failures.len()
     }
--- a/src/graph/history.rs
+++ b/src/graph/history.rs
@@ -1,8 +1,9 @@
-//! How long runs take, learnt from those that were done.
+//! Run time estimates, learned from finished runs.
 //!
-//! Declared times are often off by a factor of two or three, in some queues
-//! more than the runs differ, in others less: so what a queue's last runs
-//! bore out of them counts. A new planner learns anew.
+//! Declared times are often off by a factor of two or three: in some queues by
+//! more than the runs differ among themselves, in others by less. The estimate
+//! therefore trusts declared times as far as the last runs of the queue
+//! confirmed them. A new planner starts without history.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -15,23 +16,24 @@
 use crate::graph::Scheduler;
 use crate::graph::SharedStr;
 
-/// How many steps of a queue are remembered.
+/// The number of steps that are remembered for each queue.
 const MAX_SAMPLES: usize = 31;
-/// How many steps of a queue are needed before they count.
+/// The number of steps from which a queue's history is used.
 const MIN_SAMPLES: usize = 4;
-/// What speaks for declared times before any run has, as a sum of squares of
-/// logarithms: four steps that are off by a quarter.
+/// The prior weight of declared times, as a sum of squared logarithms: equals
+/// four steps that are off by a quarter.
 const DECLARED_WEIGHT: f64 = 0.25;
-/// How many runs of a step what was expected before them counts for.
+/// The weight of the queue's estimate beside a step's own runs, in runs.
 const PRIOR_WEIGHT: f64 = 0.5;
-/// The longest that is believed of a run: callers declare anything, and
-/// several times as long must still be a time.
+/// The longest run time that is assumed. Callers may declare any value, and a
+/// multiple of it must still be a valid duration.
 const MAX_RUN_TIME: Duration = Duration::from_secs(30 * 24 * 3600);
-/// The shortest run, so that every run has a logarithm.
+/// The shortest run time that is assumed, so that every run time has a
+/// logarithm.
 const MIN_RUN_TIME: Duration = Duration::from_millis(1);
 
-/// The runs of one step that were done: its tasks are alike, so that a wide
-/// step tells no more than a narrow one.
+/// The finished runs of one step. A step counts once however many tasks it
+/// has, because its tasks are alike.
 #[derive(Clone, Debug)]
 struct Sample {
     job: JobId,
@@ -40,28 +42,28 @@
     ran: RunTimes,
 }
 
-/// What a queue's runs have shown.
+/// The relation of declared to real run times in a queue.
 #[derive(Clone, Copy, Debug)]
 struct QueueFit {
-    /// Half of the runs took no longer.
+    /// The median run time.
     median: Duration,
-    /// The means of the logarithms of declared and real times.
+    /// The means of the logarithms of the declared and of the real run times.
     declared: f64,
     ran: f64,
-    /// How much of a difference in declared times is real.
+    /// The share of a difference in declared times that is real, 0 to 1.
     slope: f64,
 }
 
-/// The runs of one step that were done.
+/// The run times of one step.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RunTimes {
-    /// The sum of the logarithms of how long they took.
+    /// The sum of the logarithms of the run times in seconds.
     sum: f64,
     count: f64,
 }
 
 impl RunTimes {
-    /// Takes note of a run.
+    /// Adds the time of a run.
     pub fn push(&mut self, ran: Duration) {
         self.sum += logarithm(ran);
         self.count += 1.0;
@@ -73,17 +75,17 @@
     }
 }
 
-/// The runs that were done, by queue.
+/// The finished runs of each queue.
 #[derive(Clone, Debug, Default)]
 pub(super) struct History {
     runs: BTreeMap<SharedStr, VecDeque<Sample>>,
-    /// What the runs of each queue with runs enough have shown.
+    /// The fit of each queue that has at least [`MIN_SAMPLES`] steps.
     fits: BTreeMap<SharedStr, QueueFit>,
 }
 
 impl History {
-    /// Takes note of how long a run of a job's step took that began anew and
-    /// was done.
+    /// Records the time of a finished run that did not resume from a
+    /// checkpoint.
     pub fn learn(&mut self, job: &Job, step: usize, ran: Duration) {
         let runs = self.runs.entry(job.queue.clone()).or_default();
         let known = runs
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Returns how long a run is expected to take.
+    /// Returns the expected run time of a task.
     fn expect(
         &self,
         queue: &SharedStr,
@@ -144,7 +146,7 @@
             both += off * (run.ran.mean() - ran);
             square += off * off;
         }
-        // Until the runs say otherwise, a difference declared is one.
+        // The prior makes the slope 1 until the runs show otherwise.
         let slope = (both + DECLARED_WEIGHT) / (square + DECLARED_WEIGHT);
         QueueFit {
             median: median(runs),
@@ -156,7 +158,7 @@
 }
 
 impl Scheduler {
-    /// Returns how long a task of a job's step is expected to run.
+    /// Returns the expected run time of a task of a job's step.
     pub(super) fn expected_time(
         &self,
         record: &JobRecord,
--- a/src/graph/inquiry.rs
+++ b/src/graph/inquiry.rs
@@ -1,9 +1,9 @@
-//! Agents that are not heard of, and what they have left in the store.
+//! Queries for the ends that silent agents have stored.
 //!
-//! An agent that does not reach the planner keeps the ends that its worker
-//! lists in the store. Before what runs there is taken for gone, that is
-//! read: a task that is done must not begin again, whatever kept its agent
-//! from saying so.
+//! An agent that cannot reach the planner writes the ends that its worker
+//! lists to the store. The planner reads them before it considers the worker
+//! lost, because a task that is done must not begin again, whatever kept its
+//! agent from reporting.
 
 use std::time::Instant;
 
@@ -14,21 +14,21 @@
 use crate::graph::Scheduler;
 use crate::graph::Timestamp;
 
-/// How far the question about an agent has come.
+/// The state of the query about an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Inquiry {
-    /// It is to be asked.
+    /// The query has not been sent.
     Pending,
-    /// It is being asked.
+    /// The query has been sent.
     Sent,
-    /// All that the agent kept before then is known.
+    /// Everything that the agent stored before this time is known.
     Answered(Instant),
 }
 
 impl Scheduler {
-    /// Returns the agents that are silent for so long that their members are
-    /// about to be taken for gone, each once: what they have kept in the
-    /// store must be told to [`Scheduler::inquired`].
+    /// Returns the agents whose members are about to be considered lost, each
+    /// once. The caller reads what these agents have stored and passes it to
+    /// [`Scheduler::apply_inquiry`].
     pub fn take_inquiries(&mut self) -> Vec<AgentId> {
         let open = self
             .inquiries
@@ -41,8 +41,8 @@
         .collect()
     }
 
-    /// Takes in what an agent has kept, as read by a call that was sent at
-    /// `sent`; nothing where it has kept nothing.
+    /// Applies the report that an agent has stored, as read by a call that was
+    /// sent at `sent`, or `None` if the agent has stored nothing.
     pub fn apply_inquiry(
         &mut self,
         agent: &AgentId,
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Returns whether it is known what an agent has kept until `since`;
-    /// else it will be asked.
+    /// Returns whether everything that an agent stored until `since` is known;
+    /// if not, a query is made pending.
     pub(super) fn is_inquiry_answered(
         &mut self,
         agent: &AgentId,
--- a/src/graph/intake.rs
+++ b/src/graph/intake.rs
@@ -1,4 +1,4 @@
-//! Taking in what has happened.
+//! Events: accepted and cancelled jobs, and reports of agents.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -37,7 +37,7 @@
 use crate::graph::WorkerReport;
 
 impl Scheduler {
-    /// Takes in an accepted job, with what is kept of its progress.
+    /// Adds an accepted job, with the stored progress of one that has begun.
     pub fn accept_job(
         &mut self,
         job: Job,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Takes in that a job's caller has cancelled it.
+    /// Cancels a job at its caller's request.
     pub fn cancel_job(&mut self, id: &str, now: Timestamp) {
         let Some(record) = self.jobs.get_mut(id) else {
             return;
@@ -111,7 +111,8 @@
         self.end_job(id, Outcome::Cancelled, now);
     }
 
-    /// Takes in what an agent says; returns whether it was news.
+    /// Applies an agent's report; returns whether the report renewed the
+    /// worker's grant.
     pub fn apply_report(&mut self, report: Report, now: Timestamp) -> bool {
         let agent = report.agent;
         let (silent, gone) = match report.silent {
@@ -121,7 +122,8 @@
         let mut over = Vec::from_iter(gone);
         if let Some(before) = report.before {
             let life = before.life.clone();
-            // Before its worker is taken for gone: these are no losses.
+            // The ends come first: members that have ended are not lost with
+            // the life.
             self.apply_past_ends(&agent, &before, now);
             let previous =
                 self.past_lives.insert(agent.clone(), before.clone());
@@ -143,7 +145,8 @@
         }
         self.apply_worker(&agent, &reported, report.process, now);
         self.resolve_unconfirmed(&agent, &reported, now);
-        // Not before: what the present birth lists is no loss of another.
+        // Only after the worker's new lists are applied: members that the
+        // present birth lists are not lost.
         self.end_lives(&agent, over, silent, now);
         if let Some(worker) = self.workers.get_mut(&agent) {
             worker.sequence = report.sequence;
@@ -197,7 +200,7 @@
         }
     }
 
-    /// Returns what runs take whose jobs are known.
+    /// Returns the resources of the runs whose jobs are known.
     fn charge_of(
         &self,
         runs: &std::collections::BTreeSet<(Task, Run)>,
@@ -209,7 +212,7 @@
         charges.fold(Resources::default(), |sum, charge| sum.plus(&charge))
     }
 
-    /// Takes in that a life of a worker is over, or may be.
+    /// Ends the members of a worker's life that is over, or may be.
     fn end_life(&mut self, place: &Place, end: MemberEnd, now: Timestamp) {
         if let Some(worker) = self.workers.get_mut(&place.agent) {
             worker.gone |= worker.life == place.life;
@@ -258,8 +261,8 @@
                 life,
             });
             let worker = new_worker(reported, used, now.monotonic);
-            // It may have shrunk, or its hall been closed, since an earlier
-            // planner gave something out there.
+            // The worker may have shrunk, or its hall been closed, since an
+            // earlier planner assigned runs there.
             let full = !worker.capacity.holds(&worker.used);
             let why = match self.closed_halls.contains(&worker.hall) {
                 true => Some(StopReason::Closed),
@@ -326,13 +329,14 @@
             member.last_work = now.monotonic;
             self.agents_to_order.insert(place.agent.clone());
         }
-        // A task that shows no figure is taken to be at work.
+        // A task without a load figure counts as working.
         let works = running.load.is_none_or(|load| load > 0.0);
         if works || saved {
             member.last_work = now.monotonic;
             member.showed_work = true;
         }
-        // What an agent lists of a worker that does not answer is old.
+        // The lists of a worker that does not answer its agent are out of
+        // date.
         if !silent {
             member.last_listed = Some(now.monotonic);
         }
@@ -366,8 +370,8 @@
         self.agents_to_order.insert(place.agent.clone());
     }
 
-    /// Takes in the ends that a life has listed which is over. They can be
-    /// told again, and are never acknowledged.
+    /// Applies the ends that a past life has listed. They may be reported
+    /// again, and are never acknowledged.
     fn apply_past_ends(
         &mut self,
         agent: &AgentId,
@@ -401,7 +405,7 @@
         }
     }
 
-    /// Keeps a checkpoint that comes with an end: once the end is
+    /// Stores a checkpoint that is reported with an end: once the end is
     /// acknowledged, the worker no longer has it.
     pub(super) fn store_checkpoint(
         &mut self,
@@ -447,7 +451,7 @@
         self.agents_to_order.insert(place.agent.clone());
     }
 
-    /// Returns the unit and the position of a member that is running.
+    /// Returns the unit and the position of an active member.
     pub(super) fn find_member(
         &self,
         task: &Task,
@@ -508,7 +512,7 @@
     }
 }
 
-/// Opens a unit that was started before this planner claimed.
+/// Adds a unit that an earlier planner started.
 fn adopt_unit(
     record: &mut JobRecord,
     key: &UnitKey,
@@ -521,8 +525,8 @@
     let member = |(position, place): (usize, &Place)| Member {
         index: key.index.unwrap_or(position as u32),
         place: place.clone(),
-        // Whether it has begun is not known: ordered again, the same run
-        // starts once at most.
+        // The run may or may not have begun. Ordering it again is safe,
+        // because a run starts at most once.
         state: MemberState::Ordered(0),
         sent: true,
         assigned_at: now,
--- a/src/graph/job.rs
+++ b/src/graph/job.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for.
+//! Jobs, steps and tasks as a caller requests them.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,31 +10,31 @@
 
 /// The name of a job, unique on the site.
 pub type JobId = Arc<str>;
-/// A name shared by many values.
+/// A string that many values share.
 pub type SharedStr = Arc<str>;
 
-/// What a task takes of a worker.
+/// The resources that a task takes of a worker.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize,
 )]
 pub struct Resources {
-    /// Thousandths of a core.
+    /// CPU in thousandths of a core.
     pub cpu: i64,
     /// Memory in MB.
     pub memory: i64,
-    /// Accelerators.
+    /// The number of accelerators.
     pub accelerators: i64,
 }
 
 impl Resources {
-    /// Returns whether `other` fits into these.
+    /// Returns whether `other` fits into these resources.
     pub fn holds(&self, other: &Resources) -> bool {
         self.cpu >= other.cpu
             && self.memory >= other.memory
             && self.accelerators >= other.accelerators
     }
 
-    /// Returns how many times `other` fits into these.
+    /// Returns how many times `other` fits into these resources.
     pub fn times(&self, other: &Resources) -> u32 {
         let fit = |have: i64, each: i64| match each {
             ..=0 if have >= each => i64::MAX,
@@ -47,7 +47,7 @@
         u32::try_from(times).unwrap_or(u32::MAX)
     }
 
-    /// Returns these with `other` added.
+    /// Returns the sum of these resources and `other`.
     pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
             cpu: self.cpu + other.cpu,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns these with `other` taken away.
+    /// Returns these resources less `other`.
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
             cpu: self.cpu - other.cpu,
@@ -70,24 +70,24 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Step {
-    /// How many tasks.
+    /// The number of tasks.
     pub replicas: u32,
-    /// What each takes.
+    /// The resources of each task.
     pub resources: Resources,
-    /// How long each is guessed to take.
+    /// The declared run time of each task.
     #[serde(with = "crate::util::duration_ms")]
     pub estimate: Duration,
-    /// The steps whose tasks must all be done first.
+    /// The steps whose tasks must all be done before this step starts.
     pub after: Vec<usize>,
-    /// Whether it writes checkpoints, from which it can be resumed.
+    /// Whether the tasks write checkpoints from which they can be resumed.
     pub checkpoints: bool,
-    /// Whether the tasks work only together.
+    /// Whether the tasks only work together.
     pub gang: bool,
-    /// Whether the gang is slow unless it is in one rack.
+    /// Whether the gang is slow unless all of it is in one rack.
     pub same_rack: bool,
     /// A label that the worker must have.
     pub label: Option<SharedStr>,
-    /// The rack outside which it is slow.
+    /// The rack with the step's data; tasks are slow outside it.
     pub data_rack: Option<SharedStr>,
     /// The most tasks of the step on one worker.
     pub per_worker: Option<u32>,
@@ -95,18 +95,20 @@
     pub speculative: bool,
     /// Whether the tasks run until the job is cancelled.
     pub lasting: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// The image that the tasks run. Tasks of one image behave alike.
     pub image: Option<SharedStr>,
-    /// Below which the tail of a lasting task's answers is to stay.
+    /// The tail latency, in ms, below which a long-running task should answer.
     pub target_ms: Option<u64>,
-    /// Whether it takes only the processor time that others leave.
+    /// Whether the tasks are fillers: they take only the CPU time that other
+    /// tasks leave.
     pub fills: bool,
-    /// How many lasting tasks may be away at a time through our doing.
+    /// The number of long-running tasks that the scheduler may take down at a
+    /// time.
     pub may_miss: Option<u32>,
 }
 
 impl Step {
-    /// Returns what a task takes from the room of its worker.
+    /// Returns the resources that a task is charged on its worker.
     pub fn charge(&self) -> Resources {
         match self.fills {
             true => Resources {
@@ -121,125 +123,129 @@
 /// A job whose steps run several times.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Repeat {
-    /// How many times.
+    /// The number of repetitions.
     pub times: u32,
-    /// When the first time falls due.
+    /// When the first repetition is due.
     #[serde(with = "crate::util::time_ms")]
     pub start: SystemTime,
-    /// How long after it the next falls due.
+    /// The time between two repetitions.
     #[serde(with = "crate::util::duration_ms")]
     pub interval: Duration,
 }
 
-/// A queue whose steps may run on some workers only, which a service knows.
+/// Marks a queue whose steps may run on some workers only; an advice service
+/// knows which.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Advice {
-    /// How long a ticket holds.
+    /// How long a ticket is valid.
     #[serde(with = "crate::util::duration_ms")]
     pub valid: Duration,
 }
 
-/// A job as it was accepted, with the terms of its queue at that time.
+/// A job as accepted, with the settings of its queue at that time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// Its name.
+    /// The job's name.
     pub id: JobId,
-    /// The client account it belongs to.
+    /// The client account that owns the job.
     pub account: SharedStr,
-    /// The queue it was put in.
+    /// The queue that the job was submitted to.
     pub queue: SharedStr,
-    /// The pool whose workers run it.
+    /// The pool whose workers run the job.
     pub pool: SharedStr,
-    /// The lower, the sooner; 0 has the guarantees.
+    /// The priority: 0 is urgent and has the guarantees, higher values start
+    /// later.
     pub priority: u32,
-    /// How many of a unit's runs may fail.
+    /// How many runs of a unit may fail before the job fails.
     pub max_attempts: u32,
-    /// How many times its longest chain of work it may take.
+    /// The factor on the job's critical path in its time objective.
     pub stretch: f64,
-    /// What it may take beyond that.
+    /// The fixed part of the job's time objective.
     #[serde(with = "crate::util::duration_ms")]
     pub target: Duration,
-    /// Whether workers of the pool refuse what does not fit.
+    /// Whether the pool's workers refuse tasks that exceed their capacity.
     pub guarded: bool,
-    /// When it was accepted.
+    /// When the job was accepted.
     #[serde(with = "crate::util::time_ms")]
     pub accepted: SystemTime,
-    /// What the tasks are told.
+    /// The specification that is passed on to the tasks.
     pub spec: SharedStr,
-    /// Its steps.
+    /// The steps, each after the steps that it depends on.
     pub steps: Vec<Step>,
-    /// How often it runs, if more than once.
+    /// The schedule of a job that runs more than once.
     #[serde(default)]
     pub repeat: Option<Repeat>,
-    /// Whose leave its starts need, if anybody's.
+    /// The advice that starts need, if the queue requires advice.
     #[serde(default)]
     pub advice: Option<Advice>,
 }
 
-/// A step or shape that makes no sense.
+/// A reason why a job is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// There are no steps.
+    /// The job has no steps.
     #[error("steps: none given, expected 1 or more")]
     Empty,
     /// A step has no tasks.
     #[error("steps[{step}].replicas: 0, expected 1 to {MAX_TASKS}")]
     Replicas {
-        /// Its number.
+        /// The step's index.
         step: usize,
     },
-    /// A step waits for itself or a later one.
+    /// A step depends on itself or a later step.
     #[error("steps[{step}].after: {on}, expected a step before {step}")]
     After {
-        /// Its number.
+        /// The step's index.
         step: usize,
-        /// What it waits for.
+        /// The index that the step depends on.
         on: usize,
     },
-    /// There are too many tasks.
+    /// The job has too many tasks.
     #[error("steps: {tasks} tasks, expected at most {MAX_TASKS}")]
     Tasks {
-        /// How many.
+        /// The number of tasks of the job.
         tasks: u64,
     },
-    /// It runs too often.
+    /// The job has too many repetitions.
     #[error("times: {times}, expected at most {MAX_TIMES}")]
     Times {
-        /// How often.
+        /// The number of repetitions of the job.
         times: u32,
     },
-    /// A task asks for what no worker can have.
+    /// A task requests a negative amount of a resource, or more than any
+    /// worker has.
     #[error(
         "steps[{step}]: cpu {cpu}, memory {memory}, accelerators \
          {accelerators}, expected 0 to {MAX_RESOURCE} each"
     )]
     Resources {
-        /// Its number.
+        /// The step's index.
         step: usize,
-        /// Thousandths of a core.
+        /// Requested CPU in thousandths of a core.
         cpu: i64,
-        /// Memory in MB.
+        /// Requested memory in MB.
         memory: i64,
-        /// Accelerators.
+        /// Requested accelerators.
         accelerators: i64,
     },
 }
 
-/// The most tasks of a job, a memory bound of the planner.
+/// The most tasks of a job. Bounds the planner's memory.
 pub const MAX_TASKS: u64 = 10_000;
 
-/// The most of a resource that a task may ask for: far beyond any worker,
-/// and as many times as a job may have tasks is still a number.
+/// The most of a resource that a task may request: far beyond any worker, and
+/// small enough that the sum over all tasks of a job does not overflow.
 pub const MAX_RESOURCE: i64 = 1_000_000_000_000;
-/// The most times that a job runs, a bound of the planner's time.
+/// The most repetitions of a job. Bounds the planner's run time.
 pub const MAX_TIMES: u32 = 10_000;
 
 impl Job {
-    /// Checks that the job makes sense.
+    /// Checks that the job is valid.
     ///
     /// # Errors
     ///
-    /// Names the first step that does not.
+    /// Returns an error that names the first problem, with the step where
+    /// there is one.
     pub fn check(&self) -> Result<(), Error> {
         if self.steps.is_empty() {
             return Err(Error::Empty);
@@ -259,12 +265,12 @@
         }
     }
 
-    /// Returns how often the steps run.
+    /// Returns the number of repetitions, 1 for a job without a schedule.
     pub fn times(&self) -> u32 {
         self.repeat.map_or(1, |repeat| repeat.times.max(1))
     }
 
-    /// Returns when a time falls due.
+    /// Returns when a repetition is due.
     pub fn due(&self, time: u32) -> SystemTime {
         match self.repeat {
             Some(repeat) => repeat.start + repeat.interval * time,
@@ -272,8 +278,8 @@
         }
     }
 
-    /// Returns the longest chain of work through the steps, each as long as
-    /// `expected` says of its number.
+    /// Returns the length of the critical path through the steps, where
+    /// `expected` returns the run time of a step by its index.
     pub fn critical_path(
         &self,
         expected: impl Fn(usize) -> Duration,
@@ -287,7 +293,7 @@
         ends.into_iter().max().unwrap_or_default()
     }
 
-    /// Returns whether any step lasts.
+    /// Returns whether any step is long-running.
     pub fn is_lasting(&self) -> bool {
         self.steps.iter().any(|step| step.lasting)
     }
@@ -325,13 +331,13 @@
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Task {
-    /// Its job.
+    /// The task's job.
     pub job: JobId,
-    /// Which time of the job, from 0.
+    /// The repetition of the job, from 0.
     pub time: u32,
-    /// Its step.
+    /// The index of the task's step.
     pub step: usize,
-    /// Its number within the step.
+    /// The task's index within the step.
     pub index: u32,
 }
 
@@ -341,7 +347,7 @@
     }
 }
 
-/// A text that names no task.
+/// The error for a text that is not the name of a task.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("task {0:?}: expected JOB.TIME.STEP.INDEX")]
 pub struct ParseTaskError(String);
--- a/src/graph/job_record.rs
+++ b/src/graph/job_record.rs
@@ -1,4 +1,4 @@
-//! A job in the books, and how far it has come.
+//! The scheduler's record of a job.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,27 +14,27 @@
 use crate::graph::Task;
 use crate::graph::UnitKey;
 
-/// A job and how far it has come.
+/// A job with its progress and its open units.
 #[derive(Clone, Debug)]
 pub(super) struct JobRecord {
     pub job: Arc<Job>,
     pub progress: Progress,
-    /// Counts the changes of the progress.
+    /// The number of changes of the progress.
     pub version: u64,
-    /// The last version that is written.
+    /// The last version of the progress that is written.
     pub written: u64,
     pub cancelled: bool,
-    /// The units that have been opened: their time is due, and the steps
-    /// that they wait for are done.
+    /// The open units: their repetition is due, and the steps that they depend
+    /// on are done.
     pub units: BTreeMap<UnitKey, Unit>,
-    /// The steps that have been opened.
+    /// The steps whose units are open, by repetition and step.
     pub opened_steps: BTreeSet<(u32, usize)>,
-    /// How long whole runs of each step took.
+    /// How long uninterrupted runs of each step took.
     pub run_times: BTreeMap<usize, RunTimes>,
-    /// Whether one of the units under which a worker was lost has since been
-    /// at work without that.
+    /// Whether a suspect unit has since worked without the loss of a worker.
     pub cleared: bool,
-    /// Whether a worker was lost under any of its units: of most, none was.
+    /// Whether a worker was lost under any unit. Most jobs have no losses and
+    /// skip the checks for suspects.
     pub has_losses: bool,
     pub accepted_at: Instant,
 }
@@ -44,7 +44,7 @@
         self.progress.outcome.is_some()
     }
 
-    /// Returns the members that a unit has.
+    /// Returns the number of members of a unit.
     pub fn member_count(&self, key: &UnitKey) -> u32 {
         match key.index {
             Some(_) => 1,
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Returns whether a unit's next failure would be its job's.
+    /// Returns whether the job fails if the unit fails once more.
     pub fn is_last_attempt(&self, key: &UnitKey) -> bool {
         let progress = self.progress.units.get(key);
         let failed = progress.map_or(0, |progress| progress.failed);
@@ -80,7 +80,7 @@
             && failed + 1 >= self.job.max_attempts
     }
 
-    /// Returns a unit with what it belongs to.
+    /// Returns the unit's identification for the log.
     pub fn subject(&self, key: &UnitKey) -> Subject {
         Subject {
             job: self.job.id.clone(),
--- a/src/graph/life.rs
+++ b/src/graph/life.rs
@@ -1,4 +1,4 @@
-//! One life of a worker.
+//! A life of a worker: its name and its birth.
 
 use std::fmt;
 use std::ops::Deref;
@@ -7,18 +7,19 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What stands between a worker's name and its birth: no sign of a name.
+/// Separates a worker's name from its birth. Names cannot contain this
+/// character.
 const SEPARATOR: char = ' ';
 
 /// When a worker started, in milliseconds since 1970 on its own clock.
 pub type Birth = u64;
 
-/// Names one life of a worker: the worker's name, and its birth where it
-/// tells that.
+/// Identifies one life of a worker by the worker's name and, where the worker
+/// reports one, its birth.
 ///
-/// It is written as one text, `NAME BIRTH` or the name alone. Two lives are
-/// the same only if both parts are: a worker that starts again under its name
-/// runs nothing, has noted nothing and counts anew.
+/// The text form is `NAME BIRTH`, or the name alone. Two lives are equal only
+/// if both parts are: a worker that restarts under its name runs nothing, has
+/// acknowledged nothing and numbers its ends anew.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -26,7 +27,7 @@
 pub struct Life(Arc<str>);
 
 impl Life {
-    /// Returns the life of a worker that tells its birth.
+    /// Returns the life of a worker that reports its birth.
     pub fn new(name: &str, born: Birth) -> Life {
         Life(format!("{name}{SEPARATOR}{born}").into())
     }
@@ -45,21 +46,21 @@
         self.parts().0
     }
 
-    /// Returns the worker's birth, if that is known.
+    /// Returns the worker's birth, if it is known.
     pub fn birth(&self) -> Option<Birth> {
         self.parts().1
     }
 
-    /// Returns whether another life may be this one: what was written before
-    /// births were told names a worker alone.
+    /// Returns whether both values may identify the same life. Records written
+    /// before workers reported births hold the name alone.
     pub fn may_equal(&self, other: &Life) -> bool {
         let known = self.birth().is_some() && other.birth().is_some();
         self == other || !known && self.name() == other.name()
     }
 
-    /// Returns whether a worker of this name that tells a birth is another
-    /// life. Which is the later one is not asked: the time of day may have
-    /// been set back in between.
+    /// Returns whether a worker of this name that reports the given birth is
+    /// in another life. The births are not compared by age, because the wall
+    /// clock may have been set back in between.
     pub fn is_other_life(&self, answers: Option<Birth>) -> bool {
         let births = self.birth().zip(answers);
         births.is_some_and(|(ours, theirs)| ours != theirs)
--- a/src/graph/liveness.rs
+++ b/src/graph/liveness.rs
@@ -1,4 +1,4 @@
-//! Workers that are gone, and runs that stand still.
+//! Detection of lost workers and of stuck runs.
 
 use std::time::Duration;
 
@@ -14,18 +14,20 @@
 use crate::graph::Scheduler;
 use crate::graph::Timestamp;
 
-/// How long a planner counts as new: agents find it within tenths of a
-/// second, and one that lost its VM with the last planner does not come.
+/// How long a planner waits for first reports. Agents find a new planner
+/// within tenths of a second, and an agent that was lost along with the last
+/// planner's VM never reports.
 const STARTUP_TIME: Duration = Duration::from_millis(1500);
-/// How long a member may show no work before it may be taken for stuck.
+/// How long a member may show no work before it may count as stuck.
 const STUCK_TIMEOUT: Duration = Duration::from_millis(2600);
-/// How many times longer than expected a run may take that has shown work.
+/// The factor on the expected run time after which a run that has shown work
+/// may count as stuck.
 const OVERDUE_FACTOR: f64 = 4.0;
-/// How many times longer a run may take that has never shown any.
+/// The factor for a run that has never shown work.
 const IDLE_OVERDUE_FACTOR: f64 = 1.5;
 
 impl Scheduler {
-    /// Ends the members on places that are gone.
+    /// Ends the members on places that are known to be gone.
     pub(super) fn end_lost(
         &mut self,
         gone: impl Fn(&Place) -> bool,
@@ -34,7 +36,8 @@
         self.end_members_on(MemberEnd::WorkerLost, gone, now);
     }
 
-    /// Ends the members on places that are gone, or may be.
+    /// Ends the members on the matching places with the given kind of end, and
+    /// releases the reservations there.
     pub(super) fn end_members_on(
         &mut self,
         end: MemberEnd,
@@ -81,8 +84,8 @@
         }
     }
 
-    /// Takes the members for gone whose agents have been silent for so long
-    /// that their workers' leases have run out.
+    /// Ends the members whose agents have been silent for so long that the
+    /// leases of their workers have expired.
     pub(super) fn expire_silent_workers(&mut self, now: Timestamp) {
         let wait = self.terms.survival + self.terms.lease_margin;
         let mut silent = Vec::new();
@@ -116,12 +119,14 @@
         }
     }
 
-    /// Takes the runs of gangs for over whose members all tell that another
-    /// one ended, but for those on one worker that is not heard of: it was
-    /// there. Else the gang would wait until that worker's leases surely
-    /// have run out, 13 s, or 6 s where its agent goes on beside it; a worker
-    /// taken away at short notice is the usual case. A last attempt does
-    /// wait: should that member have failed, the job is over.
+    /// Ends the runs of gangs that broke on a worker that is out of contact.
+    ///
+    /// All other members have reported that another member ended, so it was
+    /// one on the silent worker. Without this rule the gang would wait until
+    /// that worker's leases have certainly expired, which takes 13 s, or 6 s
+    /// if its agent is still running. The usual cause is a worker that was
+    /// taken away at short notice. On a last attempt the run does wait,
+    /// because the job fails if that member has failed.
     pub(super) fn end_broken_gangs(&mut self, now: Timestamp) {
         if !self.terms.policy.end_broken_gangs {
             return;
@@ -149,11 +154,13 @@
         }
     }
 
-    /// Returns whether this planner is new, and has not heard yet of a worker
-    /// on which an earlier one has put something. What it sees then is a
-    /// small part of the site: gangs were spread over the first racks that
-    /// reported, and took three times as long, and runs were stopped there
-    /// though others would have been free 0.2 s later.
+    /// Returns whether this planner is new and has not heard yet of a worker
+    /// on which an earlier planner placed something.
+    ///
+    /// A new planner sees only a small part of the site. Without this rule it
+    /// spread gangs over the first racks that reported, which made them three
+    /// times as slow, and stopped runs there although other workers would have
+    /// been free 0.2 s later.
     pub(super) fn awaits_reports(&self, now: Timestamp) -> bool {
         if !self.terms.policy.await_reports
             || now.monotonic >= self.claimed_at + STARTUP_TIME
@@ -165,8 +172,8 @@
         members.any(|m| !self.workers.contains_key(&m.place.agent))
     }
 
-    /// Returns whether what is left of a unit's run began on one worker that
-    /// nothing is heard of, or that answers its agent no more.
+    /// Returns whether the remaining members of a run all began on one worker
+    /// that is silent or no longer answers its agent.
     fn is_out_of_contact(&self, unit: &Unit, now: Timestamp) -> bool {
         let mut left = unit.members();
         let Some(first) = left.next() else {
@@ -217,9 +224,9 @@
         }
     }
 
-    /// Returns whether a member has run so long without a sign of work that
-    /// it is taken for stuck. A figure of 0 alone says little: tasks that
-    /// work were seen to show it for seconds.
+    /// Returns whether a member has shown no sign of work for so long that it
+    /// counts as stuck. A load of 0 alone is not enough: working tasks can
+    /// show it for seconds.
     fn is_stuck(
         &self,
         member: &Member,
--- a/src/graph/mod.rs
+++ b/src/graph/mod.rs
@@ -1,17 +1,17 @@
-//! Jobs that are graphs of steps, and the decisions about them.
+//! Scheduling of jobs that are graphs of steps.
 //!
-//! A *job* has steps; a step has `replicas` tasks. What is placed and
-//! started as one is a *unit*: the whole gang of a step that is a gang, else
-//! one task. Each start of a unit is a *run*, numbered from 1; its members
-//! are one task each, on one worker each.
+//! A *job* has steps, and a step has `replicas` tasks. The *unit* is what the
+//! scheduler places and starts as a whole: all tasks of a step that is a gang,
+//! otherwise a single task. Each start of a unit is a *run*, numbered from 1.
+//! The members of a run are one task each, on one worker each.
 //!
-//! [`Scheduler`] is the decision core: it has no clock, does no I/O and draws no
-//! random numbers. It is told what happened and says which progress must be
-//! written ([`Scheduler::unwritten`]) and what each agent is to do
-//! ([`Scheduler::orders`]). An order is given only once the progress that names
-//! its run is written, and an end is acknowledged only once it is written:
-//! so a planner that takes over neither gives a run number out twice nor
-//! misses an end.
+//! [`Scheduler`] is the decision core: it has no clock, does no I/O and draws
+//! no random numbers. Callers report events to it, write the progress that
+//! [`Scheduler::take_unwritten`] returns, and send each agent its
+//! [`Scheduler::orders`]. The scheduler orders a run only once the progress
+//! that names the run is written, and acknowledges an end only once the end is
+//! written. A planner that takes over therefore neither assigns a run number
+//! twice nor misses an end.
 
 mod advice;
 mod birth;
@@ -101,17 +101,17 @@
 /// The number of a unit's start, counted from 1.
 pub type Run = u32;
 
-/// A point in time on both clocks.
+/// A reading of both clocks at one point in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timestamp {
-    /// The steady clock, for everything that is waited for.
+    /// The monotonic clock, for all timeouts.
     pub monotonic: Instant,
-    /// The time of day, for what falls due at a time of day.
+    /// The wall clock, for jobs that are due at a time of day.
     pub wall: SystemTime,
 }
 
 impl Timestamp {
-    /// Returns the present.
+    /// Reads both clocks.
     pub fn now() -> Timestamp {
         Timestamp {
             monotonic: clock::now(),
--- a/src/graph/orders.rs
+++ b/src/graph/orders.rs
@@ -1,4 +1,4 @@
-//! What an agent is to do.
+//! Orders to agents.
 
 use std::collections::BTreeMap;
 
@@ -21,61 +21,62 @@
 use crate::graph::Task;
 use crate::graph::UnitKey;
 
-/// A run to be started.
+/// A run to start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Start {
-    /// The task.
+    /// The task to start.
     pub task: Task,
-    /// Which run of it.
+    /// The number of the run.
     pub run: Run,
-    /// What the task is told.
+    /// The specification that is passed on to the task.
     pub spec: SharedStr,
     /// The checkpoint to resume from, if any.
     pub saved: Option<String>,
-    /// The leave to run there, where one is needed.
+    /// The ticket that permits the run on this worker, where one is needed.
     pub ticket: Option<String>,
-    /// What it takes of the worker's room.
+    /// The resources that the task takes of the worker.
     #[serde(default)]
     pub charge: Resources,
 }
 
-/// A run to be stopped.
+/// A run to stop.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Stop {
-    /// The task.
+    /// The task to stop.
     pub task: Task,
-    /// Which run of it.
+    /// The number of the run.
     pub run: Run,
 }
 
-/// All that an agent is to do; what it has done already stays listed until
-/// its reports show it.
+/// All orders for an agent. An order that is already carried out stays listed
+/// until the agent's reports show it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Orders {
-    /// For which life of its worker.
+    /// The life of the worker that the orders are for.
     pub life: Option<Life>,
-    /// The ends up to this number are kept, and may be forgotten.
+    /// The highest number of an end that is stored. The worker may drop the
+    /// ends up to it.
     pub noted: u64,
-    /// What is to be started.
+    /// The runs to start.
     pub starts: Vec<Start>,
-    /// What is to be stopped.
+    /// The runs to stop.
     pub stops: Vec<Stop>,
-    /// What is to work at another pace.
+    /// The filler tasks that are to change their pace.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub paces: Vec<Pace>,
 }
 
 impl Scheduler {
-    /// Returns what an agent is to do now.
+    /// Returns the current orders for an agent.
     pub fn orders(&mut self, agent: &AgentId) -> Orders {
         let mut orders = self.orders_for(std::slice::from_ref(agent));
         orders.remove(agent).unwrap_or_default()
     }
 
-    /// Returns what each of several agents is to do now, by one walk over
-    /// all runs however many agents there are.
+    /// Returns the current orders for several agents, with a single walk over
+    /// all runs.
     pub fn orders_for(
         &mut self,
         agents: &[AgentId],
@@ -95,7 +96,7 @@
     }
 
     /// Acknowledges the ends that are written, and returns an agent's orders
-    /// beside what is to be started and stopped of known runs.
+    /// without the starts and stops of known runs.
     fn begin_orders(&mut self, agent: &AgentId) -> Option<Orders> {
         let paces = self.pace_orders(agent);
         let worker = self.workers.get_mut(agent)?;
@@ -164,7 +165,7 @@
         };
         let task = record.task(key, member);
         match member.state {
-            // Once a gang is done without a member, that one must not begin
+            // Once a gang is done, a member that has not begun must not begin
             // any more.
             MemberState::Ordered(_) | MemberState::Running
                 if stopped || progress.done =>
--- a/src/graph/pace.rs
+++ b/src/graph/pace.rs
@@ -1,8 +1,9 @@
-//! The pace of tasks that fill what others leave.
+//! The pace of filler tasks.
 //!
-//! They disturb the tasks beside them that serve users, by amounts that
-//! nobody declares. A worker's fillers stand still as soon as a serving task
-//! there is over its target, and come back step by step.
+//! Filler tasks use the CPU time that other tasks leave, but they slow down
+//! the serving tasks beside them by amounts that nobody declares. A worker's
+//! fillers therefore pause as soon as a serving task on the worker exceeds its
+//! latency target, and speed up again step by step.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -18,27 +19,28 @@
 use crate::graph::Scheduler;
 use crate::graph::Task;
 
-/// The share of its target from which a task's tail forbids more pace.
+/// The share of its target from which a serving task's tail latency keeps the
+/// pace from rising.
 const HOLD_THRESHOLD: f64 = 0.8;
-/// By how much the pace rises at a time, in percent.
+/// The increase of the pace at a time, in percentage points.
 const RISE_PERCENT: u8 = 20;
-/// How long a pace is watched before it rises.
+/// How long the pace stays unchanged before it rises.
 const RISE_INTERVAL: Duration = Duration::from_millis(1000);
-/// The pace of a task that is not held back, in percent.
+/// The pace of an unrestricted task, in percent.
 const FULL_PERCENT: u8 = 100;
 
-/// The pace that a filling task is to have.
+/// The pace that is ordered for a filler task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pace {
-    /// The task.
+    /// The filler task.
     pub task: Task,
-    /// Which run of it.
+    /// The number of its run.
     pub run: Run,
-    /// The share of its speed at which it may work, 0 to 100.
+    /// The share of full speed, 0 to 100.
     pub percent: u8,
 }
 
-/// The pace of what fills on one worker.
+/// The pace of all filler tasks on one worker.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FillerPace {
     percent: u8,
@@ -46,7 +48,7 @@
 }
 
 impl FillerPace {
-    /// Returns the pace on a worker that is not known yet.
+    /// Returns full pace, for a worker without observations.
     pub fn new(now: Instant) -> FillerPace {
         FillerPace {
             percent: FULL_PERCENT,
@@ -54,8 +56,8 @@
         }
     }
 
-    /// Takes in how close to its target the worst serving task is, 1 being
-    /// at it; returns whether the pace changes.
+    /// Updates the pace for the worst ratio of tail latency to target on the
+    /// worker; returns whether the pace changes.
     fn update(&mut self, worst: f64, now: Instant) -> bool {
         let percent = match worst {
             worst if worst >= 1.0 => 0,
@@ -73,7 +75,8 @@
 }
 
 impl Scheduler {
-    /// Sets the pace of what fills beside the serving tasks of a worker.
+    /// Updates the pace of a worker's fillers from the load of its serving
+    /// tasks.
     pub(super) fn update_pace(
         &mut self,
         agent: &AgentId,
@@ -104,7 +107,8 @@
         }
     }
 
-    /// Returns the pace of each filling task that a worker lists.
+    /// Returns the pace of each filler task that the worker lists with another
+    /// pace.
     pub(super) fn pace_orders(&self, agent: &AgentId) -> Vec<Pace> {
         let Some(worker) = self.workers.get(agent) else {
             return Vec::new();
@@ -122,8 +126,8 @@
         worker.off_pace.iter().filter(fills).map(pace).collect()
     }
 
-    /// Keeps the runs on a worker whose pace is not the one they should
-    /// have.
+    /// Updates the list of runs whose listed pace differs from the ordered
+    /// one.
     pub(super) fn update_off_pace(
         &mut self,
         agent: &AgentId,
--- a/src/graph/place.rs
+++ b/src/graph/place.rs
@@ -1,4 +1,4 @@
-//! Where a unit's tasks may go.
+//! Placement of units on workers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -19,7 +19,7 @@
 use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
-/// What a unit needs.
+/// The requirements of a unit.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
     pub id: JobId,
@@ -34,13 +34,14 @@
     pub per_worker: Option<u32>,
     pub avoid: Vec<AgentId>,
     pub ready: Instant,
-    /// Whether it may use room that is kept for others but empty.
+    /// Whether the unit may use resources that are reserved for others but
+    /// unoccupied.
     pub may_use_reserved: bool,
-    /// How long it is expected to run.
+    /// The expected run time of the unit.
     pub expected: Duration,
-    /// Whether it may not fail once more.
+    /// Whether the job fails if the unit fails once more.
     pub last_attempt: bool,
-    /// Whether a worker was suddenly lost under it.
+    /// Whether several workers were suddenly lost under the unit.
     pub suspect: bool,
 }
 
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Returns how many of its tasks a worker holds when it is empty.
+    /// Returns how many of the unit's tasks fit on a worker when it is empty.
     pub fn slots(&self, worker: &Worker) -> u32 {
         let most = self.per_worker.unwrap_or(u32::MAX);
         worker.capacity.times(&self.charge).min(most)
@@ -83,7 +84,7 @@
         (self.id.clone(), self.key.time, self.key.step)
     }
 
-    /// Returns whether a rack is one where the unit is not slow.
+    /// Returns whether the unit runs at full speed in a rack.
     pub fn is_near(&self, rack: &SharedStr) -> bool {
         self.data_rack.as_ref().is_none_or(|data| data == rack)
     }
@@ -95,14 +96,14 @@
     pub place: Place,
     pub rack: SharedStr,
     pub free: Resources,
-    /// How many tasks of the unit's step it may still take.
+    /// How many more tasks of the unit's step the worker may run.
     pub quota: u32,
-    /// What speaks against it, the lower the better.
+    /// The worker's recent failures. Workers with fewer are preferred.
     pub failures: usize,
 }
 
 impl Candidate {
-    /// Returns how many tasks fit.
+    /// Returns how many tasks fit on the worker now.
     pub fn slots(&self, charge: &Resources) -> u32 {
         self.free.times(charge).min(self.quota)
     }
@@ -115,8 +116,9 @@
         request: &Request,
         now: Timestamp,
     ) -> Option<Vec<Place>> {
-        // Most that wait in a full pool find no room anywhere: one walk tells
-        // so, in place of a copy of the candidates for each rack.
+        // Most waiting units find no room in a full pool. A single walk over
+        // the workers detects that without copying the candidates for each
+        // rack.
         let all = self.workers.values();
         let free =
             all.filter(|w| w.pool == request.pool)
@@ -138,7 +140,7 @@
         choices.filter_map(|chosen| pack(request, chosen)).next()
     }
 
-    /// Returns the workers to try together, the best choice first.
+    /// Returns the sets of workers to try, the best set first.
     pub(super) fn candidate_sets(
         &self,
         request: &Request,
@@ -148,15 +150,15 @@
         self.by_rack_choice(request, &candidates, now)
     }
 
-    /// Returns the candidates to try together, the best choice first.
+    /// Returns the sets of candidates to try, the best set first.
     fn by_rack_choice(
         &self,
         request: &Request,
         candidates: &[Candidate],
         now: Timestamp,
     ) -> Vec<Vec<Candidate>> {
-        // Grouped once: to go through all of them for each of 30 racks was
-        // most of a pass with a burst of urgent gangs.
+        // The candidates are grouped by rack once. A walk over all of them for
+        // each of 30 racks dominated passes with bursts of urgent gangs.
         let mut by_rack: BTreeMap<&SharedStr, Vec<usize>> = BTreeMap::new();
         for (index, candidate) in candidates.iter().enumerate() {
             by_rack.entry(&candidate.rack).or_default().push(index);
@@ -176,7 +178,7 @@
         racks.map(within).collect()
     }
 
-    /// Returns the sets of racks to try in turn; `None` is all of them.
+    /// Returns the sets of racks to try in turn; `None` stands for all racks.
     fn rack_choices(
         &self,
         request: &Request,
@@ -193,7 +195,8 @@
         let mut choices = Vec::new();
         if request.same_rack {
             let mut near: Vec<(&SharedStr, &u32)> = near.collect();
-            // The tightest rack that has room goes first.
+            // The rack with the least room comes first: if the unit fits
+            // there, larger gaps stay free.
             near.sort_by_key(|(_, slots)| **slots);
             choices.extend(
                 near.iter().map(|(rack, _)| Some([(*rack).clone()].into())),
@@ -210,8 +213,8 @@
         choices
     }
 
-    /// Returns the racks where a unit is not slow and has room once they
-    /// are empty.
+    /// Returns the racks where a unit runs at full speed and would have room
+    /// if the racks were empty.
     fn roomy_racks(&self, request: &Request) -> BTreeSet<SharedStr> {
         let mut slots: BTreeMap<&SharedStr, u32> = BTreeMap::new();
         for worker in self.workers.values() {
@@ -230,7 +233,8 @@
             .collect()
     }
 
-    /// Returns until when only racks will do where a unit is not slow.
+    /// Returns until when a unit only accepts racks where it runs at full
+    /// speed.
     fn near_until(&self, request: &Request) -> Instant {
         let extra_time = request
             .expected
@@ -241,13 +245,13 @@
             false => request.ready + wait,
         };
         match self.latest_decision(request) {
-            // Later there is no time left for stops elsewhere.
+            // Later there would be no time left to stop runs elsewhere.
             Some(last) => until.min(last),
             None => until,
         }
     }
 
-    /// Returns the workers that a unit may use, whatever room they have.
+    /// Returns the workers that a unit may use, whether or not they have room.
     pub(super) fn candidates(
         &self,
         request: &Request,
@@ -304,7 +308,7 @@
             && worker.capacity.holds(&request.charge)
     }
 
-    /// Returns how many more tasks of a step a worker may take.
+    /// Returns how many more tasks of a step a worker may run.
     fn quota(&self, request: &Request, agent: &AgentId) -> u32 {
         let Some(most) = request.per_worker else {
             return u32::MAX;
@@ -325,9 +329,9 @@
     }
 }
 
-/// Leaves out the workers where a unit has failed, and for a wary one those
-/// in doubt, if the others could hold it; a unit that has waited while most
-/// is idle takes them all the same.
+/// Leaves out the workers that the unit has failed on and, if `wary`, those
+/// with recent failures, provided that the others could hold the unit. A unit
+/// that has waited while most of the pool is idle may use all of them.
 fn prefer_untried<'a>(
     request: &Request,
     sound: Vec<(&'a AgentId, &'a Worker)>,
@@ -347,8 +351,8 @@
     others.collect()
 }
 
-/// Returns a place for each member on the given workers, the fullest that
-/// still fit going first so that whole workers stay free.
+/// Returns a place for each member on the given workers. The fullest workers
+/// that still have room are used first, so that whole workers stay free.
 pub(super) fn pack(
     request: &Request,
     mut candidates: Vec<Candidate>,
--- a/src/graph/policy.rs
+++ b/src/graph/policy.rs
@@ -1,17 +1,17 @@
-//! Decisions that may be made in more than one way, as one value.
+//! Choices between scheduling decisions that all keep the guarantees.
 //!
-//! Whatever is chosen here, every promise holds; only how well callers are
-//! served differs. So one value can be switched off for a measurement.
+//! The policy only changes how well callers are served. It is a single value
+//! so that an experiment can switch off one choice at a time.
 
-/// What the time that a run takes is told from.
+/// The source of run time estimates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Prediction {
-    /// What its caller declares.
+    /// The time that the caller declares.
     Declared,
-    /// The median of its queue's last runs.
+    /// The median of the queue's last runs.
     Queue,
-    /// What is declared, as far as the queue's last runs bore it out, and
-    /// the runs of its own step.
+    /// The declared time, corrected by the queue's last runs and by the runs
+    /// of the same step.
     Fitted,
 }
 
@@ -28,41 +28,46 @@
     }
 }
 
-/// How decisions are made.
+/// The choices of a scheduler.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// The share of a pool's workers that work of priority 1 leaves empty
-    /// for urgent work; 0 leaves none.
+    /// The share of a pool's workers that work of priority 1 leaves empty for
+    /// urgent work, 0 for none. Lower priorities leave more in proportion.
     pub spare_share: f64,
-    /// The share of what a far run costs more that is waited for a near
-    /// place; 0 waits for none, more than 1 longer than it saves.
+    /// How long a unit waits for a place near its data or gang, as a share of
+    /// the time that such a place saves. 0 does not wait; a value above 1
+    /// waits longer than the place saves.
     pub near_wait: f64,
-    /// The share of a pool's workers on which room is kept for units that
-    /// have waited; 0 keeps none.
+    /// The share of a pool's workers that may hold reservations for units that
+    /// have waited, 0 for none.
     pub reserved_share: f64,
-    /// The core-seconds that are thrown away for any urgent unit beyond its
+    /// The core-seconds that may be lost for any urgent unit beyond its
     /// account's guarantee.
     pub max_loss: f64,
-    /// How many times its own work may be thrown away for an urgent unit that
-    /// would then be in time, if that is more.
+    /// The core-seconds that may be lost for an urgent unit that will then be
+    /// in time, as a factor on the unit's own work. The greater of this and
+    /// `max_loss` applies.
     pub max_loss_factor: f64,
-    /// Whether room is kept only for units that would else be late.
+    /// Whether resources are reserved only for units that would be late
+    /// otherwise.
     pub reserve_only_late: bool,
     /// Whether urgent units that can no longer be in time wait behind those
     /// that can, the smallest first.
     pub late_last: bool,
-    /// What run times are told from.
+    /// The source of run time estimates.
     pub prediction: Prediction,
-    /// Whether workers that fail are kept apart.
+    /// Whether workers on which runs fail are quarantined.
     pub quarantine: bool,
-    /// Whether two failures of one job speak against their worker, and last
-    /// attempts are kept from workers in doubt.
+    /// Whether two failures of one job count against their worker if the job
+    /// has failed nowhere else, and last attempts avoid workers with recent
+    /// failures.
     pub probation: bool,
-    /// Whether a new planner stops nothing, and spreads nothing over racks,
-    /// until it has heard of the workers that are known to run something.
+    /// Whether a new planner preempts nothing, and does not spread gangs over
+    /// racks, until it has heard of all workers that are known to run
+    /// something.
     pub await_reports: bool,
-    /// Whether a gang's run is taken for over at the one worker that is not
-    /// heard of, once the other members tell that one has ended.
+    /// Whether a gang's run ends on its only silent worker once all other
+    /// members report that another one has ended.
     pub end_broken_gangs: bool,
     /// Whether runs that make no progress are stopped.
     pub stop_stuck: bool,
--- a/src/graph/preempt.rs
+++ b/src/graph/preempt.rs
@@ -1,4 +1,4 @@
-//! Room for urgent units, taken from others.
+//! Preemption: runs that are stopped to make room for urgent units.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -24,14 +24,15 @@
 use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
-/// The thousandths of a core that an accelerator's work counts as.
+/// The thousandths of a core that one accelerator counts as.
 const ACCELERATOR_MILLICORES: i64 = 8000;
-/// The work of a checkpointing unit that a stop loses: from its last
-/// checkpoint, and resuming.
+/// The work that a stop of a checkpointing unit loses: the work since its last
+/// checkpoint, and the time to resume.
 const CHECKPOINT_LOSS: Duration = Duration::from_millis(300);
 
-/// What stopping urgent work weighs in core-seconds, beside what it throws
-/// away: it is late then, so that any other work goes first.
+/// The weight of stopping urgent work that borrows, in core-seconds, on top of
+/// the work it loses. Stopped urgent work is late, so that any other work is
+/// stopped before it.
 const BORROWER_WEIGHT: f64 = 1e6;
 
 /// A run that could be stopped.
@@ -41,22 +42,24 @@
     key: UnitKey,
     charge: Resources,
     places: Vec<Place>,
-    /// The core-seconds that would be lost.
+    /// The core-seconds that a stop would lose.
     cost: f64,
-    /// Whether only so many of its step may be away.
+    /// Whether only a limited number of the step's units may be down at a
+    /// time.
     limited_absence: bool,
-    /// Whether it is urgent, and has what others are guaranteed.
+    /// Whether the run is urgent and holds resources that other accounts are
+    /// guaranteed.
     borrows: bool,
 }
 
 impl Victim {
-    /// Returns the room that its stop frees on a worker.
+    /// Returns the resources that a stop frees on a worker.
     fn frees(&self, on: &Place) -> Resources {
         let here = self.places.iter().filter(|p| p.agent == on.agent);
         here.fold(Resources::default(), |room, _| room.plus(&self.charge))
     }
 
-    /// Returns what speaks against stopping it, in core-seconds.
+    /// Returns the weight against stopping the run, in core-seconds.
     fn weight(&self) -> f64 {
         match self.borrows {
             true => BORROWER_WEIGHT + self.cost,
@@ -65,35 +68,37 @@
     }
 }
 
-/// What could be stopped for urgent units of a pool in one pass. Gone through
-/// once a pass: in a burst of urgent gangs, each of which went through it again
-/// for every rack, passes were so long that jobs were taken in late.
+/// The runs that could be stopped for urgent units of a pool.
+///
+/// The list is built once a pass. When each gang of a burst of urgent gangs
+/// built it again for every rack, passes took so long that jobs were accepted
+/// late.
 #[derive(Debug, Default)]
 pub(super) struct Victims {
-    /// Whose they are, once they have been gone through, and whether for
-    /// units within guarantees.
+    /// The pool that the list is for, and whether it is for units within
+    /// guarantees; `None` before the list is built.
     scope: Option<(SharedStr, bool)>,
     all: Vec<Victim>,
-    /// Which of them run on each agent's worker, the cheapest first.
+    /// The indices of the victims on each agent's worker, the cheapest first.
     by_agent: BTreeMap<AgentId, Vec<usize>>,
-    /// The core-seconds that the last unit's room would have thrown away, if
-    /// it was not taken for that.
+    /// The core-seconds that preemption for the last unit would have lost, if
+    /// the unit was refused because of that.
     pub(super) rejected_cost: Option<f64>,
-    /// Which of them are being stopped already.
+    /// The indices of the victims that are already being stopped.
     stopped: BTreeSet<usize>,
-    /// What it costs to make room on each agent's worker: the gangs of a
-    /// burst are alike, and ask for the same again.
+    /// The cost of making room on each agent's worker. The gangs of a burst
+    /// are alike and ask for the same room again.
     costs: RefCell<BTreeMap<AgentId, Cost>>,
 }
 
-/// What it costs to make room for one task on a worker.
+/// The cost of making room for one task on a worker.
 #[derive(Clone, Copy, Debug)]
 struct Cost {
-    /// What the task takes.
+    /// The resources of the task.
     charge: Resources,
-    /// What was free there.
+    /// The resources that were free on the worker.
     free: Resources,
-    /// The core-seconds that would be lost, if it can be done.
+    /// The core-seconds that would be lost, or `None` if there cannot be room.
     cost: Option<f64>,
 }
 
@@ -121,7 +126,7 @@
         }
     }
 
-    /// Takes in that one is being stopped.
+    /// Records that a victim is being stopped.
     fn stop(&mut self, index: usize) {
         self.stopped.insert(index);
         let costs = self.costs.get_mut();
@@ -130,7 +135,7 @@
         }
     }
 
-    /// Returns those on an agent's worker that are not being stopped.
+    /// Returns the victims on an agent's worker that are not being stopped.
     fn remaining_on<'a>(
         &'a self,
         agent: &AgentId,
@@ -141,19 +146,19 @@
     }
 }
 
-/// Places, and the runs that must stop for them.
+/// Places for a unit, and the runs that must stop for it.
 struct Eviction {
     places: Vec<Place>,
     victims: BTreeSet<usize>,
-    /// On whose workers they run.
+    /// The agents whose workers run the victims.
     touched: BTreeSet<AgentId>,
-    /// What speaks against it, in core-seconds.
+    /// The weight against this eviction, in core-seconds.
     weight: f64,
 }
 
 impl Scheduler {
-    /// Stops the cheapest runs of lower priority that make room for a unit,
-    /// and keeps that room for it; returns whether there were any.
+    /// Stops the cheapest runs that make room for an urgent unit and reserves
+    /// their resources for it; returns whether that was possible.
     pub(super) fn preempt(
         &mut self,
         id: &str,
@@ -202,14 +207,15 @@
             );
             victims.stop(index);
         }
-        // Of some steps only so many may be away: which, is looked up anew.
+        // Some steps limit how many units may be down: the list is built again
+        // to find which are left.
         if victims.all.iter().any(|victim| victim.limited_absence) {
             victims.scope = None;
         }
         true
     }
 
-    /// Returns how many core-seconds may be thrown away for a unit.
+    /// Returns how many core-seconds may be lost for a unit.
     fn max_loss(
         &self,
         id: &str,
@@ -235,8 +241,9 @@
     ) -> Vec<Victim> {
         let mut victims = Vec::new();
         for record in self.live_jobs() {
-            // What borrows holds what others are guaranteed, however urgent:
-            // else they would have it back only once that ends by itself.
+            // Borrowing runs hold what other accounts are guaranteed, however
+            // urgent they are: unless they can be stopped, those accounts get
+            // it back only when the runs end by themselves.
             let lent = promised
                 && record.job.priority == request.priority
                 && !self.is_within_guarantee(record);
@@ -269,8 +276,8 @@
     }
 }
 
-/// Returns how many more units of a step may be stopped, for the steps of
-/// which only so many may be away.
+/// Returns how many more units of each step may be stopped, for the steps that
+/// limit how many may be down.
 fn absences_left(record: &JobRecord) -> BTreeMap<(u32, usize), u32> {
     let mut left = BTreeMap::new();
     for (key, unit) in &record.units {
@@ -285,7 +292,8 @@
     left
 }
 
-/// Returns whether all of a unit's members run, and nothing stops them.
+/// Returns whether all of a unit's members run and the unit is not being
+/// stopped.
 fn is_fully_running(unit: &Unit) -> bool {
     let Phase::Running(members) = &unit.phase else {
         return false;
@@ -294,7 +302,7 @@
     unit.stop_reason.is_none() && members.iter().all(present)
 }
 
-/// Returns the cores that a task's work counts as.
+/// Returns the number of cores that a task's resources count as.
 pub(super) fn cores(charge: &Resources) -> f64 {
     let cpu = charge.cpu + charge.accelerators * ACCELERATOR_MILLICORES;
     cpu as f64 / 1000.0
@@ -332,7 +340,7 @@
     }
 }
 
-/// Finds the cheapest runs to stop, one member at a time, if they cost less
+/// Finds the cheapest runs to stop, member by member, if their weight is less
 /// than `most`.
 fn find_eviction(
     request: &Request,
@@ -378,8 +386,8 @@
     Some(eviction)
 }
 
-/// Returns what it costs to make room for one member on a worker, if that
-/// can be done.
+/// Returns the cost of making room for one member on a worker, if that is
+/// possible.
 fn clearing_cost(
     request: &Request,
     candidate: &Candidate,
@@ -422,7 +430,7 @@
     free.holds(&request.charge).then_some(cost)
 }
 
-/// Returns the runs whose stop makes room for one member on a worker.
+/// Returns the victims to stop on a worker to make room for one member.
 fn victims_on(
     request: &Request,
     candidate: &Candidate,
--- a/src/graph/progress.rs
+++ b/src/graph/progress.rs
@@ -1,4 +1,4 @@
-//! What is kept of a job while it goes on.
+//! The stored progress of a job.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,14 +12,14 @@
 use crate::graph::Life;
 use crate::graph::Run;
 
-/// Names a unit within its job.
+/// Identifies a unit within its job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UnitKey {
-    /// Which time of the job, from 0.
+    /// The repetition of the job, from 0.
     pub time: u32,
-    /// Its step.
+    /// The index of the unit's step.
     pub step: usize,
-    /// The task, or `None` for the whole gang.
+    /// The index of the task, or `None` for a whole gang.
     pub index: Option<u32>,
 }
 
@@ -68,12 +68,12 @@
     }
 }
 
-/// One life of a worker, beside its agent.
+/// A life of a worker, with the agent beside it.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Place {
-    /// The agent.
+    /// The agent's name.
     pub agent: AgentId,
     /// The worker's life.
     pub life: Life,
@@ -83,62 +83,64 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Every task ran to its end.
+    /// Every task was done.
     Succeeded,
     /// A unit failed as often as its queue allows.
     Failed,
-    /// Its caller cancelled it.
+    /// The caller cancelled the job.
     Cancelled,
 }
 
-/// The workers that went without a word while they ran a task.
+/// The workers that were lost without a report while they ran a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loss {
-    /// How many.
+    /// The number of lost workers.
     pub lost: u32,
-    /// How many of them before the task was seen at work for long.
+    /// The lost workers under which the task had not yet worked for long.
     pub sudden: u32,
-    /// The last run that was counted: its end may be told again, to another
-    /// planner.
+    /// The last run that was counted. Its end may be reported again, to
+    /// another planner.
     pub run: Run,
-    /// How many more went after they had said that they leave, and after the
-    /// task was seen at work for long: they may have gone by themselves.
+    /// Further workers that were lost after they had announced that they leave
+    /// and after the task had worked for long. They may have left by
+    /// themselves.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub excused: u32,
-    /// Those that only fell silent: whether they went is not known yet.
+    /// Workers that are silent and may or may not be lost.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub silent: Vec<Place>,
-    /// The run under which there were so many that its further ones count.
+    /// The run at which the losses reached the limit; the runs after it are
+    /// counted.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub limit: Run,
 }
 
-/// What is kept of a unit that was started.
+/// The stored progress of a unit that was started.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Unit {
-    /// The number of the last run given out.
+    /// The number of the last run that was assigned.
     pub run: Run,
-    /// How many runs failed.
+    /// The number of failed runs.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub failed: u32,
-    /// The last run that was counted as failed: its end may be told again,
+    /// The last run that was counted as failed. Its end may be reported again,
     /// to another planner.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub counted: Run,
-    /// The workers that were lost under each of its tasks, by the task's
-    /// number.
+    /// The workers lost under each task, by the task's index.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub lost: BTreeMap<u32, Loss>,
-    /// Whether it is done.
+    /// Whether the unit is done.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub done: bool,
-    /// Its last checkpoint.
+    /// The last checkpoint.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub saved: String,
-    /// The checkpoint that the last run was given.
+    /// The checkpoint that the last run was started from.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub from: String,
-    /// Where the members of the last run are, while it may be running.
+    /// The places of the last run's members, while the run may still be
+    /// active.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub on: Vec<Place>,
 }
@@ -147,13 +149,13 @@
     *value == 0
 }
 
-/// What is kept of a job that has begun.
+/// The stored progress of a job that has begun.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
-    /// How it ended, once it has.
+    /// How the job ended, once it is over.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<Outcome>,
-    /// When it ended.
+    /// When the job ended.
     #[serde(
         default,
         skip_serializing_if = "Option::is_none",
--- a/src/graph/report.rs
+++ b/src/graph/report.rs
@@ -1,4 +1,4 @@
-//! What an agent says of its worker.
+//! Reports of agents about their workers.
 
 use std::sync::Arc;
 
@@ -17,48 +17,49 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunOutcome {
-    /// It ran to its end.
+    /// The task was done.
     Done,
-    /// It failed, by its own fault or the worker's.
+    /// The task failed, through its own fault or the worker's.
     Failed,
-    /// It was told to stop.
+    /// The task was stopped on request.
     Stopped,
-    /// The worker's lease ran out.
+    /// The worker's lease expired.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another member of the gang ended.
     Broken,
-    /// The other members of its gang did not come.
+    /// The other members of the gang did not start in time.
     Alone,
 }
 
-/// A task that runs.
+/// A task that runs on a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Running {
-    /// The task.
+    /// The running task.
     pub task: Task,
-    /// Which run of it.
+    /// The number of its run.
     pub run: Run,
-    /// Its last checkpoint.
+    /// The task's last checkpoint.
     pub saved: String,
-    /// At which share of its speed it may work, 0 to 100.
+    /// The pace in force, in percent of full speed.
     pub pace: f64,
-    /// What it does at present, roughly: a lasting task that serves, the
-    /// tail of its answers in ms; another, thousandths of a core.
+    /// A rough measure of the present work: tail latency in ms for a
+    /// long-running task that serves requests, thousandths of a core for any
+    /// other.
     pub load: Option<f64>,
 }
 
 /// A run that has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ended {
-    /// Counts the ends of the worker's life.
+    /// The number of the end, counted within the worker's life.
     pub number: u64,
-    /// The task.
+    /// The task that ended.
     pub task: Task,
-    /// Which run of it.
+    /// The number of its run.
     pub run: Run,
-    /// How it ended.
+    /// How the run ended.
     pub how: RunOutcome,
-    /// Its last checkpoint.
+    /// The task's last checkpoint.
     pub saved: String,
 }
 
@@ -66,111 +67,112 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// The run, or a later one, was stopped or has ended there, or never
-    /// will start there.
+    /// The run or a later one was stopped or has ended there, or never will
+    /// start there.
     Barred,
-    /// There is no room.
+    /// The worker lacks the resources.
     Room,
     /// The worker is leaving.
     Leaving,
-    /// The worker takes nothing at present.
+    /// The worker accepts no starts at present.
     Unhealthy,
-    /// The worker calls the order wrong.
+    /// The worker rejects the order as invalid.
     Invalid,
-    /// The leave to run there has run out.
+    /// The ticket has expired.
     Ticket,
 }
 
 /// A start that has not happened, and will not.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Refused {
-    /// The task.
+    /// The task that was not started.
     pub task: Task,
-    /// Which run of it.
+    /// The number of its run.
     pub run: Run,
-    /// Why.
+    /// Why the task was not started.
     pub why: Refusal,
 }
 
-/// What a worker lists; both lists were read at one moment.
+/// The runs that a worker lists. Both lists are read at the same time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Lists {
-    /// What runs.
+    /// The running tasks.
     pub running: Vec<Running>,
-    /// What has ended and is not yet acknowledged.
+    /// Ends that are not acknowledged yet.
     pub ended: Vec<Ended>,
 }
 
-/// A worker as its agent knows it.
+/// A worker, as its agent knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
-    /// Its life.
+    /// The worker's present life.
     pub life: Life,
-    /// The pool it belongs to.
+    /// The pool that the worker belongs to.
     pub pool: SharedStr,
-    /// The machine it runs on, for the cloud's calls.
+    /// The machine that the worker runs on, as the cloud's API names it.
     pub machine: Option<SharedStr>,
-    /// Its hall.
+    /// The hall that the worker is in.
     pub hall: SharedStr,
-    /// Its rack.
+    /// The rack that the worker is in.
     pub rack: SharedStr,
-    /// Its labels.
+    /// The labels that steps can require.
     pub labels: Vec<SharedStr>,
-    /// Its whole room.
+    /// The worker's total resources.
     pub capacity: Resources,
-    /// Whether it is leaving.
+    /// Whether the worker is leaving.
     pub leaving: bool,
-    /// Whether it has not answered its agent for long.
+    /// Whether the worker has not answered its agent for a long time.
     #[serde(default)]
     pub silent: bool,
-    /// How long at least it stays, while it is leaving, in ms.
+    /// How long a leaving worker stays at least, in ms.
     pub remaining_ms: Option<u64>,
-    /// What it lists.
+    /// The runs that the worker lists.
     pub lists: Lists,
-    /// Starts that it has refused, or that were stopped before they were.
+    /// Starts that the worker refused, or that were stopped before they began.
     pub refused: Vec<Refused>,
 }
 
 /// What an agent knows of a life of its worker that is over.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PastLife {
-    /// The life.
+    /// The life that is over.
     pub life: Life,
-    /// The runs that had begun there, or may have, and whose end it never
+    /// The runs that began there, or may have, and whose ends were never
     /// listed.
     pub begun: Vec<(Task, Run)>,
-    /// Whether more may have begun: the agent, started anew, has never seen
-    /// what that life listed.
+    /// Whether more runs may have begun: the agent itself restarted and never
+    /// saw the lists of that life.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub unseen: bool,
-    /// Whether it is over though no later life has answered yet: else that
-    /// one's lists tell.
+    /// Whether the life is over although no later life has answered yet. If
+    /// false, the end of this life follows from the lists of the later life.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub over: bool,
-    /// The ends that it listed and that no planner is known to have kept.
+    /// The listed ends that no planner is known to have stored.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub ended: Vec<Ended>,
 }
 
-/// What an agent says.
+/// A report of an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The agent.
+    /// The agent's name.
     pub agent: AgentId,
-    /// The life of its process, drawn anew at each start.
+    /// The life of the agent's process, drawn at random at each start.
     pub process: String,
-    /// Rises with each report of this process.
+    /// The number of the report, which rises within the process.
     pub sequence: u64,
-    /// A life of its worker that is over.
+    /// A life of the worker that is over.
     #[serde(default)]
     pub gone: Option<Life>,
-    /// Whether that one only said nothing until its leases had run out: it
-    /// may be there, cut off, with no task that was at fault.
+    /// Whether the life in `gone` was only silent until its leases ran out.
+    /// The worker may be cut off from its agent, and its tasks are then not at
+    /// fault.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub silent: bool,
-    /// The life that was over last, if that is not long ago.
+    /// The life that was over last, if that is recent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub before: Option<PastLife>,
-    /// Its worker, if there is one and its lists are known.
+    /// The worker, if there is one and its lists are known.
     pub worker: Option<Worker>,
 }
--- a/src/graph/reserve.rs
+++ b/src/graph/reserve.rs
@@ -1,11 +1,12 @@
-//! Room kept for units that would else never find enough of it at once.
+//! Reservations for units that would otherwise never find enough room at once.
 //!
 //! Small tasks fill every gap as soon as it opens. A unit that has waited
-//! is therefore promised the workers that will have room for it first:
-//! nothing new is placed there until it has begun.
+//! therefore reserves the workers that are expected to have room for it first,
+//! and nothing new is placed in the reserved resources until it has begun.
 //!
-//! Not before it has no time left: room kept after 1.5 s for gangs with 17 s
-//! stood empty while others ran out of time.
+//! A unit reserves nothing while it has time left. Gangs that could still have
+//! waited for long held reservations that stood empty while other units became
+//! late.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -22,12 +23,12 @@
 use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
-/// How long a unit waits before room is kept for it.
+/// How long a unit waits before it may reserve resources.
 const RESERVE_AFTER: Duration = Duration::from_millis(1500);
-/// The share of its age that a run is expected to go on for at least.
+/// The least remaining time that is expected of a run, as a share of its age.
 const MIN_REMAINING_SHARE: f64 = 0.15;
 
-/// When something that runs on a worker is expected to end.
+/// The expected end of a member on a worker.
 #[derive(Clone, Copy, Debug)]
 struct ExpectedEnd {
     time: Instant,
@@ -35,8 +36,9 @@
 }
 
 impl Scheduler {
-    /// Keeps room for a unit that finds no place, if it has waited and not
-    /// too much is kept already; returns whether it is.
+    /// Reserves resources for a unit that finds no place, if the unit has
+    /// waited and the pool does not hold too many reservations; returns
+    /// whether it did.
     pub(super) fn reserve_room(
         &mut self,
         id: &JobId,
@@ -68,8 +70,8 @@
         true
     }
 
-    /// Returns whether a unit can wait and be in time all the same; one that
-    /// lasts has no time to lose.
+    /// Returns whether a unit can wait and still be in time. Long-running
+    /// units never can.
     fn has_time(&self, id: &JobId, key: &UnitKey, now: Timestamp) -> bool {
         let Some(record) = self.jobs.get(id) else {
             return false;
@@ -79,7 +81,7 @@
             && self.slack(record, key, now) > 0
     }
 
-    /// Returns the workers on which room is kept.
+    /// Returns the places in the pool that hold reservations.
     fn reserved_workers(&self, request: &Request) -> Vec<Place> {
         let mut workers = Vec::new();
         for record in self.live_jobs() {
@@ -99,7 +101,8 @@
         workers
     }
 
-    /// Returns the places that have room for a unit first, and when.
+    /// Returns the places that are expected to have room for a unit first, and
+    /// when.
     fn earliest_places(
         &self,
         request: &Request,
@@ -142,14 +145,16 @@
     ) -> Instant {
         let whole = self.expected_time(record, key.step);
         let ran = now.monotonic.saturating_duration_since(member.assigned_at);
-        // What has outlived its expectation goes on for a while yet.
+        // A run that exceeds its expected time is assumed to go on for a share
+        // of its age.
         let left = whole
             .saturating_sub(ran)
             .max(ran.mul_f64(MIN_REMAINING_SHARE));
         now.monotonic + left
     }
 
-    /// Returns what runs on a worker, by when it is expected to end.
+    /// Returns the expected ends of the members on a worker, the earliest
+    /// first.
     fn expected_ends(
         &self,
         place: &Place,
@@ -173,7 +178,7 @@
     }
 }
 
-/// Returns when a worker has room for one more member.
+/// Returns when a worker is expected to have room for one more member.
 fn fits_at(
     request: &Request,
     candidate: &Candidate,
--- a/src/graph/resize.rs
+++ b/src/graph/resize.rs
@@ -1,9 +1,9 @@
-//! Workers whose room shrinks and grows while they run.
+//! Changes of a worker's capacity while it runs.
 //!
-//! A worker says so with its next heartbeat. What runs there goes on, though
-//! it may be more than there is room for now; nothing is added until it fits
-//! again, and what was ordered and has not begun is taken back: a worker that
-//! does not guard its room would begin it all the same.
+//! A worker reports its capacity with each heartbeat. Its runs go on even if
+//! they exceed the new capacity, and nothing is added until there is room
+//! again. Starts that have not begun are withdrawn, because a worker that does
+//! not enforce its capacity would begin them all the same.
 
 use crate::graph::unit::MemberState;
 use crate::graph::unit::Phase;
@@ -17,7 +17,7 @@
 use crate::graph::UnitKey;
 
 impl Scheduler {
-    /// Takes in what room a worker has now.
+    /// Applies a worker's present capacity.
     pub(super) fn resize(&mut self, agent: &AgentId, to: Resources) {
         let Some(worker) = self.workers.get_mut(agent) else {
             return;
@@ -32,7 +32,7 @@
             used: worker.used,
         };
         worker.capacity = to;
-        // What is kept for units that have not begun is looked at by itself.
+        // Reservations of units that have not begun are checked separately.
         let taken = worker.used.minus(&worker.reserved);
         if !to.holds(&taken) {
             self.withdrawals.insert(agent.clone(), StopReason::Shrunk);
@@ -40,8 +40,8 @@
         self.record_decision(resized);
     }
 
-    /// Takes back what was ordered on workers that must begin nothing more,
-    /// as far as it has not begun.
+    /// Withdraws the starts that have not begun on workers that must begin
+    /// nothing more.
     pub(super) fn withdraw_orders(&mut self, now: Timestamp) {
         for (agent, why) in std::mem::take(&mut self.withdrawals) {
             for (id, key) in self.units_ordered_on(&agent) {
--- a/src/graph/schedule.rs
+++ b/src/graph/schedule.rs
@@ -1,4 +1,4 @@
-//! Which units are started next, and when.
+//! The scheduling pass: which units start, and when.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,15 +26,16 @@
 use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
-/// How long before a leaving worker is gone its tasks are stopped, so that
-/// their checkpoints are kept: a stop, and a report of it.
+/// How long before a leaving worker goes its tasks are stopped, so that their
+/// checkpoints are saved: long enough for a stop and for the report of it.
 const CHECKPOINT_STOP_LEAD: Duration = Duration::from_millis(1500);
-/// How long room is kept from a unit that waits while most is empty.
+/// How long a unit is kept from reserved but unoccupied resources, and from
+/// places where it runs more slowly, while most of the pool is idle.
 pub(super) const MAX_WAIT_WHEN_IDLE: Duration = Duration::from_millis(2000);
-/// The times of a job that may be open at once.
+/// The most repetitions of a job that are open at once.
 const MAX_OPEN_TIMES: u32 = 64;
 
-/// A unit that waits, with what puts it in order.
+/// A waiting unit with its rank.
 struct Waiting {
     id: JobId,
     key: UnitKey,
@@ -42,7 +43,7 @@
 }
 
 impl Scheduler {
-    /// Decides what is to be started and stopped now.
+    /// Runs a scheduling pass: decides which units start and stop now.
     pub fn run_pass(&mut self, now: Timestamp) {
         self.changed = false;
         self.expire_silent_workers(now);
@@ -54,7 +55,8 @@
         self.open_due_units(now);
         self.assign_guarantees(now);
         self.start_reserved_units(now);
-        // Where one task finds no room, its like find none either.
+        // If one task of a step finds no place, the others of the step find
+        // none either.
         let mut steps_without_room = BTreeSet::new();
         let mut victims = Victims::default();
         for unit in self.waiting_units(now) {
@@ -69,8 +71,8 @@
         }
     }
 
-    /// Opens the units whose time is due and whose steps are waited for no
-    /// longer.
+    /// Opens the units whose repetition is due and whose steps' dependencies
+    /// are done.
     fn open_due_units(&mut self, now: Timestamp) {
         for id in &self.open_jobs {
             let Some(record) = self.jobs.get_mut(id) else {
@@ -121,8 +123,8 @@
         }
     }
 
-    /// Starts the units whose reserved room has become free, the urgent
-    /// ones first: rooms kept for several units may overlap.
+    /// Starts the units whose reserved resources have become free, urgent ones
+    /// first, because reservations of several units may overlap.
     fn start_reserved_units(&mut self, now: Timestamp) {
         let mut reserved = Vec::new();
         for record in self.live_jobs() {
@@ -141,9 +143,9 @@
             }
         }
         reserved.sort();
-        // Where one task finds no room elsewhere, its like find none either:
-        // hundreds of tasks of a wide step may have room kept, and looking
-        // for each would be most of a pass.
+        // If one task of a step finds no other place, the others of the step
+        // find none either. Hundreds of tasks of a wide step may have
+        // reservations, and a search for each would dominate the pass.
         let mut steps_without_room = BTreeSet::new();
         for (_, _, id, key) in reserved {
             let step_key = (id.clone(), key.time, key.step);
@@ -152,7 +154,7 @@
                     let places = self.release_reservation(&id, &key);
                     self.start_run(&id, &key, places, now);
                 }
-                // Decided anew in this pass.
+                // Placed again later in this pass.
                 false if self.is_blocked(&id, &key) => {
                     self.release_reservation(&id, &key);
                 }
@@ -168,8 +170,8 @@
         }
     }
 
-    /// Starts a unit elsewhere if there is room now; returns whether there
-    /// was.
+    /// Starts a unit on other workers than the reserved ones if there is room
+    /// now; returns whether there was.
     fn start_elsewhere(
         &mut self,
         id: &JobId,
@@ -184,8 +186,8 @@
         };
         let expected = self.expected_time(record, key.step);
         let mut request = Request::new(record, key, unit, expected);
-        // While most is empty, whoever has waited longest takes of it, or
-        // units would wait for each other's rooms.
+        // While most of the pool is idle, units may use each other's
+        // reservations; otherwise they could wait for each other.
         request.may_use_reserved = self.may_use_reserved(&record.job.pool);
         let Some(places) = self.place(&request, now) else {
             return false;
@@ -195,8 +197,8 @@
         true
     }
 
-    /// Gives up the room that is kept for a unit on workers that can no
-    /// longer be used.
+    /// Releases the reservation of a unit if one of its workers can no longer
+    /// be used.
     fn release_if_unusable(
         &mut self,
         id: &JobId,
@@ -226,7 +228,8 @@
         }
     }
 
-    /// Returns whether nothing is left in the room that is kept for a unit.
+    /// Returns whether the resources that are reserved for a unit are all
+    /// unoccupied.
     fn is_reserved_room_free(&self, id: &str, key: &UnitKey) -> bool {
         let Some(record) = self.jobs.get(id) else {
             return false;
@@ -243,9 +246,9 @@
         })
     }
 
-    /// Returns whether a unit is within a guarantee, and others have begun in
-    /// the room that is kept for it: it would wait until they end, past the
-    /// time in which it is to begin.
+    /// Returns whether a unit is within a guarantee and other runs have begun
+    /// in its reserved resources. The unit would wait until they end, beyond
+    /// the time within which it has to begin.
     fn is_blocked(&self, id: &JobId, key: &UnitKey) -> bool {
         let Some(record) = self.jobs.get(id) else {
             return false;
@@ -282,8 +285,8 @@
         })
     }
 
-    /// Returns whether the room that is kept for a unit would be enough once
-    /// nothing else is left in it: its workers may have shrunk.
+    /// Returns whether the workers of a reservation could hold the unit if
+    /// they were empty. They may have shrunk.
     fn fits_capacity(&self, unit: &Unit, charge: &Resources) -> bool {
         needs(unit, charge).iter().all(|(place, need)| {
             let worker = self.workers.get(&place.agent);
@@ -329,8 +332,8 @@
         waiting
     }
 
-    /// Finds a place for a unit, or room to be kept for it; returns whether
-    /// there was any.
+    /// Places a unit, or reserves resources for it; returns whether either
+    /// succeeded.
     fn place_or_reserve(
         &mut self,
         waiting: &Waiting,
@@ -360,9 +363,10 @@
         }
     }
 
-    /// Returns whether units may use room that is kept but empty: while most
-    /// of a pool is, and none of it is kept for what an account is guaranteed,
-    /// which would then wait for them to end.
+    /// Returns whether units may use resources that are reserved but
+    /// unoccupied. They may while most of the pool is idle and none of its
+    /// reservations is for a unit within a guarantee, which would then have to
+    /// wait for these units to end.
     fn may_use_reserved(&self, pool: &SharedStr) -> bool {
         self.is_mostly_idle(pool) && !self.reserves_for_guarantees(pool)
     }
@@ -377,7 +381,7 @@
         empty * 2 > whole
     }
 
-    /// Gives a unit its next run, on workers that have room for it.
+    /// Assigns a unit its next run, on workers that have room for it.
     pub(super) fn start_run(
         &mut self,
         id: &str,
@@ -427,7 +431,7 @@
         self.record_decision(placed);
     }
 
-    /// Keeps room for a unit that others are leaving.
+    /// Reserves places for a unit whose resources are not free yet.
     pub(super) fn reserve(
         &mut self,
         id: &str,
@@ -463,7 +467,7 @@
     }
 }
 
-/// Returns what a unit's members need on each worker.
+/// Returns the resources that a unit's members need on each worker.
 fn needs<'a>(
     unit: &'a Unit,
     charge: &Resources,
@@ -500,7 +504,7 @@
     places.iter().enumerate().map(member).collect()
 }
 
-/// Opens the steps of one time that wait for nothing any more.
+/// Opens the steps of one repetition whose dependencies are done.
 fn open_time(record: &mut JobRecord, time: u32, now: Instant) {
     if record.opened_steps.len() as u32
         > MAX_OPEN_TIMES * record.job.steps.len() as u32
--- a/src/graph/scheduler.rs
+++ b/src/graph/scheduler.rs
@@ -1,4 +1,4 @@
-//! The books: workers, jobs, units, and who runs what where.
+//! The scheduler's state: workers, jobs, units and the runs on each worker.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -31,26 +31,26 @@
 use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
-/// The times that the decisions rest on.
+/// Timing bounds and the policy of a [`Scheduler`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Options {
-    /// How long an agent keeps its worker's tasks going after it was last
-    /// granted that.
+    /// How long an agent keeps its worker's tasks running after the last
+    /// grant.
     pub survival: Duration,
-    /// What is added to that before the tasks are taken for gone: slow
-    /// clocks of workers, and the time an end takes.
+    /// Added to `survival` before tasks are considered lost, for slow clocks
+    /// on workers and for the time that ending a task takes.
     pub lease_margin: Duration,
-    /// How long an agent may be silent and still be given new work.
+    /// How long an agent may be silent and still be assigned new work.
     pub contact_timeout: Duration,
-    /// How many times longer a task takes away from its data or gang.
+    /// The factor by which a task is slower away from its data or its gang.
     pub far_slowdown: f64,
-    /// How long a gang's first member waits for the others.
+    /// How long the first member of a gang waits for the others.
     pub gang_wait: Duration,
-    /// The longest that a stopped task still occupies its room.
+    /// The longest that a stopped task still occupies its resources.
     pub stop_time: Duration,
-    /// Within which urgent work begins that its account is guaranteed.
+    /// The time within which urgent work within a guarantee has to begin.
     pub reclaim_time: Duration,
-    /// How decisions are made where more than one way would do.
+    /// How to decide where several decisions would keep every guarantee.
     pub policy: Policy,
 }
 
@@ -69,12 +69,12 @@
     }
 }
 
-/// An end that is not yet acknowledged.
+/// An end that is not acknowledged yet.
 #[derive(Clone, Debug)]
 pub(super) struct UnackedEnd {
     pub number: u64,
     pub job: JobId,
-    /// The version of the job's progress that holds it.
+    /// The version of the job's progress that contains the end.
     pub version: u64,
 }
 
@@ -88,38 +88,40 @@
     pub labels: Vec<SharedStr>,
     pub capacity: Resources,
     pub leaving: bool,
-    /// Whether it has not answered its agent for long.
+    /// Whether the worker has not answered its agent for a long time.
     pub silent: bool,
-    /// Until when it stays at least, while it is leaving.
+    /// The earliest time at which a leaving worker goes.
     pub leaves_at: Option<Instant>,
-    /// What the members placed here take, and what is kept for others.
+    /// Resources of the members placed here, including reservations.
     pub used: Resources,
-    /// The part of that which is kept for units that have not begun.
+    /// The part of `used` that is reserved for units that have not begun.
     pub reserved: Resources,
     pub process: String,
     pub sequence: u64,
-    /// When the last report that was granted survival came in.
+    /// When the last report that renewed the grant arrived.
     pub last_grant: Instant,
-    /// The highest end that was taken in.
+    /// The highest number of an end that was applied.
     pub highest_end: u64,
-    /// The highest end that is acknowledged.
+    /// The highest number of an end that is acknowledged.
     pub acked_end: u64,
     pub unacked_ends: VecDeque<UnackedEnd>,
-    /// Runs that nobody here has ordered, to be stopped.
+    /// Listed runs that this planner has not ordered; they are to be stopped.
     pub unknown_runs: BTreeSet<(Task, Run)>,
-    /// What those of them take whose jobs are known: until they are stopped
-    /// their room is not free, and not every worker guards it.
+    /// Resources of the unknown runs whose jobs are known. Until they are
+    /// stopped these resources are not free, and not every worker enforces its
+    /// capacity.
     pub unknown_charge: Resources,
     pub health: Health,
-    /// The pace of what fills there.
+    /// The pace of the filler tasks on the worker.
     pub filler_pace: FillerPace,
-    /// Runs that were listed with another pace.
+    /// Runs that the worker lists with another pace than the ordered one.
     pub off_pace: Vec<(Task, Run)>,
-    /// Whether its life is over, as far as its agent knows.
+    /// Whether the agent has reported this life as over.
     pub gone: bool,
-    /// Whether it has said, while it still answered, that it is leaving.
+    /// Whether the worker announced that it is leaving while it still
+    /// answered.
     pub announced_leaving: bool,
-    /// Until when a suspect has it alone.
+    /// Until when a suspect task has the worker to itself.
     pub isolated_until: Option<Instant>,
 }
 
@@ -128,56 +130,60 @@
         self.capacity.minus(&self.used).minus(&self.unknown_charge)
     }
 
-    /// Returns the room that nothing is in, though it may be kept.
+    /// Returns the resources that no member occupies, reserved or not.
     pub fn unoccupied(&self) -> Resources {
         let used = self.used.minus(&self.reserved);
         self.capacity.minus(&used).minus(&self.unknown_charge)
     }
 }
 
-/// The decision core.
+/// Decides which units start and stop, and where.
+///
+/// The caller reports events, calls [`run_pass`](Scheduler::run_pass), writes
+/// the progress that has changed and sends the agents their orders.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     pub(super) terms: Options,
-    /// When this planner claimed: no grant of an earlier one is later.
+    /// When this planner claimed the cell. No earlier planner has granted
+    /// anything after it.
     pub(super) claimed_at: Instant,
     pub(super) workers: BTreeMap<AgentId, Worker>,
-    /// What agents say of the lives before those in the books.
+    /// What agents report of the lives before those in `workers`.
     pub(super) past_lives: BTreeMap<AgentId, PastLife>,
     pub(super) jobs: BTreeMap<JobId, JobRecord>,
     /// Jobs with units that are not done.
     pub(super) open_jobs: BTreeSet<JobId>,
     /// The accelerators that each client account is guaranteed.
     pub(super) guarantees: BTreeMap<SharedStr, i64>,
-    /// The urgent jobs that are within them, as of the last pass.
+    /// The urgent jobs within their account's guarantee, as of the last pass.
     pub(super) within_guarantee: BTreeSet<JobId>,
     pub(super) history: History,
     /// When the last urgent job of each pool was accepted.
     pub(super) last_urgent: BTreeMap<SharedStr, Instant>,
-    /// Who may run the steps whose starts need leave.
+    /// The workers that may run the steps whose starts need permission.
     pub(super) permissions: BTreeMap<StepKey, Permission>,
-    /// Losses of workers that only fell silent.
+    /// Losses of workers that may only be unreachable.
     pub(super) unconfirmed: Vec<UnconfirmedLoss>,
-    /// What is asked about agents that are silent.
+    /// Queries about agents that are silent.
     pub(super) inquiries: BTreeMap<AgentId, Inquiry>,
-    /// Halls that are to be given no new work.
+    /// Halls that are given no new work.
     pub(super) closed_halls: BTreeSet<SharedStr>,
-    /// Workers from which what has not begun is to be taken back, and why.
+    /// Workers from which starts that have not begun are withdrawn, and why.
     pub(super) withdrawals: BTreeMap<AgentId, StopReason>,
     pub(super) dirty: BTreeSet<JobId>,
     pub(super) agents_to_order: BTreeSet<AgentId>,
-    /// Whether anything came in since the last pass that may change what it
-    /// decides, beside the time.
+    /// Whether an event since the last pass may change what the next decides,
+    /// apart from the passing of time.
     pub(super) changed: bool,
-    /// What the last steps decided, for the log.
+    /// Decisions since they were last taken, for the log.
     pub(super) decisions: Vec<Decision>,
 }
 
-/// The most decisions that are kept until they are taken.
+/// The most decisions that are held until the caller takes them.
 const MAX_DECISIONS: usize = 2000;
 
 impl Scheduler {
-    /// Returns books without workers and jobs.
+    /// Returns a scheduler without workers and jobs.
     pub fn new(terms: Options, now: Timestamp) -> Scheduler {
         Scheduler {
             terms,
@@ -208,8 +214,8 @@
         self.changed = true;
     }
 
-    /// Sets the halls that are to be given no new work. What runs there goes
-    /// on; what was ordered and has not begun is taken back.
+    /// Sets the halls that are given no new work. Runs there go on; starts
+    /// that have not begun are withdrawn.
     pub fn set_closed_halls(&mut self, closed: BTreeSet<SharedStr>) {
         if closed == self.closed_halls {
             return;
@@ -224,10 +230,11 @@
         self.withdrawals.extend(inside);
     }
 
-    /// Returns whether anything came in since the last pass that may change
-    /// what it decides, beside the time. Most reports list nothing new: at
-    /// 240 workers without one, a planner decides 10 times a second and not
-    /// 240 times.
+    /// Returns whether an event since the last pass may change what the next
+    /// decides, apart from the passing of time.
+    ///
+    /// Most reports list nothing new. A planner that runs a pass only on a
+    /// change makes about 10 passes a second for 240 workers instead of 240.
     pub fn is_changed(&self) -> bool {
         self.changed
     }
@@ -242,22 +249,22 @@
         !self.agents_to_order.is_empty()
     }
 
-    /// Returns the jobs that are not over, or still hold something.
+    /// Returns the jobs that are not over or still occupy resources.
     pub(super) fn live_jobs(&self) -> impl Iterator<Item = &JobRecord> {
         self.open_jobs.iter().filter_map(|id| self.jobs.get(id))
     }
 
-    /// Returns whether a job is known.
+    /// Returns whether the scheduler has a record of a job.
     pub fn has_job(&self, id: &str) -> bool {
         self.jobs.contains_key(id)
     }
 
-    /// Returns how a job stands.
+    /// Returns the progress of a job.
     pub fn progress(&self, id: &str) -> Option<&Progress> {
         self.jobs.get(id).map(|record| &record.progress)
     }
 
-    /// Returns what was decided since this was last called.
+    /// Returns the decisions made since the last call.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
@@ -268,14 +275,13 @@
         }
     }
 
-    /// Returns the agents whose orders may have changed since this was last
-    /// called.
+    /// Returns the agents whose orders may have changed since the last call.
     pub fn take_agents_to_order(&mut self) -> BTreeSet<AgentId> {
         std::mem::take(&mut self.agents_to_order)
     }
 
-    /// Returns up to `most` jobs whose progress must be written, each with
-    /// its version.
+    /// Returns up to `most` jobs whose progress must be written, each with its
+    /// version.
     pub fn take_unwritten(&mut self, most: usize) -> Vec<Unwritten> {
         let ids: Vec<JobId> = self.dirty.iter().take(most).cloned().collect();
         ids.iter()
@@ -292,7 +298,7 @@
             .collect()
     }
 
-    /// Takes note that a version of a job's progress is written.
+    /// Records that a version of a job's progress is written.
     pub fn mark_written(&mut self, id: &str, version: u64) {
         let Some(record) = self.jobs.get_mut(id) else {
             return;
@@ -318,12 +324,12 @@
         }
     }
 
-    /// Returns whether there is a job that is not over, or holds something.
+    /// Returns whether every job is over and occupies no resources.
     pub fn is_idle(&self) -> bool {
         self.open_jobs.is_empty()
     }
 
-    /// Returns the jobs that ended before `before` and hold nothing any
+    /// Returns the jobs that ended before `before` and occupy nothing any
     /// more.
     pub fn ended_before(&self, before: std::time::SystemTime) -> Vec<JobId> {
         let old = |record: &&JobRecord| {
@@ -336,7 +342,7 @@
             .collect()
     }
 
-    /// Forgets a job whose records are removed.
+    /// Removes a job whose records are deleted.
     pub fn forget_job(&mut self, id: &str) {
         self.jobs.remove(id);
         self.open_jobs.remove(id);
@@ -365,7 +371,7 @@
         }
     }
 
-    /// Adds to what is kept on a worker.
+    /// Adds to the resources that are reserved on a worker.
     pub(super) fn reserve_on(&mut self, place: &Place, charge: &Resources) {
         if let Some(worker) = self.workers.get_mut(&place.agent) {
             if worker.life == place.life {
@@ -395,7 +401,7 @@
         }
     }
 
-    /// Ends a job and stops what still runs of it.
+    /// Ends a job and stops its remaining runs.
     pub(super) fn end_job(
         &mut self,
         id: &str,
@@ -410,7 +416,7 @@
         }
         record.progress.outcome = Some(outcome);
         record.progress.ended = Some(now.wall);
-        // The members of a gang that is done end by themselves.
+        // The remaining members of a gang that is done end by themselves.
         let done = |key: &&UnitKey| {
             let progress = record.progress.units.get(key);
             progress.is_some_and(|progress| progress.done)
@@ -436,15 +442,15 @@
     }
 }
 
-/// The progress of a job that must be written.
+/// A job's progress that must be written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Unwritten {
-    /// The job.
+    /// The job's name.
     pub id: JobId,
-    /// Its queue.
+    /// The job's queue.
     pub queue: SharedStr,
-    /// The version of the progress.
+    /// The version, to be passed to [`Scheduler::mark_written`].
     pub version: u64,
-    /// The progress.
+    /// The progress as of that version.
     pub progress: Progress,
 }
--- a/src/graph/settle.rs
+++ b/src/graph/settle.rs
@@ -1,4 +1,4 @@
-//! The ends of runs, and what becomes of their units.
+//! Ends of runs, and the next phase of their units.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -23,25 +23,26 @@
 use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
-/// How long a unit waits after a run that was refused, or failed where it
-/// had failed before: the same would come of it at once.
+/// How long a unit waits after a refused run, or a run that failed where the
+/// unit had failed before: an immediate retry would have the same result.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What came of a member's run.
+/// How a member's run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MemberEnd {
-    /// Its worker listed how it ended.
+    /// The worker listed the end.
     Listed(RunOutcome),
-    /// It never began, and never will.
+    /// The member never began, and never will.
     NeverBegan(Refusal),
-    /// Its worker is gone.
+    /// The worker is lost.
     WorkerLost,
-    /// Its worker, or the agent beside it, says nothing: it may be there.
+    /// The worker or its agent is silent, so that the worker may still be
+    /// there.
     WorkerSilent,
 }
 
 impl MemberEnd {
-    /// Returns the word for it in logs.
+    /// Returns the value that names the end in logs.
     fn word(self) -> &'static str {
         match self {
             MemberEnd::Listed(RunOutcome::Done) => "done",
@@ -71,7 +72,7 @@
 }
 
 impl Scheduler {
-    /// Takes in how a member's run ended, and moves its unit on.
+    /// Ends a member and moves its unit to the next phase.
     pub(super) fn end_member(
         &mut self,
         id: &str,
@@ -96,8 +97,8 @@
             return;
         };
         let member = &mut members[position];
-        // The end of another member may have ended it: its room would be
-        // given back twice.
+        // The end of another member may have ended this one: its resources
+        // would be released twice.
         if member.state == MemberState::Ended {
             return;
         }
@@ -111,7 +112,7 @@
             (BreakCause::NoEnds, MemberEnd::Listed(RunOutcome::Broken)) => {
                 BreakCause::Unreported
             }
-            // Stopped by us, after the run broke.
+            // Stopped by this scheduler after the run broke.
             (
                 BreakCause::Unreported,
                 MemberEnd::Listed(RunOutcome::Broken | RunOutcome::Stopped),
@@ -150,8 +151,8 @@
         }
         let progress = record.progress.units.entry(*key).or_default();
         let run = progress.run;
-        // Counted at once, whatever becomes of the other members: the end
-        // may be acknowledged before theirs are known.
+        // Counted at once, whatever happens to the other members: the end may
+        // be acknowledged before theirs are known.
         if failed && progress.counted < run {
             progress.counted = run;
             progress.failed += 1;
@@ -181,8 +182,8 @@
         self.advance_unit(id, key, now);
     }
 
-    /// Returns whether a unit's run is slow by its place: a gang's spread
-    /// over racks, or a task's away from its data.
+    /// Returns whether a unit's run was slow because of its places: a gang
+    /// that is spread over racks, or a task away from its data.
     fn ran_far(&self, record: &JobRecord, key: &UnitKey) -> bool {
         let step = &record.job.steps[key.step];
         let Some(unit) = record.units.get(key) else {
@@ -201,7 +202,7 @@
             || step.data_rack.as_ref().is_some_and(away)
     }
 
-    /// Takes note of how long a whole run took.
+    /// Records the time of a run that did not resume from a checkpoint.
     fn record_run_time(&mut self, id: &JobId, key: &UnitKey, ran: Duration) {
         let Some(record) = self.jobs.get(id) else {
             return;
@@ -266,7 +267,7 @@
         }
     }
 
-    /// Moves a unit on after one of its members has ended.
+    /// Moves a unit to the next phase after one of its members has ended.
     fn advance_unit(&mut self, id: &str, key: &UnitKey, now: Timestamp) {
         let Some(record) = self.jobs.get_mut(id) else {
             return;
@@ -286,7 +287,7 @@
             return;
         };
         if done && !progress.done {
-            // One member's end counts for the whole gang.
+            // The first member that is done completes the whole gang.
             progress.done = true;
             progress.on.clear();
             progress.saved.clear();
@@ -294,7 +295,7 @@
             self.succeed_if_done(id, now);
             self.end_unsent(id, key, now);
         } else if left && !done {
-            // The others of a gang cannot go on alone.
+            // The other members of a gang cannot continue alone.
             self.stop_unit(id, key, StopReason::Broken, now);
         }
         if left {
@@ -313,7 +314,8 @@
             unit.phase = Phase::Done;
             return;
         }
-        // The next run avoids what the last one failed on: it need not wait.
+        // The next run avoids the worker that the last one failed on, so that
+        // it need not wait.
         let delay = match unit.interruption {
             Interruption::Lost => Duration::ZERO,
             Interruption::Stopped | Interruption::Refused => RETRY_DELAY,
@@ -333,8 +335,8 @@
         }
     }
 
-    /// Takes a task for done that was, by a run which was given up: its
-    /// worker was taken for gone, or it began by a late order. It must not
+    /// Marks a task as done although its run was given up: the worker was
+    /// considered lost, or the run began on a delayed order. The task must not
     /// begin again once that end is acknowledged.
     pub(super) fn mark_task_done(&mut self, task: &Task, now: Timestamp) {
         let Some(record) = self.jobs.get(&task.job) else {
@@ -349,13 +351,13 @@
             index: Some(task.index),
         };
         let open = record.progress.units.get(&key).is_some_and(|k| !k.done);
-        // A gang's run that was given up was broken elsewhere.
+        // A gang's run that was given up was broken by another member.
         if !open || step.lasting || step.gang || record.is_over() {
             return;
         }
         let id = &*task.job;
         self.release_reservation(id, &key);
-        // Another run of it is stopped, and counts for nothing.
+        // Another run of the task is stopped and its result ignored.
         self.stop_unit(id, &key, StopReason::Over, now);
         let Some(record) = self.jobs.get_mut(id) else {
             return;
@@ -377,7 +379,7 @@
         self.succeed_if_done(id, now);
     }
 
-    /// Stops a unit's run, or gives up the place that it waits for.
+    /// Stops a unit's run, or releases its reservation.
     pub(super) fn stop_unit(
         &mut self,
         id: &str,
@@ -417,7 +419,7 @@
         }
     }
 
-    /// Ends the members whose start was never handed out.
+    /// Ends the members whose start was never sent to an agent.
     fn end_unsent(&mut self, id: &str, key: &UnitKey, now: Timestamp) {
         let unhanded = |book: &Scheduler| {
             let unit = book.jobs.get(id)?.units.get(key)?;
@@ -434,7 +436,8 @@
         }
     }
 
-    /// Gives up the room that is kept for a unit; returns where it was.
+    /// Releases the resources that are reserved for a unit; returns the
+    /// reserved places.
     pub(super) fn release_reservation(
         &mut self,
         id: &str,
--- a/src/graph/shortage.rs
+++ b/src/graph/shortage.rs
@@ -1,7 +1,8 @@
-//! What a unit that finds no room lacks, with figures.
+//! The shortage of a unit that finds no room, in figures.
 //!
-//! "No room" alone says nothing of what would help: more workers, gangs that
-//! lie closer together, less that is kept, or another one that is stopped.
+//! A bare "no room" does not show what would help: more workers, gangs that
+//! are packed more closely, fewer reservations, or another run that is
+//! stopped.
 
 use crate::graph::place::Request;
 use crate::graph::scheduler::Worker;
@@ -10,25 +11,26 @@
 use crate::graph::Scheduler;
 use crate::graph::Timestamp;
 
-/// Why a unit finds no room, the first that holds.
+/// Why a unit finds no room. The first kind that applies is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShortageKind {
-    /// Fewer accelerators are free than it asks for.
+    /// Fewer accelerators are free than the unit requests.
     Accelerators,
-    /// Enough are free, though not enough on single workers.
+    /// Enough accelerators are free, but not enough on single workers.
     Fragmented,
-    /// Enough are free together, but cores or memory are not.
+    /// The accelerators would suffice, but CPU or memory does not.
     Cores,
-    /// There is room enough, part of it kept for others.
+    /// The resources would suffice, but a part of them is reserved for others.
     Reserved,
-    /// There is room enough, part of it left to more urgent work.
+    /// The resources would suffice, but a part of them is left to more urgent
+    /// work.
     Spare,
-    /// There is room enough, but not within one rack.
+    /// The resources would suffice, but not within one rack.
     Rack,
 }
 
 impl ShortageKind {
-    /// Returns the word for it in logs.
+    /// Returns the value that names the kind in logs.
     pub fn word(self) -> &'static str {
         match self {
             ShortageKind::Accelerators => "accelerators",
@@ -41,26 +43,25 @@
     }
 }
 
-/// What a unit lacks.
+/// The shortage of a waiting unit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shortage {
-    /// Why it finds no room.
+    /// Why the unit finds no room.
     pub kind: ShortageKind,
-    /// The accelerators that it asks for.
+    /// The accelerators that the unit requests.
     pub needed: i64,
-    /// Those that nothing is in, on workers that it may use.
+    /// The unoccupied accelerators on workers that the unit may use.
     pub free: i64,
-    /// How many of its tasks would fit now, all but racks looked away from.
+    /// How many of the unit's tasks would fit now, without regard to racks.
     pub fits: u32,
-    /// The core-seconds that stopping others would throw away, if that makes
-    /// room.
+    /// The core-seconds that preemption would lose, if it could make room.
     pub preemption_cost: Option<f64>,
-    /// Who holds the pool's accelerators.
+    /// How the pool's accelerators are used.
     pub holders: Holders,
 }
 
 impl Scheduler {
-    /// Returns what a unit lacks that finds no room.
+    /// Returns the shortage of a unit that finds no room.
     pub(super) fn shortage(
         &self,
         request: &Request,
--- a/src/graph/spare.rs
+++ b/src/graph/spare.rs
@@ -1,7 +1,7 @@
 //! Workers that are left empty for urgent work.
 //!
-//! A stop takes up to a second, longer than a short urgent job can wait: so
-//! what can wait does not fill a pool to the last worker.
+//! A stop takes up to a second, which is longer than a short urgent job can
+//! wait. Work that can wait therefore does not fill a pool completely.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -16,14 +16,14 @@
 use crate::graph::SharedStr;
 use crate::graph::Timestamp;
 
-/// The most that is left.
+/// The largest share of a pool's workers that is left empty.
 const MAX_SPARE_SHARE: f64 = 0.3;
-/// How long after the last urgent job that is so.
+/// How long after the last urgent job of a pool workers are left empty.
 const SPARE_AFTER_URGENT: Duration = Duration::from_secs(30);
 
 impl Scheduler {
-    /// Returns the empty workers that a unit leaves to urgent ones, in as
-    /// few racks as may be.
+    /// Returns the empty workers that a unit leaves to urgent work, in as few
+    /// racks as possible.
     pub(super) fn spare_workers(
         &self,
         request: &Request,
--- a/src/graph/unconfirmed.rs
+++ b/src/graph/unconfirmed.rs
@@ -1,9 +1,10 @@
-//! Workers that say nothing, under tasks that may not be at fault.
+//! Losses of workers that may only be unreachable.
 //!
-//! A worker whose process is down is told from one that is cut off by the
-//! answer of its machine, or by the next life there. One that is cut off is
-//! not taken down by its tasks: a job may not be given up for it, though its
-//! tasks begin elsewhere. So its loss counts only once it is sure.
+//! The answer of a worker's machine, or the next life on it, distinguishes a
+//! worker whose process is down from one that is cut off. Tasks are not at
+//! fault if their worker is cut off: a job must not be failed for that,
+//! although its tasks begin elsewhere. A loss therefore counts only once it is
+//! confirmed.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -22,9 +23,10 @@
 use crate::graph::UnitKey;
 use crate::graph::WorkerReport;
 
-/// For how long nothing must be heard of a worker, after its tasks were begun
-/// elsewhere, until it counts as down: a task that takes a VM along with its
-/// agent would else be tried on one VM after the other.
+/// How long a worker must stay silent, after its tasks were ended, before its
+/// loss is confirmed without other evidence. Without this limit a task that
+/// takes down VMs along with their agents would be tried on one VM after the
+/// other.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A loss of a worker that may still be there.
@@ -33,17 +35,17 @@
     place: Place,
     job: JobId,
     key: UnitKey,
-    /// The task that ran there.
+    /// The index of the task that ran on the worker.
     index: u32,
-    /// How long it was seen at work.
+    /// How long the task showed work.
     ran: Duration,
-    /// When it counts as down, unless it does already.
+    /// When the loss is confirmed by time, or `None` once it is confirmed.
     confirm_at: Option<Instant>,
 }
 
 impl Scheduler {
-    /// Takes in that a member's worker may be lost: its loss is counted once
-    /// that is sure.
+    /// Records that a member's worker may be lost. The loss is counted once it
+    /// is confirmed.
     pub(super) fn defer_loss(
         &mut self,
         id: &str,
@@ -70,8 +72,8 @@
         });
     }
 
-    /// Takes over the losses of a job that were not sure for the planner
-    /// before: it may have been told nothing more.
+    /// Takes over a job's unconfirmed losses from the planner before, which
+    /// may not have learned more about them.
     pub(super) fn adopt_unconfirmed(
         &mut self,
         record: &JobRecord,
@@ -92,8 +94,9 @@
         }
     }
 
-    /// Takes in which life is there now: one that had fallen silent, and was
-    /// not lost, or another one.
+    /// Resolves the unconfirmed losses of an agent's worker once a life
+    /// reports: the loss is retracted if the life is the silent one, and
+    /// confirmed if it is another.
     pub(super) fn resolve_unconfirmed(
         &mut self,
         agent: &AgentId,
@@ -117,8 +120,8 @@
         }
     }
 
-    /// Counts the workers that have said nothing for so long that they must
-    /// be down.
+    /// Confirms the losses of workers that have been silent for
+    /// [`CONFIRMATION_TIMEOUT`].
     pub(super) fn confirm_overdue(&mut self, now: Timestamp) {
         let due = |s: &UnconfirmedLoss| {
             s.confirm_at.is_some_and(|time| now.monotonic >= time)
@@ -138,7 +141,7 @@
         }
     }
 
-    /// Counts a loss, unless it is counted: its worker was down.
+    /// Counts a loss that is not yet confirmed.
     fn confirm_loss(&mut self, unconfirmed: &UnconfirmedLoss, now: Timestamp) {
         if unconfirmed.confirm_at.is_none() {
             return;
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Takes a loss back: its worker was there all the while.
+    /// Retracts a loss, because the worker was there all the time.
     fn retract_loss(&mut self, unconfirmed: &UnconfirmedLoss) {
         let counted = unconfirmed.confirm_at.is_none();
         let Some(loss) = self.loss_of(unconfirmed) else {
--- a/src/graph/unit.rs
+++ b/src/graph/unit.rs
@@ -6,14 +6,14 @@
 use crate::graph::Place;
 use crate::graph::WaitReason;
 
-/// How far a member has come.
+/// The state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MemberState {
-    /// Its start is ordered, once this version of the progress is written.
+    /// The start is ordered once this version of the progress is written.
     Ordered(u64),
-    /// Its worker lists it as running.
+    /// The worker lists the member as running.
     Running,
-    /// It has ended, or never began and never will.
+    /// The member has ended, or never began and never will.
     Ended,
 }
 
@@ -23,64 +23,64 @@
     pub index: u32,
     pub place: Place,
     pub state: MemberState,
-    /// Whether its start was ever handed to an agent.
+    /// Whether the start was ever sent to an agent.
     pub sent: bool,
     pub assigned_at: Instant,
-    /// Whether an earlier planner gave it out: how long it has run is then
-    /// not known.
+    /// Whether an earlier planner assigned the run; how long it has run is
+    /// then unknown.
     pub inherited: bool,
-    /// Whether it was ever seen at work.
+    /// Whether the member ever showed signs of work.
     pub showed_work: bool,
-    /// When it was last seen at work.
+    /// When the member last showed signs of work.
     pub last_work: Instant,
-    /// When it was last listed by a worker that answers.
+    /// When a worker that answers its agent last listed the member.
     pub last_listed: Option<Instant>,
 }
 
-/// What a unit was last seen to wait for.
+/// What a unit waited for when that was last checked.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoggedWait {
     pub reason: WaitReason,
-    /// Whether it was within its account's guarantee.
+    /// Whether the unit was within its account's guarantee.
     pub within: bool,
     pub at: Instant,
 }
 
-/// Where a unit stands.
+/// The phase of a unit.
 #[derive(Clone, Debug, Default)]
 pub(super) enum Phase {
-    /// It waits for a place.
+    /// The unit waits for places.
     #[default]
     Waiting,
-    /// It has a place, whose room is not free yet.
+    /// The unit has places whose resources are not free yet.
     Reserved(Vec<Member>),
-    /// A run was given out.
+    /// A run was assigned.
     Running(Vec<Member>),
-    /// It is done.
+    /// The unit is done.
     Done,
 }
 
 /// Why a run is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StopReason {
-    /// Its job is over.
+    /// The job is over.
     Over,
-    /// Its room goes to a job of higher priority.
+    /// A job of higher priority takes the resources.
     Preempted,
     /// A member could not start, or has ended.
     Broken,
-    /// It makes no progress.
+    /// The run makes no progress.
     Stuck,
-    /// Its worker is leaving before it would be done.
+    /// The worker leaves before the run would be done.
     Leaving,
-    /// It had not begun when its worker's room shrank.
+    /// The run had not begun when its worker's capacity shrank.
     Shrunk,
-    /// It had not begun when its hall was closed.
+    /// The run had not begun when its hall was closed.
     Closed,
 }
 
 impl StopReason {
-    /// Returns the word for it in logs.
+    /// Returns the value that names the reason in logs.
     pub fn word(self) -> &'static str {
         match self {
             StopReason::Over => "job over",
@@ -94,46 +94,47 @@
     }
 }
 
-/// What the ended members of a gang's run tell of why it broke.
+/// What the reported ends of a gang's members say about why its run broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BreakCause {
-    /// None has ended.
+    /// No member has ended.
     NoEnds,
-    /// Another one ended before them: one that has not been heard of.
+    /// All reported members ended because of another one, whose end is not
+    /// reported yet.
     Unreported,
-    /// One of them is the cause.
+    /// A reported member is the cause.
     Identified,
 }
 
-/// How a run has come to its end before it was done; what weighs most of its
-/// members' ends.
+/// How a run was interrupted. Of the members' ends the greatest value counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Interruption {
-    /// It was stopped.
+    /// The run was stopped.
     Stopped,
-    /// A member failed where the unit had not failed before, or went with
-    /// its worker.
+    /// A member failed on a worker where the unit had not failed before, or
+    /// its worker was lost.
     Lost,
-    /// A worker would not start a member, or it failed there once more.
+    /// A worker refused a member, or the member failed again on a worker where
+    /// the unit had failed before.
     Refused,
 }
 
-/// What is placed and started as one.
+/// A set of tasks that is placed and started as a whole.
 #[derive(Clone, Debug)]
 pub(super) struct Unit {
     pub phase: Phase,
-    /// Since when it could be placed.
+    /// Since when the unit could be placed.
     pub ready_since: Instant,
-    /// Before which it is not placed.
+    /// The unit is not placed before this time.
     pub not_before: Instant,
-    /// Where it has failed.
+    /// The agents whose workers the unit failed on.
     pub avoided: Vec<AgentId>,
     pub stop_reason: Option<StopReason>,
     pub logged_wait: Option<LoggedWait>,
     pub any_done: bool,
-    /// What is known of why its run broke.
+    /// Why the current run broke, as far as known.
     pub break_cause: BreakCause,
-    /// How its run has come to its end, as far as its members' ends tell.
+    /// How the current run was interrupted, as far as reported.
     pub interruption: Interruption,
 }
 
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Returns its members that have not ended.
+    /// Returns the members that have not ended.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         let members: &[Member] = match &self.phase {
             Phase::Reserved(members) | Phase::Running(members) => members,
--- a/src/graph/urgency.rs
+++ b/src/graph/urgency.rs
@@ -1,10 +1,11 @@
-//! How soon units must go on, and what they are told to wait for.
+//! The order of waiting units, and the reasons for which they wait.
 //!
-//! The load that the order answers: bursts of twice the urgent gangs that
-//! there is room for. By the latest start alone those whose time is past go
-//! first, and each takes the room of one that could be in time, until all are
-//! late. So they go behind those, the smallest first. What an account is
-//! guaranteed goes first however late it is.
+//! The order is made for bursts of twice as many urgent gangs as there is room
+//! for. If units were ordered by latest start alone, those that are already
+//! late would come first, and each would take the place of one that could
+//! still be in time, until all are late. Late units therefore wait behind the
+//! others, the smallest first. Units within a guarantee come first however
+//! late they are.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -21,39 +22,39 @@
 use crate::graph::UnitKey;
 use crate::graph::WaitReason;
 
-/// How long after it was told what a unit waits for is looked at again.
+/// How long after a check the reason for which a unit waits is checked again.
 const WAIT_CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// How many times its objective a job takes at most to be of any use.
+/// The multiple of its objective after which a job is of no use any more.
 const USELESS_FACTOR: u32 = 3;
 
-/// What kind of unit waits, what goes first in front.
+/// The class of a waiting unit; lower classes are served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Class {
-    /// Urgent, and within its account's guarantee.
+    /// Urgent, and within the account's guarantee.
     Guaranteed,
     /// Urgent, and in time if it starts soon.
     Urgent,
-    /// Urgent, and late all the same.
+    /// Urgent, and late whenever it starts.
     Late,
-    /// Any other.
+    /// Not urgent.
     Other,
-    /// Of no use any more.
+    /// Not urgent, and too late to be of use.
     Useless,
 }
 
-/// Where a unit stands among those that wait.
+/// The rank of a waiting unit; lower ranks are served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     class: Class,
-    /// Its core-seconds, where the smallest go first.
+    /// The unit's core-seconds if the smallest units go first, otherwise 0.
     size: u64,
-    /// By when it would have to start to be in time.
+    /// The latest start at which the unit is in time.
     latest: Instant,
 }
 
 impl Scheduler {
-    /// Returns where a unit stands among those that wait.
+    /// Returns the rank of a waiting unit.
     pub(super) fn rank(
         &self,
         record: &JobRecord,
@@ -64,8 +65,9 @@
         let (latest, hopeless) = self.deadlines(record, key);
         let first = !self.terms.policy.late_last || now.monotonic <= latest;
         let class = match job.priority {
-            // Beside other urgent work it waits behind borrowers that are in
-            // a greater hurry, past the time in which it is to begin.
+            // Ranked by latest start alone, such a unit would wait behind
+            // borrowing units in a greater hurry, beyond the time within which
+            // it has to begin.
             0 if self.is_within_guarantee(record) => Class::Guaranteed,
             0 if first => Class::Urgent,
             0 => Class::Late,
@@ -86,8 +88,8 @@
         }
     }
 
-    /// Returns by when a unit would have to start to be in time, and from
-    /// when on it is of no use.
+    /// Returns the latest start at which a unit is in time, and the time from
+    /// which it is of no use.
     fn deadlines(
         &self,
         record: &JobRecord,
@@ -95,7 +97,7 @@
     ) -> (Instant, Instant) {
         let job = &record.job;
         let objective = self.objective(record);
-        // Of a job that runs several times, each time counts by itself.
+        // Each repetition of a job is timed from when it is due.
         let late = job.due(key.time).duration_since(job.accepted);
         let due = record.accepted_at + late.unwrap_or_default();
         let latest = due
@@ -103,14 +105,16 @@
         (latest, due + objective * USELESS_FACTOR)
     }
 
-    /// Returns within which a job is to end, as far as its runs tell.
+    /// Returns the time within which a job should end, from its expected run
+    /// times.
     pub(super) fn objective(&self, record: &JobRecord) -> Duration {
         let stretch = record.job.stretch.max(1.0);
         self.expected_critical_path(record).mul_f64(stretch)
             + record.job.target
     }
 
-    /// Returns the longest chain of expected work through a job's steps.
+    /// Returns the length of a job's critical path, from its expected run
+    /// times.
     pub(super) fn expected_critical_path(
         &self,
         record: &JobRecord,
@@ -120,8 +124,8 @@
             .critical_path(|step| self.expected_time(record, step))
     }
 
-    /// Returns what is left until a unit would have to start, in ms; below
-    /// 0 once that is past.
+    /// Returns the time left until a unit's latest start, in ms; below 0 once
+    /// that is past.
     pub(super) fn slack(
         &self,
         record: &JobRecord,
@@ -134,8 +138,9 @@
         left as i64 - past as i64
     }
 
-    /// Tells what a unit waits for, unless that was told already; `preemption_cost` is
-    /// what stopping others for it would throw away.
+    /// Records why a unit waits, unless that is already recorded.
+    /// `preemption_cost` is the work that stopping other runs for the unit
+    /// would lose.
     pub(super) fn record_wait(
         &mut self,
         id: &JobId,
