--- a/src/cell/teller.rs
+++ b/src/cell/teller.rs
@@ -195,9 +195,9 @@
             "free" => shortage.map(|s| s.free),
             "fits" => shortage.map(|s| s.fits),
             "dear_core_s" => shortage.and_then(|s| s.preemption_cost).map(f64::round),
-            "held_within" => shortage.map(|s| s.holders.within),
-            "held_lent" => shortage.map(|s| s.holders.borrowed),
-            "held_lower" => shortage.map(|s| s.holders.lower),
+            "held_within" => shortage.map(|s| s.usage.within),
+            "held_lent" => shortage.map(|s| s.usage.borrowed),
+            "held_lower" => shortage.map(|s| s.usage.lower),
             Promise(*standing),
             "token" => token),
         Decision::Reserved {
--- a/src/cell/writer.rs
+++ b/src/cell/writer.rs
@@ -8,7 +8,7 @@
 use crate::cell::keys;
 use crate::cell::pause;
 use crate::graph::JobId;
-use crate::graph::Unwritten;
+use crate::graph::ProgressUpdate;
 use crate::http::carriage;
 use crate::store::Compare;
 use crate::store::Error;
@@ -37,7 +37,7 @@
 
 impl Known {
     /// Returns what is known of the jobs of a batch.
-    pub fn of(&self, batch: &[Unwritten]) -> Known {
+    pub fn of(&self, batch: &[ProgressUpdate]) -> Known {
         let ids = || batch.iter().map(|job| &job.id);
         Known {
             revisions: ids()
@@ -76,7 +76,7 @@
     store: &impl Store,
     claim: &Claim,
     known: &Known,
-    batch: &[Unwritten],
+    batch: &[ProgressUpdate],
 ) -> Result<Written, Lost> {
     let mut conditions = vec![claim.condition()];
     let mut puts = Vec::new();
@@ -113,7 +113,7 @@
 }
 
 fn all(
-    batch: &[Unwritten],
+    batch: &[ProgressUpdate],
     revision: impl Fn(&JobId) -> Option<Revision>,
 ) -> Written {
     let jobs = batch.iter().filter_map(|job| {
@@ -127,7 +127,7 @@
 /// Tells an earlier try of ours that has taken effect from a write of
 /// somebody else.
 fn landed(
-    batch: &[Unwritten],
+    batch: &[ProgressUpdate],
     puts: &[Put],
     items: &[Item],
 ) -> Result<Written, Lost> {
--- a/src/graph/guarantee.rs
+++ b/src/graph/guarantee.rs
@@ -37,7 +37,7 @@
 
 /// The accelerators of a pool that are in use or reserved, by kind of work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Holders {
+pub struct PoolUsage {
     /// Urgent work within guarantees.
     pub within: i64,
     /// Urgent work beyond guarantees, which borrows.
@@ -215,8 +215,8 @@
     }
 
     /// Returns how the accelerators of a pool are used.
-    pub(super) fn holders(&self, pool: &SharedStr) -> Holders {
-        let mut holders = Holders::default();
+    pub(super) fn pool_usage(&self, pool: &SharedStr) -> PoolUsage {
+        let mut usage = PoolUsage::default();
         for record in
             self.live_jobs().filter(|record| record.job.pool == *pool)
         {
@@ -229,13 +229,11 @@
             });
             let held: i64 = held.sum();
             match record.job.priority {
-                0 if self.is_within_guarantee(record) => {
-                    holders.within += held
-                }
-                0 => holders.borrowed += held,
-                _ => holders.lower += held,
+                0 if self.is_within_guarantee(record) => usage.within += held,
+                0 => usage.borrowed += held,
+                _ => usage.lower += held,
             }
         }
-        holders
+        usage
     }
 }
--- a/src/graph/mod.rs
+++ b/src/graph/mod.rs
@@ -52,7 +52,7 @@
 pub use decision::Subject;
 pub use decision::WaitReason;
 pub use guarantee::GuaranteeStatus;
-pub use guarantee::Holders;
+pub use guarantee::PoolUsage;
 pub use job::Advice;
 pub use job::Error;
 pub use job::Job;
@@ -88,8 +88,8 @@
 pub use report::Running;
 pub use report::Worker as WorkerReport;
 pub use scheduler::Options;
+pub use scheduler::ProgressUpdate;
 pub use scheduler::Scheduler;
-pub use scheduler::Unwritten;
 pub use shortage::Shortage;
 pub use shortage::ShortageKind;
 
--- a/src/graph/scheduler.rs
+++ b/src/graph/scheduler.rs
@@ -282,13 +282,13 @@
 
     /// Returns up to `most` jobs whose progress must be written, each with its
     /// version.
-    pub fn take_unwritten(&mut self, most: usize) -> Vec<Unwritten> {
+    pub fn take_unwritten(&mut self, most: usize) -> Vec<ProgressUpdate> {
         let ids: Vec<JobId> = self.dirty.iter().take(most).cloned().collect();
         ids.iter()
             .filter_map(|id| {
                 self.dirty.remove(id);
                 let record = self.jobs.get(id)?;
-                Some(Unwritten {
+                Some(ProgressUpdate {
                     id: id.clone(),
                     queue: record.job.queue.clone(),
                     version: record.version,
@@ -444,7 +444,7 @@
 
 /// A job's progress that must be written.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Unwritten {
+pub struct ProgressUpdate {
     /// The job's name.
     pub id: JobId,
     /// The job's queue.
--- a/src/graph/shortage.rs
+++ b/src/graph/shortage.rs
@@ -6,7 +6,7 @@
 
 use crate::graph::place::Request;
 use crate::graph::scheduler::Worker;
-use crate::graph::Holders;
+use crate::graph::PoolUsage;
 use crate::graph::Resources;
 use crate::graph::Scheduler;
 use crate::graph::Timestamp;
@@ -57,7 +57,7 @@
     /// The core-seconds that preemption would lose, if it could make room.
     pub preemption_cost: Option<f64>,
     /// How the pool's accelerators are used.
-    pub holders: Holders,
+    pub usage: PoolUsage,
 }
 
 impl Scheduler {
@@ -104,7 +104,7 @@
             free,
             fits,
             preemption_cost: preemption_cost,
-            holders: self.holders(&request.pool),
+            usage: self.pool_usage(&request.pool),
         }
     }
 }
--- a/tests/it/graph_faults.rs
+++ b/tests/it/graph_faults.rs
@@ -21,6 +21,7 @@
 use landingvalve::graph::Outcome;
 use landingvalve::graph::PastLife;
 use landingvalve::graph::Progress;
+use landingvalve::graph::ProgressUpdate;
 use landingvalve::graph::Refusal;
 use landingvalve::graph::Refused;
 use landingvalve::graph::Report;
@@ -33,7 +34,6 @@
 use landingvalve::graph::Step;
 use landingvalve::graph::Task;
 use landingvalve::graph::Timestamp;
-use landingvalve::graph::Unwritten;
 use landingvalve::graph::WorkerReport;
 
 /// How many schedules a run of the test plays.
@@ -148,7 +148,7 @@
     book: Scheduler,
     token: u64,
     /// What it has handed to the store, and is not written yet.
-    writing: Vec<Unwritten>,
+    writing: Vec<ProgressUpdate>,
 }
 
 struct World {
