--- a/src/graph/advice.rs
+++ b/src/graph/advice.rs
@@ -85,9 +85,8 @@
     pub fn allows(&self, life: &Life, now: Instant) -> bool {
         match self {
             Requirement::NotNeeded => true,
-            Requirement::Needed(leave) => {
-                leave.is_some_and(|leave| leave.allows(life, now))
-            }
+            Requirement::Needed(permission) => permission
+                .is_some_and(|permission| permission.allows(life, now)),
         }
     }
 }
@@ -108,8 +107,9 @@
     /// Returns the next question to the service, if there is one.
     pub fn take_question(&mut self, now: Timestamp) -> Option<Question> {
         let question = self.next_question(now)?;
-        let leave = self.permissions.entry(question.step.clone()).or_default();
-        leave.not_before = Some(now.monotonic + RETRY_INTERVAL);
+        let permission =
+            self.permissions.entry(question.step.clone()).or_default();
+        permission.not_before = Some(now.monotonic + RETRY_INTERVAL);
         Some(question)
     }
 
@@ -136,15 +136,15 @@
             let expected = self.expected_time(record, key.step);
             let request = Request::new(record, key, unit, expected);
             let step = request.step_key();
-            let leave =
+            let permission =
                 self.permissions.get(&step).cloned().unwrap_or_default();
-            if leave
+            if permission
                 .not_before
                 .is_some_and(|before| now.monotonic < before)
             {
                 continue;
             }
-            let lives = self.lives_to_ask(&request, &leave, now);
+            let lives = self.lives_to_ask(&request, &permission, now);
             if !lives.is_empty() {
                 return Some(Question { step, lives });
             }
@@ -157,22 +157,22 @@
     fn lives_to_ask(
         &self,
         request: &Request,
-        leave: &Permission,
+        permission: &Permission,
         now: Timestamp,
     ) -> Vec<Life> {
-        let mut open: Vec<(bool, &Life)> = self
+        let mut candidates: Vec<(bool, &Life)> = self
             .workers
             .values()
             .filter(|worker| self.is_usable(worker, request, now))
-            .filter(|worker| !leave.barred.contains(&worker.life))
-            .filter(|worker| !leave.allows(&worker.life, now.monotonic))
+            .filter(|worker| !permission.barred.contains(&worker.life))
+            .filter(|worker| !permission.allows(&worker.life, now.monotonic))
             .map(|worker| {
-                let full = !worker.free().holds(&request.charge);
-                (full, &worker.life)
+                let is_full = !worker.free().holds(&request.charge);
+                (is_full, &worker.life)
             })
             .collect();
-        open.sort();
-        let lives = open.into_iter().map(|(_, life)| life.clone());
+        candidates.sort();
+        let lives = candidates.into_iter().map(|(_, life)| life.clone());
         lives.take(MAX_NAMED_WORKERS).collect()
     }
 
@@ -192,21 +192,22 @@
             return;
         };
         self.changed = true;
-        let leave = self.permissions.entry(question.step.clone()).or_default();
-        leave.not_before = None;
+        let permission =
+            self.permissions.entry(question.step.clone()).or_default();
+        permission.not_before = None;
         // The service's answer about a worker is final for the step.
-        leave.barred.extend(question.lives.iter().cloned());
+        permission.barred.extend(question.lives.iter().cloned());
         let until = sent + advice.valid;
         for ticket in granted {
-            leave.barred.remove(&ticket.life);
-            leave.tickets.insert(ticket.life, (ticket.text, until));
+            permission.barred.remove(&ticket.life);
+            permission.tickets.insert(ticket.life, (ticket.text, until));
         }
     }
 
     /// Removes a ticket that a worker no longer accepts.
     pub(super) fn drop_ticket(&mut self, step: &StepKey, life: &Life) {
-        if let Some(leave) = self.permissions.get_mut(step) {
-            leave.tickets.remove(life);
+        if let Some(permission) = self.permissions.get_mut(step) {
+            permission.tickets.remove(life);
         }
     }
 }
--- a/src/graph/budget.rs
+++ b/src/graph/budget.rs
@@ -25,16 +25,16 @@
     /// The time left until the unit's latest start, in ms.
     pub slack_ms: i64,
     /// The longest time that a stop takes.
-    pub stop: Duration,
+    pub stop_time: Duration,
 }
 
 /// Returns the core-seconds that may be lost for a unit.
-pub fn limit(policy: &Policy, stake: &Need) -> f64 {
-    let stop = stake.stop.as_millis() as i64;
-    match stake.slack_ms >= stop {
+pub fn limit(policy: &Policy, need: &Need) -> f64 {
+    let stop_ms = need.stop_time.as_millis() as i64;
+    match need.slack_ms >= stop_ms {
         true => policy
             .max_loss
-            .max(stake.core_seconds * policy.max_loss_factor),
+            .max(need.core_seconds * policy.max_loss_factor),
         false => policy.max_loss,
     }
 }
--- a/src/graph/crash.rs
+++ b/src/graph/crash.rs
@@ -24,8 +24,8 @@
 use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
-/// How long a task must have shown work before it is not blamed for the loss
-/// of its worker.
+/// How long a task must have been listed as running before it is not blamed
+/// for the loss of its worker.
 const PROVEN_AFTER: Duration = Duration::from_secs(1);
 /// How long nothing else starts on a worker where a suspect has started: until
 /// the suspect is proven and that is reported.
@@ -61,17 +61,17 @@
 impl Loss {
     /// Returns whether the task must not begin again after a run.
     pub(super) fn must_not_restart(&self, run: Run) -> bool {
-        let more = run.saturating_sub(self.limit);
+        let runs_since = run.saturating_sub(self.limit);
         // The task may have caused the excused and the unconfirmed losses as
         // well: they count as runs since the third loss.
         let silent = self.silent.len() as u32;
-        let may = EXTRA_RUNS.saturating_sub(self.excused + silent);
-        let all = self.lost + self.excused + silent;
+        let runs_left = EXTRA_RUNS.saturating_sub(self.excused + silent);
+        let all_losses = self.lost + self.excused + silent;
         self.lost + silent >= MAX_PRESUMED_LOSSES
             || self.sudden >= MAX_SUDDEN_LOSSES
-            || self.lost >= MAX_LOSSES && more >= may
+            || self.lost >= MAX_LOSSES && runs_since >= runs_left
             || self.lost >= MIN_CERTAIN_LOSSES
-                && all >= MAX_LOSSES + EXTRA_RUNS
+                && all_losses >= MAX_LOSSES + EXTRA_RUNS
     }
 
     /// Counts a lost worker.
@@ -84,15 +84,15 @@
 }
 
 impl Member {
-    /// Returns whether the member worked for long enough not to be blamed for
-    /// the loss of its worker.
+    /// Returns whether the member ran for long enough not to be blamed for the
+    /// loss of its worker.
     pub(super) fn is_proven(&self) -> bool {
-        self.worked_for() >= PROVEN_AFTER
+        self.ran_for() >= PROVEN_AFTER
     }
 
     /// Returns for how long the member is known to have run, up to its last
     /// listing by a worker that answers.
-    pub(super) fn worked_for(&self) -> Duration {
+    pub(super) fn ran_for(&self) -> Duration {
         let seen = self.last_listed.unwrap_or(self.assigned_at);
         seen.saturating_duration_since(self.assigned_at)
     }
@@ -113,7 +113,7 @@
         if loss.run >= run {
             return None;
         }
-        if member.worked_for() >= LOSS_EXPIRY {
+        if member.ran_for() >= LOSS_EXPIRY {
             *loss = Loss::default();
         }
         loss.run = run;
@@ -169,16 +169,16 @@
         key: &UnitKey,
         member: &Member,
     ) {
-        let begun = self.had_begun(id, key, member);
+        let had_begun = self.had_begun(id, key, member);
         let worker = self.workers.get(&member.place.agent);
         let worker = worker.filter(|w| w.life == member.place.life);
         let announced = worker.is_some_and(|worker| worker.announced_leaving);
         // A member that was never sent to the agent cannot have begun.
-        let never = !member.sent || begun == Some(false);
+        let never_began = !member.sent || had_begun == Some(false);
         // Nothing is started on a leaving worker, so that an unproven member
         // has begun shortly before the loss and may have caused it.
         let excused = announced && member.is_proven();
-        if never {
+        if never_began {
             return;
         }
         let Some(record) = self.jobs.get_mut(id) else {
@@ -195,7 +195,7 @@
         }
         // How long the task ran under an earlier planner is unknown, and an
         // agent that was lost with its worker reports nothing.
-        let known = begun.is_some() && !announced && !member.inherited;
+        let known = had_begun.is_some() && !announced && !member.inherited;
         let sudden = known && !member.is_proven();
         loss.count_lost();
         loss.sudden += u32::from(sudden);
@@ -210,7 +210,7 @@
             run,
             task: member.index,
             life: member.place.life.clone(),
-            ran: member.worked_for(),
+            ran: member.ran_for(),
             loss,
         });
         if sudden {
@@ -293,22 +293,22 @@
     pub(super) fn isolate_suspect<'a>(
         &self,
         request: &Request,
-        sound: Vec<(&'a AgentId, &'a Worker)>,
+        usable: Vec<(&'a AgentId, &'a Worker)>,
         now: Timestamp,
     ) -> Vec<(&'a AgentId, &'a Worker)> {
         if !request.suspect {
-            return sound;
+            return usable;
         }
         let empty = |worker: &Worker| worker.used == Resources::default();
-        let alone = sound.iter().filter(|(_, worker)| empty(worker));
+        let alone = usable.iter().filter(|(_, worker)| empty(worker));
         let slots = alone.map(|(_, w)| u64::from(request.slots(w))).sum();
         let enough = u64::from(request.width) <= slots;
         // Urgent units do not wait: room is made for them by preemption.
         let waits = request.priority > 0
             && now.monotonic < request.ready + EMPTY_WORKER_WAIT;
         match enough || waits {
-            true => sound.into_iter().filter(|(_, w)| empty(w)).collect(),
-            false => sound,
+            true => usable.into_iter().filter(|(_, w)| empty(w)).collect(),
+            false => usable,
         }
     }
 
--- a/src/graph/guarantee.rs
+++ b/src/graph/guarantee.rs
@@ -109,9 +109,10 @@
         record: &JobRecord,
         now: Timestamp,
     ) -> bool {
-        let by = record.accepted_at + self.terms.reclaim_time;
-        if now.monotonic >= by
-            || now.monotonic + self.terms.stop_time + ORDER_LATENCY < by
+        let begin_by = record.accepted_at + self.options.reclaim_time;
+        if now.monotonic >= begin_by
+            || now.monotonic + self.options.stop_time + ORDER_LATENCY
+                < begin_by
         {
             return false;
         }
@@ -161,7 +162,7 @@
             Some(ready) if !first => ready,
             _ => record.accepted_at,
         };
-        since + self.terms.reclaim_time
+        since + self.options.reclaim_time
     }
 
     /// Returns whether any resources of a pool are reserved for units within
@@ -186,9 +187,9 @@
         request: &Request,
     ) -> Option<Instant> {
         let record = self.jobs.get(&request.id)?;
-        let by = self.must_begin_by(record, &request.key);
-        let takes = self.terms.stop_time + ORDER_LATENCY;
-        let last = by.checked_sub(takes).unwrap_or(by);
+        let begin_by = self.must_begin_by(record, &request.key);
+        let lead_time = self.options.stop_time + ORDER_LATENCY;
+        let last = begin_by.checked_sub(lead_time).unwrap_or(begin_by);
         self.is_within_guarantee(record).then_some(last)
     }
 
--- a/src/graph/history.rs
+++ b/src/graph/history.rs
@@ -164,7 +164,7 @@
         record: &JobRecord,
         step: usize,
     ) -> Duration {
-        let prediction = self.terms.policy.prediction;
+        let prediction = self.options.policy.prediction;
         let declared = record.job.steps[step].estimate;
         let queue = &record.job.queue;
         let expected = self.history.expect(queue, declared, prediction);
--- a/src/graph/intake.rs
+++ b/src/graph/intake.rs
@@ -145,8 +145,8 @@
         }
         self.apply_worker(&agent, &reported, report.process, now);
         self.resolve_unconfirmed(&agent, &reported, now);
-        // Only after the worker's new lists are applied: members that the
-        // present birth lists are not lost.
+        // Only after `apply_worker`, which moves the members that the present
+        // birth lists to it: they are not lost with an earlier one.
         self.end_lives(&agent, over, silent, now);
         if let Some(worker) = self.workers.get_mut(&agent) {
             worker.sequence = report.sequence;
@@ -161,19 +161,19 @@
         for refused in &reported.refused {
             self.apply_refused(&place, refused, now);
         }
-        let mut strays = std::collections::BTreeSet::new();
+        let mut unknown = std::collections::BTreeSet::new();
         for running in &reported.lists.running {
             if !self.apply_running(&place, running, now) {
-                strays.insert((running.task.clone(), running.run));
+                unknown.insert((running.task.clone(), running.run));
             }
         }
         self.update_pace(&agent, &reported.lists.running, now.monotonic);
         self.update_off_pace(&agent, &reported.lists.running);
-        let strayed = self.charge_of(&strays);
+        let charge = self.charge_of(&unknown);
         if let Some(worker) = self.workers.get_mut(&agent) {
-            if worker.unknown_runs != strays {
-                worker.unknown_runs = strays;
-                worker.unknown_charge = strayed;
+            if worker.unknown_runs != unknown {
+                worker.unknown_runs = unknown;
+                worker.unknown_charge = charge;
                 self.changed = true;
                 self.agents_to_order.insert(agent);
             }
@@ -238,11 +238,11 @@
         process: String,
         now: Timestamp,
     ) {
-        let new = self
+        let is_new = self
             .workers
             .get(agent)
             .is_none_or(|worker| worker.life != reported.life);
-        if new {
+        if is_new {
             let life = reported.life.clone();
             self.move_births(agent, &life, &reported.lists);
             self.end_lost(|p| p.agent == *agent && p.life != life, now);
@@ -263,23 +263,24 @@
             let worker = new_worker(reported, used, now.monotonic);
             // The worker may have shrunk, or its hall been closed, since an
             // earlier planner assigned runs there.
-            let full = !worker.capacity.holds(&worker.used);
-            let why = match self.closed_halls.contains(&worker.hall) {
+            let overcommitted = !worker.capacity.holds(&worker.used);
+            let reason = match self.closed_halls.contains(&worker.hall) {
                 true => Some(StopReason::Closed),
-                false => full.then_some(StopReason::Shrunk),
+                false => overcommitted.then_some(StopReason::Shrunk),
             };
-            self.withdrawals.extend(why.map(|why| (agent.clone(), why)));
+            self.withdrawals
+                .extend(reason.map(|reason| (agent.clone(), reason)));
             self.workers.insert(agent.clone(), worker);
         }
         if let Some(worker) = self.workers.get_mut(agent) {
-            let same = !new
+            let unchanged = !is_new
                 && !worker.gone
                 && worker.capacity == reported.capacity
                 && worker.leaving == reported.leaving
                 && worker.silent == reported.silent
                 && now.monotonic
-                    < worker.last_grant + self.terms.contact_timeout;
-            self.changed |= !same;
+                    < worker.last_grant + self.options.contact_timeout;
+            self.changed |= !unchanged;
             worker.last_grant = now.monotonic;
             worker.process = process;
             worker.gone = false;
@@ -330,8 +331,8 @@
             self.agents_to_order.insert(place.agent.clone());
         }
         // A task without a load figure counts as working.
-        let works = running.load.is_none_or(|load| load > 0.0);
-        if works || saved {
+        let working = running.load.is_none_or(|load| load > 0.0);
+        if working || saved {
             member.last_work = now.monotonic;
             member.showed_work = true;
         }
@@ -359,13 +360,13 @@
         let task = &ended.task;
         self.apply_listed_end(place, ended, now);
         let version = self.jobs.get(&task.job).map_or(0, |e| e.version);
-        let unnoted = UnackedEnd {
+        let unacked = UnackedEnd {
             number: ended.number,
             job: task.job.clone(),
             version,
         };
         if let Some(worker) = self.workers.get_mut(&place.agent) {
-            worker.unacked_ends.push_back(unnoted);
+            worker.unacked_ends.push_back(unacked);
         }
         self.agents_to_order.insert(place.agent.clone());
     }
--- a/src/graph/job_record.rs
+++ b/src/graph/job_record.rs
@@ -58,10 +58,10 @@
             let key = UnitKey { time, step, index };
             self.progress.units.get(&key).is_some_and(|unit| unit.done)
         };
-        let terms = &self.job.steps[step];
-        match terms.gang {
+        let definition = &self.job.steps[step];
+        match definition.gang {
             true => done(None),
-            false => (0..terms.replicas).all(|index| done(Some(index))),
+            false => (0..definition.replicas).all(|index| done(Some(index))),
         }
     }
 
--- a/src/graph/liveness.rs
+++ b/src/graph/liveness.rs
@@ -69,17 +69,17 @@
         gone: impl Fn(&Place) -> bool,
         now: Timestamp,
     ) {
-        let mut given_up = Vec::new();
+        let mut released = Vec::new();
         for record in self.live_jobs() {
             for (key, unit) in &record.units {
                 if let Phase::Reserved(members) = &unit.phase {
                     if members.iter().any(|m| gone(&m.place)) {
-                        given_up.push((record.job.id.clone(), *key));
+                        released.push((record.job.id.clone(), *key));
                     }
                 }
             }
         }
-        for (id, key) in given_up {
+        for (id, key) in released {
             self.stop_unit(&id, &key, StopReason::Broken, now);
         }
     }
@@ -87,29 +87,29 @@
     /// Ends the members whose agents have been silent for so long that the
     /// leases of their workers have expired.
     pub(super) fn expire_silent_workers(&mut self, now: Timestamp) {
-        let wait = self.terms.survival + self.terms.lease_margin;
+        let wait = self.options.survival + self.options.lease_margin;
         let mut silent = Vec::new();
         for record in self.live_jobs() {
             let members = record.units.values().flat_map(Unit::members);
             for member in members {
-                let heard = self
+                let last_grant = self
                     .workers
                     .get(&member.place.agent)
                     .filter(|worker| worker.life == member.place.life)
                     .map_or(self.claimed_at, |worker| worker.last_grant);
                 let known = silent.iter().any(|(p, _)| *p == member.place);
-                if now.monotonic >= heard + wait && !known {
-                    silent.push((member.place.clone(), heard));
+                if now.monotonic >= last_grant + wait && !known {
+                    silent.push((member.place.clone(), last_grant));
                 }
             }
         }
-        for (place, heard) in silent {
-            if !self.is_inquiry_answered(&place.agent, heard + wait) {
+        for (place, last_grant) in silent {
+            if !self.is_inquiry_answered(&place.agent, last_grant + wait) {
                 continue;
             }
             self.record_decision(Decision::WorkerLost {
                 life: place.life.clone(),
-                silent: now.monotonic.saturating_duration_since(heard),
+                silent: now.monotonic.saturating_duration_since(last_grant),
             });
             self.end_members_on(
                 MemberEnd::WorkerSilent,
@@ -128,15 +128,15 @@
     /// taken away at short notice. On a last attempt the run does wait,
     /// because the job fails if that member has failed.
     pub(super) fn end_broken_gangs(&mut self, now: Timestamp) {
-        if !self.terms.policy.end_broken_gangs {
+        if !self.options.policy.end_broken_gangs {
             return;
         }
-        let mut over = Vec::new();
+        let mut remaining = Vec::new();
         for record in self.live_jobs() {
             for (key, unit) in &record.units {
-                let tells = unit.break_cause == BreakCause::Unreported
+                let unreported = unit.break_cause == BreakCause::Unreported
                     && !record.is_last_attempt(key);
-                if !tells || !self.is_out_of_contact(unit, now) {
+                if !unreported || !self.is_out_of_contact(unit, now) {
                     continue;
                 }
                 let Phase::Running(members) = &unit.phase else {
@@ -144,12 +144,12 @@
                 };
                 let left = members.iter().enumerate();
                 let left = left.filter(|(_, m)| m.state != MemberState::Ended);
-                over.extend(left.map(|(position, _)| {
+                remaining.extend(left.map(|(position, _)| {
                     (record.job.id.clone(), *key, position)
                 }));
             }
         }
-        for (id, key, position) in over {
+        for (id, key, position) in remaining {
             self.end_member(&id, &key, position, MemberEnd::WorkerSilent, now);
         }
     }
@@ -162,7 +162,7 @@
     /// times as slow, and stopped runs there although other workers would have
     /// been free 0.2 s later.
     pub(super) fn awaits_reports(&self, now: Timestamp) -> bool {
-        if !self.terms.policy.await_reports
+        if !self.options.policy.await_reports
             || now.monotonic >= self.claimed_at + STARTUP_TIME
         {
             return false;
@@ -183,10 +183,12 @@
             .workers
             .get(&first.place.agent)
             .filter(|worker| worker.life == first.place.life);
-        let heard = worker.map_or(self.claimed_at, |worker| worker.last_grant);
-        let unheard = now.monotonic >= heard + self.terms.contact_timeout;
+        let last_grant =
+            worker.map_or(self.claimed_at, |worker| worker.last_grant);
+        let out_of_contact =
+            now.monotonic >= last_grant + self.options.contact_timeout;
         let silent = worker.is_some_and(|worker| worker.silent);
-        (unheard || silent)
+        (out_of_contact || silent)
             && first.state == MemberState::Running
             && left.all(|m| {
                 m.place == first.place && m.state == MemberState::Running
@@ -195,7 +197,7 @@
 
     /// Stops the runs that make no progress.
     pub(super) fn stop_stuck_runs(&mut self, now: Timestamp) {
-        if !self.terms.policy.stop_stuck {
+        if !self.options.policy.stop_stuck {
             return;
         }
         let mut stuck = Vec::new();
@@ -211,7 +213,7 @@
                 let expected = self.expected_time(record, key.step);
                 let far = step.same_rack || step.data_rack.is_some();
                 let expected = match far {
-                    true => expected.mul_f64(self.terms.far_slowdown),
+                    true => expected.mul_f64(self.options.far_slowdown),
                     false => expected,
                 };
                 if unit.members().any(|m| self.is_stuck(m, expected, now)) {
@@ -235,7 +237,7 @@
     ) -> bool {
         let worker = self.workers.get(&member.place.agent);
         let fresh = worker.is_some_and(|worker| {
-            now.monotonic < worker.last_grant + self.terms.contact_timeout
+            now.monotonic < worker.last_grant + self.options.contact_timeout
         });
         let factor = match member.showed_work {
             true => OVERDUE_FACTOR,
--- a/src/graph/orders.rs
+++ b/src/graph/orders.rs
@@ -111,7 +111,7 @@
             worker.acked_end = end.number;
             worker.unacked_ends.pop_front();
         }
-        let stray = |(task, run): &(Task, Run)| Stop {
+        let unknown_run = |(task, run): &(Task, Run)| Stop {
             task: task.clone(),
             run: *run,
         };
@@ -119,7 +119,7 @@
             life: Some(worker.life.clone()),
             noted: worker.acked_end,
             starts: Vec::new(),
-            stops: worker.unknown_runs.iter().map(stray).collect(),
+            stops: worker.unknown_runs.iter().map(unknown_run).collect(),
             paces,
         })
     }
@@ -127,13 +127,13 @@
 
 fn order(
     record: &mut JobRecord,
-    leave: &BTreeMap<StepKey, Permission>,
+    permission: &BTreeMap<StepKey, Permission>,
     all: &mut BTreeMap<AgentId, Orders>,
 ) {
     let mut units = std::mem::take(&mut record.units);
     for (key, unit) in &mut units {
         let step = (record.job.id.clone(), key.time, key.step);
-        order_unit(record, key, unit, leave.get(&step), all);
+        order_unit(record, key, unit, permission.get(&step), all);
     }
     record.units = units;
 }
@@ -142,7 +142,7 @@
     record: &JobRecord,
     key: &UnitKey,
     unit: &mut Unit,
-    leave: Option<&Permission>,
+    permission: Option<&Permission>,
     all: &mut BTreeMap<AgentId, Orders>,
 ) {
     let Phase::Running(members) = &mut unit.phase else {
@@ -153,8 +153,8 @@
     };
     let stopped = unit.stop_reason.is_some();
     for member in members.iter_mut() {
-        let waits = matches!(member.state, MemberState::Ordered(_));
-        if member.state == MemberState::Ended || !stopped && !waits {
+        let not_begun = matches!(member.state, MemberState::Ordered(_));
+        if member.state == MemberState::Ended || !stopped && !not_begun {
             continue;
         }
         let life = &member.place.life;
@@ -183,7 +183,8 @@
                     spec: record.job.spec.clone(),
                     saved: Some(progress.from.clone())
                         .filter(|from| !from.is_empty()),
-                    ticket: leave.and_then(|leave| leave.ticket(life)),
+                    ticket: permission
+                        .and_then(|permission| permission.ticket(life)),
                     charge: record.job.steps[key.step].charge(),
                 });
             }
--- a/src/graph/place.rs
+++ b/src/graph/place.rs
@@ -238,8 +238,8 @@
     fn near_until(&self, request: &Request) -> Instant {
         let extra_time = request
             .expected
-            .mul_f64((self.terms.far_slowdown - 1.0).max(0.0));
-        let wait = extra_time.mul_f64(self.terms.policy.near_wait);
+            .mul_f64((self.options.far_slowdown - 1.0).max(0.0));
+        let wait = extra_time.mul_f64(self.options.policy.near_wait);
         let until = match self.is_mostly_idle(&request.pool) {
             true => request.ready + wait.min(MAX_WAIT_WHEN_IDLE),
             false => request.ready + wait,
@@ -257,18 +257,21 @@
         request: &Request,
         now: Timestamp,
     ) -> Vec<Candidate> {
-        let leave = self.requirement_of(request);
-        let sound: Vec<(&AgentId, &Worker)> = self
+        let requirement = self.requirement_of(request);
+        let usable: Vec<(&AgentId, &Worker)> = self
             .workers
             .iter()
             .filter(|(_, worker)| self.is_usable(worker, request, now))
-            .filter(|(_, worker)| leave.allows(&worker.life, now.monotonic))
+            .filter(|(_, worker)| {
+                requirement.allows(&worker.life, now.monotonic)
+            })
             .collect();
-        let wary = self.terms.policy.probation && request.last_attempt;
-        let sound = prefer_untried(request, sound, wary);
-        let sound = self.isolate_suspect(request, sound, now);
-        let spare = self.spare_workers(request, &sound, now);
-        sound
+        let avoid_failing =
+            self.options.policy.probation && request.last_attempt;
+        let usable = prefer_untried(request, usable, avoid_failing);
+        let usable = self.isolate_suspect(request, usable, now);
+        let spare = self.spare_workers(request, &usable, now);
+        usable
             .into_iter()
             .filter(|(agent, _)| !spare.contains(*agent))
             .map(|(agent, worker)| Candidate {
@@ -303,7 +306,7 @@
             && worker
                 .isolated_until
                 .is_none_or(|until| now.monotonic >= until)
-            && now.monotonic < worker.last_grant + self.terms.contact_timeout
+            && now.monotonic < worker.last_grant + self.options.contact_timeout
             && label.is_none_or(|label| worker.labels.contains(label))
             && worker.capacity.holds(&request.charge)
     }
@@ -329,25 +332,25 @@
     }
 }
 
-/// Leaves out the workers that the unit has failed on and, if `wary`, those
-/// with recent failures, provided that the others could hold the unit. A unit
-/// that has waited while most of the pool is idle may use all of them.
+/// Leaves out the workers that the unit has failed on and, if `avoid_failing`,
+/// those with recent failures, provided that the others could hold the unit. A
+/// unit that has waited while most of the pool is idle may use all of them.
 fn prefer_untried<'a>(
     request: &Request,
-    sound: Vec<(&'a AgentId, &'a Worker)>,
-    wary: bool,
+    usable: Vec<(&'a AgentId, &'a Worker)>,
+    avoid_failing: bool,
 ) -> Vec<(&'a AgentId, &'a Worker)> {
     let slots = |worker: &Worker| u64::from(request.slots(worker));
-    let tried = |agent: &AgentId, worker: &Worker| {
+    let avoided = |agent: &AgentId, worker: &Worker| {
         request.avoid.contains(agent)
-            || wary && worker.health.failure_count() > 0
+            || avoid_failing && worker.health.failure_count() > 0
     };
-    let others = sound.iter().filter(|(agent, w)| !tried(agent, w));
-    let held: u64 = others.map(|(_, worker)| slots(worker)).sum();
-    if request.may_use_reserved || held < u64::from(request.width) {
-        return sound;
+    let others = usable.iter().filter(|(agent, w)| !avoided(agent, w));
+    let slots_elsewhere: u64 = others.map(|(_, worker)| slots(worker)).sum();
+    if request.may_use_reserved || slots_elsewhere < u64::from(request.width) {
+        return usable;
     }
-    let others = sound.into_iter().filter(|(agent, w)| !tried(agent, w));
+    let others = usable.into_iter().filter(|(agent, w)| !avoided(agent, w));
     others.collect()
 }
 
--- a/src/graph/preempt.rs
+++ b/src/graph/preempt.rs
@@ -141,8 +141,8 @@
         agent: &AgentId,
     ) -> impl Iterator<Item = usize> + use<'a> {
         let here = self.by_agent.get(agent).map_or(&[][..], Vec::as_slice);
-        let going = |index: &usize| !self.stopped.contains(index);
-        here.iter().copied().filter(going)
+        let remaining = |index: &usize| !self.stopped.contains(index);
+        here.iter().copied().filter(remaining)
     }
 }
 
@@ -224,13 +224,13 @@
         now: Timestamp,
     ) -> f64 {
         let slack = self.jobs.get(id).map(|e| self.slack(e, key, now));
-        let own = cores(&request.charge) * f64::from(request.width);
-        let stake = Need {
-            core_seconds: own * request.expected.as_secs_f64(),
+        let cores_used = cores(&request.charge) * f64::from(request.width);
+        let need = Need {
+            core_seconds: cores_used * request.expected.as_secs_f64(),
             slack_ms: slack.unwrap_or_default(),
-            stop: self.terms.stop_time,
+            stop_time: self.options.stop_time,
         };
-        budget::limit(&self.terms.policy, &stake)
+        budget::limit(&self.options.policy, &need)
     }
 
     fn victims(
@@ -244,10 +244,10 @@
             // Borrowing runs hold what other accounts are guaranteed, however
             // urgent they are: unless they can be stopped, those accounts get
             // it back only when the runs end by themselves.
-            let lent = promised
+            let borrows = promised
                 && record.job.priority == request.priority
                 && !self.is_within_guarantee(record);
-            if !lent && record.job.priority <= request.priority
+            if !borrows && record.job.priority <= request.priority
                 || record.job.pool != request.pool
             {
                 continue;
@@ -267,7 +267,7 @@
                     None => {}
                 }
                 victims.push(Victim {
-                    borrows: lent,
+                    borrows: borrows,
                     ..victim(record, key, unit, now)
                 });
             }
--- a/src/graph/progress.rs
+++ b/src/graph/progress.rs
@@ -96,14 +96,13 @@
 pub struct Loss {
     /// The number of lost workers.
     pub lost: u32,
-    /// The lost workers under which the task had not yet worked for long.
+    /// The lost workers under which the task had not yet run for long.
     pub sudden: u32,
     /// The last run that was counted. Its end may be reported again, to
     /// another planner.
     pub run: Run,
     /// Further workers that were lost after they had announced that they leave
-    /// and after the task had worked for long. They may have left by
-    /// themselves.
+    /// and after the task had run for long. They may have left by themselves.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub excused: u32,
     /// Workers that are silent and may or may not be lost.
--- a/src/graph/reserve.rs
+++ b/src/graph/reserve.rs
@@ -53,7 +53,7 @@
         }
         let workers = self.candidates(request, now).len();
         let reserved = self.reserved_workers(request);
-        let most = (workers as f64 * self.terms.policy.reserved_share).ceil()
+        let most = (workers as f64 * self.options.policy.reserved_share).ceil()
             as usize;
         if reserved.len() >= most {
             return false;
@@ -76,7 +76,7 @@
         let Some(record) = self.jobs.get(id) else {
             return false;
         };
-        self.terms.policy.reserve_only_late
+        self.options.policy.reserve_only_late
             && !record.job.steps[key.step].lasting
             && self.slack(record, key, now) > 0
     }
@@ -143,11 +143,11 @@
         member: &Member,
         now: Timestamp,
     ) -> Instant {
-        let whole = self.expected_time(record, key.step);
+        let expected = self.expected_time(record, key.step);
         let ran = now.monotonic.saturating_duration_since(member.assigned_at);
         // A run that exceeds its expected time is assumed to go on for a share
         // of its age.
-        let left = whole
+        let left = expected
             .saturating_sub(ran)
             .max(ran.mul_f64(MIN_REMAINING_SHARE));
         now.monotonic + left
--- a/src/graph/schedule.rs
+++ b/src/graph/schedule.rs
@@ -96,9 +96,9 @@
             .workers
             .iter()
             .filter(|(_, worker)| {
-                let soon =
+                let leaves_soon =
                     |stays| now.monotonic + CHECKPOINT_STOP_LEAD >= stays;
-                worker.leaving && worker.leaves_at.is_some_and(soon)
+                worker.leaving && worker.leaves_at.is_some_and(leaves_soon)
             })
             .map(|(agent, worker)| Place {
                 agent: agent.clone(),
@@ -213,13 +213,13 @@
         };
         let expected = self.expected_time(record, key.step);
         let request = Request::new(record, key, unit, expected);
-        let leave = self.requirement_of(&request);
+        let requirement = self.requirement_of(&request);
         let usable = |place: &Place| {
             let worker = self.workers.get(&place.agent);
             worker.is_some_and(|worker| {
                 worker.life == place.life
                     && self.is_usable(worker, &request, now)
-                    && leave.allows(&worker.life, now.monotonic)
+                    && requirement.allows(&worker.life, now.monotonic)
             })
         };
         let fits = self.fits_capacity(unit, &request.charge);
@@ -308,14 +308,14 @@
                     && unit.not_before <= now.monotonic
             });
             let mut urgency = BTreeMap::new();
-            let mut on_trial =
+            let mut suspect_running =
                 !record.cleared && record.has_unproven_suspect();
             for (key, _) in units {
                 let suspect = !record.cleared && record.is_suspect(key);
-                if suspect && on_trial {
+                if suspect && suspect_running {
                     continue;
                 }
-                on_trial |= suspect;
+                suspect_running |= suspect;
                 let rank = *urgency
                     .entry(key.time)
                     .or_insert_with(|| self.rank(record, key, now));
@@ -376,9 +376,9 @@
         let open = |w: &&Worker| !self.closed_halls.contains(&w.hall);
         let of_pool = |w: &&Worker| w.pool == *pool;
         let workers = || self.workers.values().filter(of_pool).filter(open);
-        let whole: i64 = workers().map(|w| w.capacity.accelerators).sum();
+        let total: i64 = workers().map(|w| w.capacity.accelerators).sum();
         let empty: i64 = workers().map(|w| w.unoccupied().accelerators).sum();
-        empty * 2 > whole
+        empty * 2 > total
     }
 
     /// Assigns a unit its next run, on workers that have room for it.
@@ -516,14 +516,18 @@
             continue;
         }
         let job = record.job.clone();
-        let terms = &job.steps[step];
-        if !terms.after.iter().all(|on| record.is_step_done(time, *on)) {
+        let definition = &job.steps[step];
+        if !definition
+            .after
+            .iter()
+            .all(|on| record.is_step_done(time, *on))
+        {
             continue;
         }
         record.opened_steps.insert((time, step));
-        let indices: Vec<Option<u32>> = match terms.gang {
+        let indices: Vec<Option<u32>> = match definition.gang {
             true => vec![None],
-            false => (0..terms.replicas).map(Some).collect(),
+            false => (0..definition.replicas).map(Some).collect(),
         };
         for index in indices {
             let key = UnitKey { time, step, index };
--- a/src/graph/scheduler.rs
+++ b/src/graph/scheduler.rs
@@ -143,7 +143,7 @@
 /// the progress that has changed and sends the agents their orders.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
-    pub(super) terms: Options,
+    pub(super) options: Options,
     /// When this planner claimed the cell. No earlier planner has granted
     /// anything after it.
     pub(super) claimed_at: Instant,
@@ -184,9 +184,9 @@
 
 impl Scheduler {
     /// Returns a scheduler without workers and jobs.
-    pub fn new(terms: Options, now: Timestamp) -> Scheduler {
+    pub fn new(options: Options, now: Timestamp) -> Scheduler {
         Scheduler {
-            terms,
+            options,
             claimed_at: now.monotonic,
             workers: BTreeMap::new(),
             past_lives: BTreeMap::new(),
--- a/src/graph/settle.rs
+++ b/src/graph/settle.rs
@@ -103,11 +103,11 @@
             return;
         }
         member.state = MemberState::Ended;
-        let lost = member.clone();
+        let ended_member = member.clone();
         let place = member.place.clone();
         let since = member.assigned_at;
-        let began = !member.inherited;
-        let stopped = unit.stop_reason;
+        let assigned_here = !member.inherited;
+        let stop_reason = unit.stop_reason;
         unit.break_cause = match (unit.break_cause, end) {
             (BreakCause::NoEnds, MemberEnd::Listed(RunOutcome::Broken)) => {
                 BreakCause::Unreported
@@ -119,9 +119,9 @@
             ) => BreakCause::Unreported,
             _ => BreakCause::Identified,
         };
-        let known_bad = unit.avoided.contains(&place.agent);
+        let failed_before = unit.avoided.contains(&place.agent);
         unit.interruption = unit.interruption.max(match end {
-            MemberEnd::Listed(RunOutcome::Failed) if known_bad => {
+            MemberEnd::Listed(RunOutcome::Failed) if failed_before => {
                 Interruption::Refused
             }
             MemberEnd::Listed(RunOutcome::Failed | RunOutcome::Broken)
@@ -138,7 +138,7 @@
             MemberEnd::Listed(RunOutcome::Done) => {
                 unit.any_done = true;
                 let ran = now.monotonic.saturating_duration_since(since);
-                run_time = (from_start && began).then_some(ran);
+                run_time = (from_start && assigned_here).then_some(ran);
             }
             MemberEnd::Listed(RunOutcome::Failed) => {
                 failed = true;
@@ -159,8 +159,10 @@
             self.mark_dirty(id);
         }
         match end {
-            MemberEnd::WorkerLost => self.count_loss(id, key, &lost),
-            MemberEnd::WorkerSilent => self.defer_loss(id, key, &lost, now),
+            MemberEnd::WorkerLost => self.count_loss(id, key, &ended_member),
+            MemberEnd::WorkerSilent => {
+                self.defer_loss(id, key, &ended_member, now)
+            }
             _ => {}
         }
         if let Some(ran) = run_time {
@@ -178,7 +180,7 @@
         if end == MemberEnd::NeverBegan(Refusal::Ticket) {
             self.drop_ticket(&(job.clone(), key.time, key.step), &place.life);
         }
-        self.update_worker_health(&place, &job, key, end, stopped, now);
+        self.update_worker_health(&place, &job, key, end, stop_reason, now);
         self.advance_unit(id, key, now);
     }
 
@@ -231,10 +233,10 @@
         job: &JobId,
         key: &UnitKey,
         end: MemberEnd,
-        stopped: Option<StopReason>,
+        stop_reason: Option<StopReason>,
         now: Timestamp,
     ) {
-        let policy = self.terms.policy;
+        let policy = self.options.policy;
         let only_here =
             policy.probation && self.failed_only_on(job, &place.agent);
         let Some(worker) = self.workers.get_mut(&place.agent) else {
@@ -252,7 +254,7 @@
             MemberEnd::NeverBegan(Refusal::Unhealthy) => {
                 worker.health.record_stuck(now.monotonic)
             }
-            MemberEnd::Listed(_) if stopped == Some(StopReason::Stuck) => {
+            MemberEnd::Listed(_) if stop_reason == Some(StopReason::Stuck) => {
                 worker.health.record_stuck(now.monotonic)
             }
             _ => false,
@@ -274,14 +276,14 @@
         };
         let over = record.is_over();
         let lasting = record.job.steps[key.step].lasting;
-        let limit = record.job.max_attempts;
+        let max_attempts = record.job.max_attempts;
         let Some(unit) = record.units.get_mut(key) else {
             return;
         };
         let Phase::Running(members) = &unit.phase else {
             return;
         };
-        let left = members.iter().any(|m| m.state != MemberState::Ended);
+        let some_left = members.iter().any(|m| m.state != MemberState::Ended);
         let done = unit.any_done && !lasting;
         let Some(progress) = record.progress.units.get_mut(key) else {
             return;
@@ -294,11 +296,11 @@
             self.mark_dirty(id);
             self.succeed_if_done(id, now);
             self.end_unsent(id, key, now);
-        } else if left && !done {
+        } else if some_left && !done {
             // The other members of a gang cannot continue alone.
             self.stop_unit(id, key, StopReason::Broken, now);
         }
-        if left {
+        if some_left {
             return;
         }
         let Some(record) = self.jobs.get_mut(id) else {
@@ -327,10 +329,10 @@
             return;
         };
         progress.on.clear();
-        let failed = !lasting && progress.failed >= limit;
-        let spent = failed || record.must_not_restart(key);
+        let failed = !lasting && progress.failed >= max_attempts;
+        let must_fail = failed || record.must_not_restart(key);
         self.mark_dirty(id);
-        if spent && !over {
+        if must_fail && !over {
             self.end_job(id, Outcome::Failed, now);
         }
     }
--- a/src/graph/spare.rs
+++ b/src/graph/spare.rs
@@ -27,13 +27,13 @@
     pub(super) fn spare_workers(
         &self,
         request: &Request,
-        sound: &[(&AgentId, &Worker)],
+        usable: &[(&AgentId, &Worker)],
         now: Timestamp,
     ) -> BTreeSet<AgentId> {
-        let share = (self.terms.policy.spare_share
+        let share = (self.options.policy.spare_share
             * f64::from(request.priority))
         .min(MAX_SPARE_SHARE);
-        let most = (sound.len() as f64 * share) as usize;
+        let count = (usable.len() as f64 * share) as usize;
         let urgent = self
             .last_urgent
             .get(&request.pool)
@@ -41,21 +41,21 @@
         if request.priority == 0 || request.may_use_reserved || !urgent {
             return BTreeSet::new();
         }
-        let slots = || sound.iter().map(|(_, w)| u64::from(request.slots(w)));
+        let slots = || usable.iter().map(|(_, w)| u64::from(request.slots(w)));
         let largest = slots().max().unwrap_or(0);
-        let without =
-            slots().sum::<u64>().saturating_sub(most as u64 * largest);
-        if without < u64::from(request.width) {
+        let slots_left =
+            slots().sum::<u64>().saturating_sub(count as u64 * largest);
+        if slots_left < u64::from(request.width) {
             return BTreeSet::new();
         }
         let mut racks: BTreeMap<&SharedStr, Vec<&AgentId>> = BTreeMap::new();
-        for (agent, worker) in sound {
+        for (agent, worker) in usable {
             if worker.used == Resources::default() {
                 racks.entry(&worker.rack).or_default().push(agent);
             }
         }
         let mut racks: Vec<Vec<&AgentId>> = racks.into_values().collect();
         racks.sort_by_key(|agents| Reverse(agents.len()));
-        racks.into_iter().flatten().take(most).cloned().collect()
+        racks.into_iter().flatten().take(count).cloned().collect()
     }
 }
--- a/src/graph/unconfirmed.rs
+++ b/src/graph/unconfirmed.rs
@@ -37,7 +37,7 @@
     key: UnitKey,
     /// The index of the task that ran on the worker.
     index: u32,
-    /// How long the task showed work.
+    /// How long the task is known to have run.
     ran: Duration,
     /// When the loss is confirmed by time, or `None` once it is confirmed.
     confirm_at: Option<Instant>,
@@ -53,13 +53,13 @@
         member: &Member,
         now: Timestamp,
     ) {
-        let never =
+        let never_began =
             !member.sent || self.had_begun(id, key, member) == Some(false);
         let Some(job) = self.jobs.get(id).map(|record| record.job.id.clone())
         else {
             return;
         };
-        if never || !self.add_unconfirmed(id, key, member) {
+        if never_began || !self.add_unconfirmed(id, key, member) {
             return;
         }
         self.unconfirmed.push(UnconfirmedLoss {
@@ -67,7 +67,7 @@
             job,
             key: *key,
             index: member.index,
-            ran: member.worked_for(),
+            ran: member.ran_for(),
             confirm_at: Some(now.monotonic + CONFIRMATION_TIMEOUT),
         });
     }
@@ -100,10 +100,10 @@
     pub(super) fn resolve_unconfirmed(
         &mut self,
         agent: &AgentId,
-        said: &WorkerReport,
+        reported: &WorkerReport,
         now: Timestamp,
     ) {
-        if self.unconfirmed.is_empty() || said.silent {
+        if self.unconfirmed.is_empty() || reported.silent {
             return;
         }
         let losses = std::mem::take(&mut self.unconfirmed);
@@ -113,7 +113,7 @@
         self.unconfirmed = open;
         let resolved: Vec<UnconfirmedLoss> = resolved;
         for unconfirmed in resolved {
-            match unconfirmed.place.life == said.life {
+            match unconfirmed.place.life == reported.life {
                 true => self.retract_loss(&unconfirmed),
                 false => self.confirm_loss(&unconfirmed, now),
             }
@@ -161,7 +161,7 @@
         let subject = record.subject(&unconfirmed.key);
         let unit = record.units.get(&unconfirmed.key);
         let waits = unit.is_some_and(|u| matches!(u.phase, Phase::Waiting));
-        let spent = record.must_not_restart(&unconfirmed.key)
+        let exhausted = record.must_not_restart(&unconfirmed.key)
             && waits
             && !record.is_over();
         self.record_decision(Decision::LossCounted {
@@ -172,7 +172,7 @@
             ran: unconfirmed.ran,
             loss,
         });
-        if spent {
+        if exhausted {
             self.end_job(id, Outcome::Failed, now);
         }
     }
--- a/src/graph/unit.rs
+++ b/src/graph/unit.rs
@@ -42,8 +42,8 @@
 pub(super) struct LoggedWait {
     pub reason: WaitReason,
     /// Whether the unit was within its account's guarantee.
-    pub within: bool,
-    pub at: Instant,
+    pub within_guarantee: bool,
+    pub checked_at: Instant,
 }
 
 /// The phase of a unit.
--- a/src/graph/urgency.rs
+++ b/src/graph/urgency.rs
@@ -63,7 +63,7 @@
     ) -> Rank {
         let job = &record.job;
         let (latest, hopeless) = self.deadlines(record, key);
-        let first = !self.terms.policy.late_last || now.monotonic <= latest;
+        let first = !self.options.policy.late_last || now.monotonic <= latest;
         let class = match job.priority {
             // Ranked by latest start alone, such a unit would wait behind
             // borrowing units in a greater hurry, beyond the time within which
@@ -154,8 +154,8 @@
         let Some(unit) = record.units.get(key) else {
             return;
         };
-        if unit.logged_wait.is_some_and(|decision| {
-            now.monotonic < decision.at + WAIT_CHECK_INTERVAL
+        if unit.logged_wait.is_some_and(|logged| {
+            now.monotonic < logged.checked_at + WAIT_CHECK_INTERVAL
         }) {
             return;
         }
@@ -170,10 +170,10 @@
         };
         let standing = self.standing(record, key, now);
         let within = standing.is_some_and(|standing| standing.within);
-        let decision = unit
+        let logged = unit
             .logged_wait
-            .filter(|decision| decision.within == within);
-        let news = decision.is_none_or(|decision| decision.reason != reason);
+            .filter(|logged| logged.within_guarantee == within);
+        let news = logged.is_none_or(|logged| logged.reason != reason);
         let lacks = news && reason != WaitReason::Worker;
         let decision = Decision::Waiting {
             subject: record.subject(key),
@@ -189,8 +189,8 @@
         if let Some(unit) = unit {
             unit.logged_wait = Some(LoggedWait {
                 reason,
-                within,
-                at: now.monotonic,
+                within_guarantee: within,
+                checked_at: now.monotonic,
             });
         }
         if news {
--- a/tests/it/stops.rs
+++ b/tests/it/stops.rs
@@ -63,7 +63,7 @@
     let stake = |work, slack_ms| Need {
         core_seconds: work,
         slack_ms,
-        stop: Duration::from_millis(900),
+        stop_time: Duration::from_millis(900),
     };
     let limit =
         |work, slack_ms| budget::limit(&policy, &stake(work, slack_ms));
