--- a/src/graph/budget.rs
+++ b/src/graph/budget.rs
@@ -17,7 +17,7 @@
 
 use crate::graph::Policy;
 
-/// The benefit of starting an urgent unit now.
+/// The figures of an urgent unit that determine its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Need {
     /// The unit's own work, in core-seconds.
--- a/src/graph/crash.rs
+++ b/src/graph/crash.rs
@@ -305,7 +305,7 @@
         let enough = u64::from(request.width) <= slots;
         // Urgent units do not wait: room is made for them by preemption.
         let waits = request.priority > 0
-            && now.monotonic < request.ready + EMPTY_WORKER_WAIT;
+            && now.monotonic < request.ready_since + EMPTY_WORKER_WAIT;
         match enough || waits {
             true => usable.into_iter().filter(|(_, w)| empty(w)).collect(),
             false => usable,
--- a/src/graph/guarantee.rs
+++ b/src/graph/guarantee.rs
@@ -80,11 +80,11 @@
     pub(super) fn assign_guarantees(&mut self, now: Timestamp) {
         let mut urgent: Vec<&JobRecord> = self.urgent_jobs().collect();
         urgent.sort_by_key(|record| (record.accepted_at, &record.job.id));
-        let mut promised: BTreeMap<&SharedStr, i64> = BTreeMap::new();
+        let mut allotted: BTreeMap<&SharedStr, i64> = BTreeMap::new();
         let mut within = BTreeSet::new();
         for record in urgent {
             let account = &record.job.account;
-            let taken = promised.entry(account).or_default();
+            let taken = allotted.entry(account).or_default();
             let needed = accelerators(&record.job);
             if *taken + needed <= self.guaranteed(account) {
                 *taken += needed;
@@ -168,11 +168,11 @@
     /// Returns whether any resources of a pool are reserved for units within
     /// guarantees.
     pub(super) fn reserves_for_guarantees(&self, pool: &SharedStr) -> bool {
-        let promised = self
+        let guaranteed = self
             .within_guarantee
             .iter()
             .filter_map(|id| self.jobs.get(id));
-        let mut here = promised.filter(|record| record.job.pool == *pool);
+        let mut here = guaranteed.filter(|record| record.job.pool == *pool);
         here.any(|record| {
             let mut units = record.units.values();
             units.any(|unit| matches!(unit.phase, Phase::Reserved(_)))
@@ -194,7 +194,7 @@
     }
 
     /// Returns the state of the account's guarantee, if the unit is urgent.
-    pub(super) fn standing(
+    pub(super) fn guarantee_status(
         &self,
         record: &JobRecord,
         key: &UnitKey,
@@ -204,9 +204,14 @@
             return None;
         }
         let account = &record.job.account;
-        let owed = self.must_begin_by(record, key);
-        let left = owed.saturating_duration_since(now.monotonic).as_millis();
-        let past = now.monotonic.saturating_duration_since(owed).as_millis();
+        let begin_by = self.must_begin_by(record, key);
+        let left = begin_by
+            .saturating_duration_since(now.monotonic)
+            .as_millis();
+        let past = now
+            .monotonic
+            .saturating_duration_since(begin_by)
+            .as_millis();
         Some(GuaranteeStatus {
             guaranteed: self.guaranteed(account),
             needed: self.demand().get(account).copied().unwrap_or(0),
--- a/src/graph/orders.rs
+++ b/src/graph/orders.rs
@@ -89,7 +89,7 @@
         }
         for id in &self.open_jobs {
             if let Some(record) = self.jobs.get_mut(id) {
-                order(record, &self.permissions, &mut all);
+                add_orders(record, &self.permissions, &mut all);
             }
         }
         all
@@ -125,20 +125,20 @@
     }
 }
 
-fn order(
+fn add_orders(
     record: &mut JobRecord,
-    permission: &BTreeMap<StepKey, Permission>,
+    permissions: &BTreeMap<StepKey, Permission>,
     all: &mut BTreeMap<AgentId, Orders>,
 ) {
     let mut units = std::mem::take(&mut record.units);
     for (key, unit) in &mut units {
         let step = (record.job.id.clone(), key.time, key.step);
-        order_unit(record, key, unit, permission.get(&step), all);
+        add_unit_orders(record, key, unit, permissions.get(&step), all);
     }
     record.units = units;
 }
 
-fn order_unit(
+fn add_unit_orders(
     record: &JobRecord,
     key: &UnitKey,
     unit: &mut Unit,
--- a/src/graph/place.rs
+++ b/src/graph/place.rs
@@ -33,7 +33,7 @@
     pub same_rack: bool,
     pub per_worker: Option<u32>,
     pub avoid: Vec<AgentId>,
-    pub ready: Instant,
+    pub ready_since: Instant,
     /// Whether the unit may use resources that are reserved for others but
     /// unoccupied.
     pub may_use_reserved: bool,
@@ -65,7 +65,7 @@
             same_rack: step.gang && step.same_rack,
             per_worker: step.per_worker,
             avoid: unit.avoided.clone(),
-            ready: unit.ready_since,
+            ready_since: unit.ready_since,
             may_use_reserved: false,
             expected,
             last_attempt: record.is_last_attempt(key),
@@ -135,8 +135,7 @@
         if slots.map(u64::from).sum::<u64>() < u64::from(request.width) {
             return None;
         }
-        let choices =
-            self.by_rack_choice(request, &candidates, now).into_iter();
+        let choices = self.sets_by_rack(request, &candidates, now).into_iter();
         choices.filter_map(|chosen| pack(request, chosen)).next()
     }
 
@@ -147,11 +146,11 @@
         now: Timestamp,
     ) -> Vec<Vec<Candidate>> {
         let candidates = self.candidates(request, now);
-        self.by_rack_choice(request, &candidates, now)
+        self.sets_by_rack(request, &candidates, now)
     }
 
     /// Returns the sets of candidates to try, the best set first.
-    fn by_rack_choice(
+    fn sets_by_rack(
         &self,
         request: &Request,
         candidates: &[Candidate],
@@ -241,8 +240,8 @@
             .mul_f64((self.options.far_slowdown - 1.0).max(0.0));
         let wait = extra_time.mul_f64(self.options.policy.near_wait);
         let until = match self.is_mostly_idle(&request.pool) {
-            true => request.ready + wait.min(MAX_WAIT_WHEN_IDLE),
-            false => request.ready + wait,
+            true => request.ready_since + wait.min(MAX_WAIT_WHEN_IDLE),
+            false => request.ready_since + wait,
         };
         match self.latest_decision(request) {
             // Later there would be no time left to stop runs elsewhere.
--- a/src/graph/preempt.rs
+++ b/src/graph/preempt.rs
@@ -171,11 +171,11 @@
             return false;
         }
         let record = self.jobs.get(id);
-        let promised =
+        let guaranteed =
             record.is_some_and(|record| self.is_within_guarantee(record));
-        let scope = (request.pool.clone(), promised);
+        let scope = (request.pool.clone(), guaranteed);
         if victims.scope.as_ref() != Some(&scope) {
-            let all = self.victims(request, promised, now);
+            let all = self.victims(request, guaranteed, now);
             *victims = Victims::new(scope, all);
         }
         let mut best: Option<Eviction> = None;
@@ -191,7 +191,7 @@
             .iter()
             .map(|index| victims.all[*index].cost);
         let cost: f64 = costs.sum();
-        if !promised && cost > self.max_loss(id, key, request, now) {
+        if !guaranteed && cost > self.max_loss(id, key, request, now) {
             victims.rejected_cost = Some(cost);
             return false;
         }
@@ -223,7 +223,7 @@
         request: &Request,
         now: Timestamp,
     ) -> f64 {
-        let slack = self.jobs.get(id).map(|e| self.slack(e, key, now));
+        let slack = self.jobs.get(id).map(|e| self.slack_ms(e, key, now));
         let cores_used = cores(&request.charge) * f64::from(request.width);
         let need = Need {
             core_seconds: cores_used * request.expected.as_secs_f64(),
@@ -236,7 +236,7 @@
     fn victims(
         &self,
         request: &Request,
-        promised: bool,
+        guaranteed: bool,
         now: Timestamp,
     ) -> Vec<Victim> {
         let mut victims = Vec::new();
@@ -244,7 +244,7 @@
             // Borrowing runs hold what other accounts are guaranteed, however
             // urgent they are: unless they can be stopped, those accounts get
             // it back only when the runs end by themselves.
-            let borrows = promised
+            let borrows = guaranteed
                 && record.job.priority == request.priority
                 && !self.is_within_guarantee(record);
             if !borrows && record.job.priority <= request.priority
@@ -267,7 +267,7 @@
                     None => {}
                 }
                 victims.push(Victim {
-                    borrows: borrows,
+                    borrows,
                     ..victim(record, key, unit, now)
                 });
             }
--- a/src/graph/reserve.rs
+++ b/src/graph/reserve.rs
@@ -46,7 +46,7 @@
         request: &Request,
         now: Timestamp,
     ) -> bool {
-        if now.monotonic < request.ready + RESERVE_AFTER
+        if now.monotonic < request.ready_since + RESERVE_AFTER
             || self.has_time(id, key, now)
         {
             return false;
@@ -78,7 +78,7 @@
         };
         self.options.policy.reserve_only_late
             && !record.job.steps[key.step].lasting
-            && self.slack(record, key, now) > 0
+            && self.slack_ms(record, key, now) > 0
     }
 
     /// Returns the places in the pool that hold reservations.
--- a/src/graph/schedule.rs
+++ b/src/graph/schedule.rs
@@ -36,7 +36,7 @@
 const MAX_OPEN_TIMES: u32 = 64;
 
 /// A waiting unit with its rank.
-struct Waiting {
+struct WaitingUnit {
     id: JobId,
     key: UnitKey,
     rank: Rank,
@@ -85,7 +85,7 @@
                 if record.job.due(time) > now.wall {
                     break;
                 }
-                open_time(record, time, now.monotonic);
+                open_repetition(record, time, now.monotonic);
             }
         }
     }
@@ -294,7 +294,7 @@
         })
     }
 
-    fn waiting_units(&self, now: Timestamp) -> Vec<Waiting> {
+    fn waiting_units(&self, now: Timestamp) -> Vec<WaitingUnit> {
         let mut waiting = Vec::new();
         for id in &self.open_jobs {
             let Some(record) = self.jobs.get(id) else {
@@ -319,7 +319,7 @@
                 let rank = *urgency
                     .entry(key.time)
                     .or_insert_with(|| self.rank(record, key, now));
-                waiting.push(Waiting {
+                waiting.push(WaitingUnit {
                     id: id.clone(),
                     key: *key,
                     rank,
@@ -336,7 +336,7 @@
     /// succeeded.
     fn place_or_reserve(
         &mut self,
-        waiting: &Waiting,
+        waiting: &WaitingUnit,
         victims: &mut Victims,
         now: Timestamp,
     ) -> bool {
@@ -403,7 +403,7 @@
             return;
         };
         let reserved = matches!(unit.phase, Phase::Reserved(_));
-        debug_assert!(!reserved, "its phase was taken");
+        debug_assert!(!reserved, "the reservation must be released first");
         let members =
             members(key, &places, MemberState::Ordered(version), now);
         unit.phase = Phase::Running(members);
@@ -424,9 +424,9 @@
             run,
             lives: lives(&places),
             waited: now.monotonic.saturating_duration_since(ready),
-            slack_ms: self.slack(record, key, now),
+            slack_ms: self.slack_ms(record, key, now),
             expected: self.expected_time(record, key.step),
-            standing: self.standing(record, key, now),
+            standing: self.guarantee_status(record, key, now),
         };
         self.record_decision(placed);
     }
@@ -505,7 +505,7 @@
 }
 
 /// Opens the steps of one repetition whose dependencies are done.
-fn open_time(record: &mut JobRecord, time: u32, now: Instant) {
+fn open_repetition(record: &mut JobRecord, time: u32, now: Instant) {
     if record.opened_steps.len() as u32
         > MAX_OPEN_TIMES * record.job.steps.len() as u32
     {
--- a/src/graph/shortage.rs
+++ b/src/graph/shortage.rs
@@ -103,7 +103,7 @@
             needed,
             free,
             fits,
-            preemption_cost: preemption_cost,
+            preemption_cost,
             usage: self.pool_usage(&request.pool),
         }
     }
--- a/src/graph/urgency.rs
+++ b/src/graph/urgency.rs
@@ -126,7 +126,7 @@
 
     /// Returns the time left until a unit's latest start, in ms; below 0 once
     /// that is past.
-    pub(super) fn slack(
+    pub(super) fn slack_ms(
         &self,
         record: &JobRecord,
         key: &UnitKey,
@@ -168,7 +168,7 @@
             false if pack(&request, candidates).is_some() => WaitReason::Rack,
             false => WaitReason::Room,
         };
-        let standing = self.standing(record, key, now);
+        let standing = self.guarantee_status(record, key, now);
         let within = standing.is_some_and(|standing| standing.within);
         let logged = unit
             .logged_wait
@@ -178,7 +178,7 @@
         let decision = Decision::Waiting {
             subject: record.subject(key),
             reason,
-            slack_ms: self.slack(record, key, now),
+            slack_ms: self.slack_ms(record, key, now),
             workers,
             standing,
             shortage: lacks
