--- a/src/cell/teller.rs
+++ b/src/cell/teller.rs
@@ -106,7 +106,7 @@
         Decision::Placed {
             waited,
             run,
-            standing,
+            guarantee: standing,
             ..
         } => {
             metrics.wait.record(waited.as_secs_f64(), &[]);
@@ -121,7 +121,7 @@
             "placed"
         }
         Decision::Stopped { .. } => "stopped",
-        Decision::Ended { how, ran, .. } => {
+        Decision::Ended { end: how, ran, .. } => {
             metrics.run.record(ran.as_secs_f64(), &[label("how", how)]);
             "run ended"
         }
@@ -185,7 +185,7 @@
             reason: what,
             slack_ms: slack,
             workers,
-            standing,
+            guarantee: standing,
             shortage,
         } => slog::info!(log,
             "planner: a unit waits"; of, "on" => word(*what),
@@ -216,7 +216,7 @@
             waited,
             slack_ms: slack,
             expected,
-            standing,
+            guarantee: standing,
         } => slog::info!(log,
             "planner: a unit is placed"; of, "run" => run,
             "workers" => names(on), "waited_ms" => millis(waited),
@@ -225,7 +225,7 @@
         Decision::Stopped {
             subject: of,
             run,
-            why,
+            reason: why,
         } => slog::info!(log,
             "planner: a run is stopped"; of, "run" => run, "why" => why,
             "token" => token),
@@ -234,7 +234,7 @@
             run,
             member,
             life,
-            how,
+            end: how,
             ran,
         } => slog::info!(log,
             "planner: a run has ended"; of, "run" => run, "member" => member,
--- a/src/graph/decision.rs
+++ b/src/graph/decision.rs
@@ -88,7 +88,7 @@
         /// The number of workers that the unit may use.
         workers: usize,
         /// The state of the account's guarantee, if the unit is urgent.
-        standing: Option<GuaranteeStatus>,
+        guarantee: Option<GuaranteeStatus>,
         /// What the unit lacks, if there are workers that it may use.
         shortage: Option<Shortage>,
     },
@@ -119,7 +119,7 @@
         /// The expected run time.
         expected: Duration,
         /// The state of the account's guarantee, if the unit is urgent.
-        standing: Option<GuaranteeStatus>,
+        guarantee: Option<GuaranteeStatus>,
     },
     /// A run is stopped.
     Stopped {
@@ -128,7 +128,7 @@
         /// The number of the run.
         run: Run,
         /// The reason, as the log names it.
-        why: &'static str,
+        reason: &'static str,
     },
     /// A member's run has ended, or never began.
     Ended {
@@ -141,7 +141,7 @@
         /// The member's worker.
         life: Life,
         /// The kind of end, as the log names it.
-        how: &'static str,
+        end: &'static str,
         /// The time since the run was assigned.
         ran: Duration,
     },
--- a/src/graph/life.rs
+++ b/src/graph/life.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Separates a worker's name from its birth. Names cannot contain this
+/// Separates a worker's name from its birth. Names do not contain this
 /// character.
 const SEPARATOR: char = ' ';
 
@@ -28,8 +28,8 @@
 
 impl Life {
     /// Returns the life of a worker that reports its birth.
-    pub fn new(name: &str, born: Birth) -> Life {
-        Life(format!("{name}{SEPARATOR}{born}").into())
+    pub fn new(name: &str, birth: Birth) -> Life {
+        Life(format!("{name}{SEPARATOR}{birth}").into())
     }
 
     /// Returns the worker's name.
@@ -54,23 +54,23 @@
     /// Returns whether both values may identify the same life. Records written
     /// before workers reported births hold the name alone.
     pub fn may_equal(&self, other: &Life) -> bool {
-        let known = self.birth().is_some() && other.birth().is_some();
-        self == other || !known && self.name() == other.name()
+        let both_known = self.birth().is_some() && other.birth().is_some();
+        self == other || !both_known && self.name() == other.name()
     }
 
     /// Returns whether a worker of this name that reports the given birth is
     /// in another life. The births are not compared by age, because the wall
     /// clock may have been set back in between.
-    pub fn is_other_life(&self, answers: Option<Birth>) -> bool {
-        let births = self.birth().zip(answers);
+    pub fn is_other_life(&self, reported: Option<Birth>) -> bool {
+        let births = self.birth().zip(reported);
         births.is_some_and(|(ours, theirs)| ours != theirs)
     }
 
     fn parts(&self) -> (&str, Option<Birth>) {
         let parts = self.0.rsplit_once(SEPARATOR);
-        let born = parts.map(|(name, born)| (name, born.parse().ok()));
-        match born {
-            Some((name, Some(born))) => (name, Some(born)),
+        let parsed = parts.map(|(name, birth)| (name, birth.parse().ok()));
+        match parsed {
+            Some((name, Some(birth))) => (name, Some(birth)),
             _ => (&self.0, None),
         }
     }
--- a/src/graph/schedule.rs
+++ b/src/graph/schedule.rs
@@ -426,7 +426,7 @@
             waited: now.monotonic.saturating_duration_since(ready),
             slack_ms: self.slack_ms(record, key, now),
             expected: self.expected_time(record, key.step),
-            standing: self.guarantee_status(record, key, now),
+            guarantee: self.guarantee_status(record, key, now),
         };
         self.record_decision(placed);
     }
--- a/src/graph/settle.rs
+++ b/src/graph/settle.rs
@@ -173,7 +173,7 @@
             run,
             member: position,
             life: place.life.clone(),
-            how: end.word(),
+            end: end.word(),
             ran: now.monotonic.saturating_duration_since(since),
         });
         self.release(&place, &charge);
@@ -413,7 +413,7 @@
                 self.record_decision(Decision::Stopped {
                     subject,
                     run,
-                    why: why.word(),
+                    reason: why.word(),
                 });
                 self.end_unsent(id, key, now);
             }
--- a/src/graph/urgency.rs
+++ b/src/graph/urgency.rs
@@ -168,8 +168,8 @@
             false if pack(&request, candidates).is_some() => WaitReason::Rack,
             false => WaitReason::Room,
         };
-        let standing = self.guarantee_status(record, key, now);
-        let within = standing.is_some_and(|standing| standing.within);
+        let guarantee = self.guarantee_status(record, key, now);
+        let within = guarantee.is_some_and(|guarantee| guarantee.within);
         let logged = unit
             .logged_wait
             .filter(|logged| logged.within_guarantee == within);
@@ -180,7 +180,7 @@
             reason,
             slack_ms: self.slack_ms(record, key, now),
             workers,
-            standing,
+            guarantee,
             shortage: lacks
                 .then(|| self.shortage(&request, preemption_cost, now)),
         };
