--- a/src/graph/crash.rs
+++ b/src/graph/crash.rs
@@ -245,15 +245,15 @@
         key: &UnitKey,
         member: &Member,
     ) -> Option<bool> {
-        let before = self.past_lives.get(&member.place.agent)?;
-        if before.life != member.place.life {
+        let past = self.past_lives.get(&member.place.agent)?;
+        if past.life != member.place.life {
             return None;
         }
         let record = self.jobs.get(id)?;
         let task = record.task(key, member);
         let run = record.progress.units.get(key)?.run;
-        let listed = before.begun.contains(&(task, run));
-        (listed || !before.unseen).then_some(listed)
+        let listed = past.begun.contains(&(task, run));
+        (listed || !past.unseen).then_some(listed)
     }
 
     /// Marks a job as cleared once one of its suspects is proven, so that the
--- a/src/graph/history.rs
+++ b/src/graph/history.rs
@@ -86,7 +86,7 @@
 impl History {
     /// Records the time of a finished run that did not resume from a
     /// checkpoint.
-    pub fn learn(&mut self, job: &Job, step: usize, ran: Duration) {
+    pub fn record(&mut self, job: &Job, step: usize, ran: Duration) {
         let runs = self.runs.entry(job.queue.clone()).or_default();
         let known = runs
             .iter_mut()
@@ -115,7 +115,7 @@
     }
 
     /// Returns the expected run time of a task.
-    fn expect(
+    fn estimate(
         &self,
         queue: &SharedStr,
         declared: Duration,
@@ -124,8 +124,8 @@
         let expected = match (prediction, self.fits.get(queue)) {
             (Prediction::Queue, Some(fit)) => fit.median,
             (Prediction::Fitted, Some(fit)) => {
-                let off = logarithm(declared) - fit.declared;
-                exponential(fit.ran + fit.slope * off)
+                let deviation = logarithm(declared) - fit.declared;
+                exponential(fit.ran + fit.slope * deviation)
             }
             _ => declared,
         };
@@ -134,22 +134,23 @@
 }
 
 impl QueueFit {
-    fn of(runs: &VecDeque<Sample>) -> QueueFit {
-        let count = runs.len() as f64;
-        let mean =
-            |of: fn(&Sample) -> f64| runs.iter().map(of).sum::<f64>() / count;
+    fn of(samples: &VecDeque<Sample>) -> QueueFit {
+        let count = samples.len() as f64;
+        let mean = |value: fn(&Sample) -> f64| {
+            samples.iter().map(value).sum::<f64>() / count
+        };
         let declared = mean(|run| logarithm(run.declared));
         let ran = mean(|run| run.ran.mean());
-        let (mut both, mut square) = (0.0, 0.0);
-        for run in runs {
-            let off = logarithm(run.declared) - declared;
-            both += off * (run.ran.mean() - ran);
-            square += off * off;
+        let (mut products, mut squares) = (0.0, 0.0);
+        for run in samples {
+            let deviation = logarithm(run.declared) - declared;
+            products += deviation * (run.ran.mean() - ran);
+            squares += deviation * deviation;
         }
         // The prior makes the slope 1 until the runs show otherwise.
-        let slope = (both + DECLARED_WEIGHT) / (square + DECLARED_WEIGHT);
+        let slope = (products + DECLARED_WEIGHT) / (squares + DECLARED_WEIGHT);
         QueueFit {
-            median: median(runs),
+            median: median(samples),
             declared,
             ran,
             slope: slope.clamp(0.0, 1.0),
@@ -167,11 +168,11 @@
         let prediction = self.options.policy.prediction;
         let declared = record.job.steps[step].estimate;
         let queue = &record.job.queue;
-        let expected = self.history.expect(queue, declared, prediction);
+        let expected = self.history.estimate(queue, declared, prediction);
         match record.run_times.get(&step) {
             Some(runs) if prediction == Prediction::Fitted => {
-                let before = PRIOR_WEIGHT * logarithm(expected);
-                exponential((before + runs.sum) / (PRIOR_WEIGHT + runs.count))
+                let prior = PRIOR_WEIGHT * logarithm(expected);
+                exponential((prior + runs.sum) / (PRIOR_WEIGHT + runs.count))
             }
             _ => expected,
         }
@@ -187,8 +188,8 @@
     Duration::from_secs_f64(logarithm.exp().min(longest))
 }
 
-fn median(runs: &VecDeque<Sample>) -> Duration {
-    let runs = runs.iter().map(|run| exponential(run.ran.mean()));
+fn median(samples: &VecDeque<Sample>) -> Duration {
+    let runs = samples.iter().map(|run| exponential(run.ran.mean()));
     let mut runs: Vec<Duration> = runs.collect();
     runs.sort();
     runs.get(runs.len() / 2).copied().unwrap_or_default()
--- a/src/graph/intake.rs
+++ b/src/graph/intake.rs
@@ -120,14 +120,13 @@
             false => (None, report.gone),
         };
         let mut over = Vec::from_iter(gone);
-        if let Some(before) = report.before {
-            let life = before.life.clone();
+        if let Some(past) = report.before {
+            let life = past.life.clone();
             // The ends come first: members that have ended are not lost with
             // the life.
-            self.apply_past_ends(&agent, &before, now);
-            let previous =
-                self.past_lives.insert(agent.clone(), before.clone());
-            if before.over && previous.as_ref() != Some(&before) {
+            self.apply_past_ends(&agent, &past, now);
+            let previous = self.past_lives.insert(agent.clone(), past.clone());
+            if past.over && previous.as_ref() != Some(&past) {
                 over.push(life);
             }
         }
@@ -376,14 +375,14 @@
     fn apply_past_ends(
         &mut self,
         agent: &AgentId,
-        before: &PastLife,
+        past: &PastLife,
         now: Timestamp,
     ) {
         let place = Place {
             agent: agent.clone(),
-            life: before.life.clone(),
+            life: past.life.clone(),
         };
-        for ended in &before.ended {
+        for ended in &past.ended {
             self.apply_listed_end(&place, ended, now);
         }
     }
--- a/src/graph/reserve.rs
+++ b/src/graph/reserve.rs
@@ -47,7 +47,7 @@
         now: Timestamp,
     ) -> bool {
         if now.monotonic < request.ready_since + RESERVE_AFTER
-            || self.has_time(id, key, now)
+            || self.can_wait(id, key, now)
         {
             return false;
         }
@@ -72,7 +72,7 @@
 
     /// Returns whether a unit can wait and still be in time. Long-running
     /// units never can.
-    fn has_time(&self, id: &JobId, key: &UnitKey, now: Timestamp) -> bool {
+    fn can_wait(&self, id: &JobId, key: &UnitKey, now: Timestamp) -> bool {
         let Some(record) = self.jobs.get(id) else {
             return false;
         };
@@ -123,7 +123,8 @@
                 .iter_mut()
                 .filter(|(candidate, _)| candidate.quota > 0)
                 .filter_map(|worker| {
-                    let time = fits_at(request, &worker.0, &worker.1, now)?;
+                    let time =
+                        earliest_room(request, &worker.0, &worker.1, now)?;
                     Some((time, worker))
                 })
                 .min_by_key(|(time, _)| *time)?;
@@ -179,7 +180,7 @@
 }
 
 /// Returns when a worker is expected to have room for one more member.
-fn fits_at(
+fn earliest_room(
     request: &Request,
     candidate: &Candidate,
     ends: &[ExpectedEnd],
--- a/src/graph/resize.rs
+++ b/src/graph/resize.rs
@@ -33,8 +33,8 @@
         };
         worker.capacity = to;
         // Reservations of units that have not begun are checked separately.
-        let taken = worker.used.minus(&worker.reserved);
-        if !to.holds(&taken) {
+        let occupied = worker.used.minus(&worker.reserved);
+        if !to.holds(&occupied) {
             self.withdrawals.insert(agent.clone(), StopReason::Shrunk);
         }
         self.record_decision(resized);
@@ -43,9 +43,9 @@
     /// Withdraws the starts that have not begun on workers that must begin
     /// nothing more.
     pub(super) fn withdraw_orders(&mut self, now: Timestamp) {
-        for (agent, why) in std::mem::take(&mut self.withdrawals) {
+        for (agent, reason) in std::mem::take(&mut self.withdrawals) {
             for (id, key) in self.units_ordered_on(&agent) {
-                self.stop_unit(&id, &key, why, now);
+                self.stop_unit(&id, &key, reason, now);
             }
         }
     }
--- a/src/graph/settle.rs
+++ b/src/graph/settle.rs
@@ -213,7 +213,7 @@
             return;
         }
         let job = record.job.clone();
-        self.history.learn(&job, key.step, ran);
+        self.history.record(&job, key.step, ran);
         if let Some(record) = self.jobs.get_mut(id) {
             record.run_times.entry(key.step).or_default().push(ran);
         }
@@ -386,7 +386,7 @@
         &mut self,
         id: &str,
         key: &UnitKey,
-        why: StopReason,
+        reason: StopReason,
         now: Timestamp,
     ) {
         let Some(record) = self.jobs.get_mut(id) else {
@@ -406,14 +406,14 @@
                 self.release_reservation(id, key);
             }
             Phase::Running(_) if unit.stop_reason.is_none() => {
-                unit.stop_reason = Some(why);
+                unit.stop_reason = Some(reason);
                 let agents: Vec<AgentId> =
                     unit.members().map(|m| m.place.agent.clone()).collect();
                 self.agents_to_order.extend(agents);
                 self.record_decision(Decision::Stopped {
                     subject,
                     run,
-                    reason: why.word(),
+                    reason: reason.word(),
                 });
                 self.end_unsent(id, key, now);
             }
@@ -423,8 +423,8 @@
 
     /// Ends the members whose start was never sent to an agent.
     fn end_unsent(&mut self, id: &str, key: &UnitKey, now: Timestamp) {
-        let unhanded = |book: &Scheduler| {
-            let unit = book.jobs.get(id)?.units.get(key)?;
+        let unsent = |scheduler: &Scheduler| {
+            let unit = scheduler.jobs.get(id)?.units.get(key)?;
             let Phase::Running(members) = &unit.phase else {
                 return None;
             };
@@ -432,7 +432,7 @@
                 !m.sent && matches!(m.state, MemberState::Ordered(_))
             })
         };
-        while let Some(position) = unhanded(self) {
+        while let Some(position) = unsent(self) {
             let end = MemberEnd::NeverBegan(Refusal::Barred);
             self.end_member(id, key, position, end, now);
         }
--- a/src/graph/shortage.rs
+++ b/src/graph/shortage.rs
@@ -85,7 +85,7 @@
         let fits = candidates.iter().map(|c| c.slots(&request.charge));
         let fits = fits.fold(0, u32::saturating_add);
         let width = request.width;
-        let lack = if free < needed {
+        let kind = if free < needed {
             ShortageKind::Accelerators
         } else if slots(Worker::unoccupied, &accelerators) < width {
             ShortageKind::Fragmented
@@ -99,7 +99,7 @@
             ShortageKind::Rack
         };
         Shortage {
-            kind: lack,
+            kind,
             needed,
             free,
             fits,
--- a/src/graph/unit.rs
+++ b/src/graph/unit.rs
@@ -111,8 +111,8 @@
 pub(super) enum Interruption {
     /// The run was stopped.
     Stopped,
-    /// A member failed on a worker where the unit had not failed before, or
-    /// its worker was lost.
+    /// A member failed on a worker where the unit had not failed before, or a
+    /// worker was lost.
     Lost,
     /// A worker refused a member, or the member failed again on a worker where
     /// the unit had failed before.
