--- a/src/graph/inquiry.rs
+++ b/src/graph/inquiry.rs
@@ -1,4 +1,4 @@
-//! Queries for the ends that silent agents have stored.
+//! Queries for the ends that silent agents have saved.
 //!
 //! An agent that cannot reach the planner writes the ends that its worker
 //! lists to the store. The planner reads them before it considers the worker
@@ -21,13 +21,13 @@
     Pending,
     /// The query has been sent.
     Sent,
-    /// Everything that the agent stored before this time is known.
+    /// Everything that the agent saved before this time is known.
     Answered(Instant),
 }
 
 impl Scheduler {
     /// Returns the agents whose members are about to be considered lost, each
-    /// once. The caller reads what these agents have stored and passes it to
+    /// once. The caller reads what these agents have saved and passes it to
     /// [`Scheduler::apply_inquiry`].
     pub fn take_inquiries(&mut self) -> Vec<AgentId> {
         let open = self
@@ -41,19 +41,19 @@
         .collect()
     }
 
-    /// Applies the report that an agent has stored, as read by a call that was
-    /// sent at `sent`, or `None` if the agent has stored nothing.
+    /// Applies the report that an agent has saved, as read by a call that was
+    /// sent at `sent`, or `None` if the agent has saved nothing.
     pub fn apply_inquiry(
         &mut self,
         agent: &AgentId,
-        stored: Option<Report>,
+        saved: Option<Report>,
         sent: Instant,
         now: Timestamp,
     ) {
         self.changed = true;
         self.inquiries
             .insert(agent.clone(), Inquiry::Answered(sent));
-        let Some(worker) = stored.and_then(|report| report.worker) else {
+        let Some(worker) = saved.and_then(|report| report.worker) else {
             return;
         };
         self.move_births(agent, &worker.life, &worker.lists);
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns whether everything that an agent stored until `since` is known;
+    /// Returns whether everything that an agent saved until `since` is known;
     /// if not, a query is made pending.
     pub(super) fn is_inquiry_answered(
         &mut self,
