--- a/benches/pass.rs
+++ b/benches/pass.rs
@@ -16,17 +16,17 @@
 use criterion::criterion_main;
 use criterion::BenchmarkId;
 use criterion::Criterion;
-use landingvalve::graph::Book;
 use landingvalve::graph::Ended;
-use landingvalve::graph::How;
 use landingvalve::graph::Job;
 use landingvalve::graph::Lists;
-use landingvalve::graph::Moment;
+use landingvalve::graph::Options;
 use landingvalve::graph::Report;
 use landingvalve::graph::Resources;
+use landingvalve::graph::RunOutcome;
 use landingvalve::graph::Running;
+use landingvalve::graph::Scheduler;
 use landingvalve::graph::Step;
-use landingvalve::graph::Terms;
+use landingvalve::graph::Timestamp;
 use landingvalve::graph::WorkerReport;
 
 /// Workers, and units that wait.
@@ -44,8 +44,8 @@
 const TASKS: u32 = 40;
 
 struct Cell {
-    book: Book,
-    now: Moment,
+    book: Scheduler,
+    now: Timestamp,
     jobs: usize,
     sequence: u64,
     running: Vec<Vec<Running>>,
@@ -79,12 +79,12 @@
 
 impl Cell {
     fn new(workers: usize, waiting: usize) -> Cell {
-        let now = Moment {
-            now: Instant::now(),
+        let now = Timestamp {
+            monotonic: Instant::now(),
             wall: SystemTime::now(),
         };
         let mut cell = Cell {
-            book: Book::new(Terms::default(), now),
+            book: Scheduler::new(Options::default(), now),
             now,
             jobs: 0,
             sequence: 0,
@@ -131,7 +131,7 @@
             repeat: None,
             advice: None,
         };
-        self.book.accept(job, None, self.now);
+        self.book.accept_job(job, None, self.now);
     }
 
     fn report(&mut self, at: usize, ended: Option<Running>) {
@@ -142,7 +142,7 @@
                 number: self.ended[at],
                 task: running.task,
                 run: running.run,
-                how: How::Done,
+                how: RunOutcome::Done,
                 saved: String::new(),
             }
         });
@@ -174,7 +174,7 @@
                 refused: Vec::new(),
             }),
         };
-        self.book.report(report, self.now);
+        self.book.apply_report(report, self.now);
     }
 
     /// Decides, writes, and lets every worker start what it is told.
@@ -202,10 +202,10 @@
     }
 
     fn pass(&mut self) {
-        self.now.now += Duration::from_millis(1);
-        self.book.step(self.now);
-        for job in self.book.unwritten(usize::MAX) {
-            self.book.written(&job.id, job.version);
+        self.now.monotonic += Duration::from_millis(1);
+        self.book.run_pass(self.now);
+        for job in self.book.take_unwritten(usize::MAX) {
+            self.book.mark_written(&job.id, job.version);
         }
         self.book.take_decisions();
     }
@@ -245,7 +245,7 @@
         }
         let size = format!("240 workers, {urgent} urgent gangs");
         group.bench_function(BenchmarkId::new("a burst", &size), |bencher| {
-            bencher.iter(|| cell.book.clone().step(cell.now));
+            bencher.iter(|| cell.book.clone().run_pass(cell.now));
         });
     }
     group.finish();
--- a/crates/landingvalve-experiment/src/play.rs
+++ b/crates/landingvalve-experiment/src/play.rs
@@ -9,20 +9,20 @@
 use std::time::SystemTime;
 
 use fastrand::Rng;
-use landingvalve::graph::Book;
-use landingvalve::graph::How;
-use landingvalve::graph::Id;
 use landingvalve::graph::Job;
-use landingvalve::graph::Moment;
+use landingvalve::graph::JobId;
+use landingvalve::graph::Options;
 use landingvalve::graph::Orders;
 use landingvalve::graph::Outcome;
 use landingvalve::graph::Policy;
 use landingvalve::graph::Resources;
 use landingvalve::graph::Run;
+use landingvalve::graph::RunOutcome;
+use landingvalve::graph::Scheduler;
+use landingvalve::graph::SharedStr;
 use landingvalve::graph::Step;
 use landingvalve::graph::Task;
-use landingvalve::graph::Terms;
-use landingvalve::graph::Text;
+use landingvalve::graph::Timestamp;
 
 use crate::day::Arrival;
 use crate::day::Blow;
@@ -69,9 +69,9 @@
     /// A worker reports.
     Reports(usize),
     /// Progress is written.
-    Written(Id, u64),
+    Written(JobId, u64),
     /// A job has to have begun if its account is guaranteed it.
-    Owed(Id),
+    Owed(JobId),
     /// Time passes.
     Tick,
 }
@@ -97,13 +97,13 @@
 struct Play<'a> {
     load: &'a Load,
     day: &'a Day,
-    book: Book,
+    book: Scheduler,
     workers: Vec<Worker>,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
     count: u64,
     now: Time,
-    start: Moment,
-    truths: BTreeMap<Id, Truth>,
+    start: Timestamp,
+    truths: BTreeMap<JobId, Truth>,
     by_agent: BTreeMap<String, usize>,
     due: BTreeSet<usize>,
     random: Rng,
@@ -114,16 +114,16 @@
 
 /// Plays a day under a policy.
 pub fn play(load: &Load, day: &Day, policy: Policy, seed: u64) -> Score {
-    let start = Moment {
-        now: Instant::now(),
+    let start = Timestamp {
+        monotonic: Instant::now(),
         wall: SystemTime::UNIX_EPOCH + Duration::from_secs(1 << 30),
     };
-    let terms = Terms {
+    let terms = Options {
         policy,
-        far: FAR,
-        stop: load.fleet.stop,
-        reclaim: load.accounts.reclaim,
-        ..Terms::default()
+        far_slowdown: FAR,
+        stop_time: load.fleet.stop,
+        reclaim_time: load.accounts.reclaim,
+        ..Options::default()
     };
     let workers = Worker::all(&load.fleet);
     let names = workers.iter().enumerate();
@@ -131,7 +131,7 @@
     let mut play = Play {
         load,
         day,
-        book: Book::new(terms, start),
+        book: Scheduler::new(terms, start),
         workers,
         events: BinaryHeap::new(),
         count: 0,
@@ -153,7 +153,7 @@
 }
 
 /// Returns the name of an account.
-fn account(number: usize) -> Text {
+fn account(number: usize) -> SharedStr {
     format!("account-{number}").into()
 }
 
@@ -169,9 +169,9 @@
         self.events.push(Reverse((when, self.count, event)));
     }
 
-    fn moment(&self) -> Moment {
-        Moment {
-            now: self.start.now + self.now,
+    fn moment(&self) -> Timestamp {
+        Timestamp {
+            monotonic: self.start.monotonic + self.now,
             wall: self.start.wall + self.now,
         }
     }
@@ -223,7 +223,9 @@
             Event::Reports(worker) => {
                 self.due.insert(worker);
             }
-            Event::Written(id, version) => self.book.written(&id, version),
+            Event::Written(id, version) => {
+                self.book.mark_written(&id, version)
+            }
             Event::Owed(id) => self.owed(&id),
             Event::Tick => {
                 let beat = BEAT.as_millis() / TICK.as_millis();
@@ -243,21 +245,22 @@
         let moment = self.moment();
         for worker in std::mem::take(&mut self.due) {
             let report = self.workers[worker].report(self.now);
-            self.book.report(report, moment);
+            self.book.apply_report(report, moment);
         }
         if ticks || self.book.is_changed() {
-            self.book.step(moment);
+            self.book.run_pass(moment);
             for agent in self.book.take_inquiries() {
-                let sent = moment.now;
-                self.book.inquired(&agent, None, sent, moment);
+                let sent = moment.monotonic;
+                self.book.apply_inquiry(&agent, None, sent, moment);
             }
             self.book.take_decisions();
         }
-        for job in self.book.unwritten(usize::MAX) {
+        for job in self.book.take_unwritten(usize::MAX) {
             self.at(self.now + WRITE, Event::Written(job.id, job.version));
         }
-        let stirred: Vec<_> = self.book.take_stirred().into_iter().collect();
-        for (agent, orders) in self.book.orders_of(&stirred) {
+        let stirred: Vec<_> =
+            self.book.take_agents_to_order().into_iter().collect();
+        for (agent, orders) in self.book.orders_for(&stirred) {
             if let Some(worker) = self.by_agent.get(&*agent).copied() {
                 self.obey(worker, &orders);
             }
@@ -267,7 +270,7 @@
     fn arrives(&mut self, number: usize) {
         let arrival = self.day.arrivals[number].clone();
         let queue = &self.load.queues[arrival.queue];
-        let id: Id = format!("{number:06}").into();
+        let id: JobId = format!("{number:06}").into();
         let job = Job {
             id: id.clone(),
             account: account(arrival.account),
@@ -309,11 +312,11 @@
             self.at(by, Event::Owed(id));
         }
         let moment = self.moment();
-        self.book.accept(job, None, moment);
+        self.book.accept_job(job, None, moment);
     }
 
     /// Looks whether a job has begun that its account is guaranteed.
-    fn owed(&mut self, id: &Id) {
+    fn owed(&mut self, id: &JobId) {
         let troubled = self.day.blows.iter().any(|(at, ..)| {
             *at <= self.now && self.now < *at + self.load.accounts.reclaim * 2
         });
@@ -361,7 +364,7 @@
     fn lose(&mut self, worker: usize, until: Time) {
         for (task, work) in self.workers[worker].lose(until) {
             self.throw(&task, &work, worker);
-            self.break_gang(&task, work.run, How::Broken);
+            self.break_gang(&task, work.run, RunOutcome::Broken);
         }
         self.due.insert(worker);
     }
@@ -474,9 +477,9 @@
             return;
         };
         let how = match ending {
-            Ending::Done => How::Done,
-            Ending::Failed => How::Failed,
-            Ending::Stopped => How::Stopped,
+            Ending::Done => RunOutcome::Done,
+            Ending::Failed => RunOutcome::Failed,
+            Ending::Stopped => RunOutcome::Stopped,
         };
         self.workers[worker].end(task, how);
         self.at(self.now + WAY, Event::Reports(worker));
@@ -489,20 +492,20 @@
             }
         }
         let others = match ending {
-            Ending::Done => How::Done,
-            _ => How::Broken,
+            Ending::Done => RunOutcome::Done,
+            _ => RunOutcome::Broken,
         };
         self.break_gang(task, run, others);
     }
 
     /// Ends what is left of a gang's run.
-    fn break_gang(&mut self, task: &Task, run: Run, how: How) {
+    fn break_gang(&mut self, task: &Task, run: Run, how: RunOutcome) {
         if !self.is_gang(task) {
             return;
         }
         for (at, member) in self.places(task, run) {
             if let Some(work) = self.workers[at].end(&member, how) {
-                if how != How::Done {
+                if how != RunOutcome::Done {
                     self.throw(&member, &work, at);
                 }
                 self.at(self.now + WAY, Event::Reports(at));
@@ -532,7 +535,7 @@
     }
 
     fn score(&self) -> Score {
-        let job = |(id, truth): (&Id, &Truth)| {
+        let job = |(id, truth): (&JobId, &Truth)| {
             let arrival = &truth.arrival;
             let queue = &self.load.queues[arrival.queue];
             let cores = queue.cpu as f64 / 1000.0
--- a/src/cell/member/state.rs
+++ b/src/cell/member/state.rs
@@ -14,10 +14,10 @@
 use crate::cell::worker::Look;
 use crate::cell::worker::WorkerTime;
 use crate::clock::BootInstant;
-use crate::graph::Before;
 use crate::graph::Life;
 use crate::graph::Lists;
 use crate::graph::Orders;
+use crate::graph::PastLife;
 use crate::graph::Report;
 use crate::graph::Resources;
 use crate::graph::Run;
@@ -82,7 +82,7 @@
     /// Before when no heartbeat of another life is news.
     strange: Option<Instant>,
     /// What had begun in the life before, and until when that is told.
-    before: Option<(Before, Instant)>,
+    before: Option<(PastLife, Instant)>,
 }
 
 impl State {
@@ -153,7 +153,7 @@
     /// answers shows; returns whether it is the one here.
     pub fn left(&mut self, life: &Life, said: bool, over: Instant) -> bool {
         match &mut self.worker {
-            Some(known) if known.beat.life.may_be(life) => {
+            Some(known) if known.beat.life.may_equal(life) => {
                 known.left |= said && !known.beat.leaving;
                 known.beat.leaving = true;
                 known.over = Some(over);
@@ -184,7 +184,7 @@
         let told = told.filter(|_| sure).map(|(before, _)| before.clone());
         let before = match over {
             Some(known) if known.seen => Some(known.before()),
-            Some(known) => told.map(|before| Before {
+            Some(known) => told.map(|before| PastLife {
                 // Its leases have run out with those of its successor.
                 over: known.lapsed,
                 ..before
@@ -280,7 +280,7 @@
         if known.beat.life != plan.call.life {
             return false;
         }
-        if known.beat.life.is_other(look.born) {
+        if known.beat.life.is_other_life(look.born) {
             // Its successor is taken in with its own heartbeat, which is
             // news now that this one answers no more.
             known.is_replaced();
--- a/src/cell/teller.rs
+++ b/src/cell/teller.rs
@@ -5,11 +5,11 @@
 use tokio::time::Instant;
 
 use crate::graph::Decision;
+use crate::graph::GuaranteeStatus;
 use crate::graph::Life;
 use crate::graph::Outcome;
-use crate::graph::Standing;
 use crate::graph::Subject;
-use crate::graph::Wait;
+use crate::graph::WaitReason;
 use crate::store::Revision;
 use crate::telemetry::metrics;
 use crate::telemetry::metrics::label;
@@ -55,14 +55,14 @@
         measure(decision);
         self.renew();
         let budget = match decision {
-            Decision::Known { .. }
-            | Decision::Gone { .. }
+            Decision::WorkerAdded { .. }
+            | Decision::WorkerLost { .. }
             | Decision::Resized { .. }
-            | Decision::Apart { .. }
+            | Decision::WorkerQuarantined { .. }
             | Decision::Paced { .. } => &mut self.workers,
             _ => &mut self.units,
         };
-        let over = matches!(decision, Decision::Over { .. });
+        let over = matches!(decision, Decision::JobEnded { .. });
         if budget.written >= BUDGET && !over {
             budget.left_out += 1;
             return;
@@ -92,27 +92,27 @@
 fn measure(decision: &Decision) {
     let metrics = metrics::get();
     let kind = match decision {
-        Decision::Known { .. } => "worker known",
-        Decision::Gone { .. } => "worker gone",
+        Decision::WorkerAdded { .. } => "worker known",
+        Decision::WorkerLost { .. } => "worker gone",
         Decision::Resized { .. } => "worker resized",
-        Decision::Apart { .. } => "worker kept apart",
+        Decision::WorkerQuarantined { .. } => "worker kept apart",
         Decision::Paced { .. } => "paced",
-        Decision::Waits { what, .. } => match what {
-            Wait::Worker => "waits for a worker",
-            Wait::Room => "waits for room",
-            Wait::Rack => "waits for a rack",
+        Decision::Waiting { reason: what, .. } => match what {
+            WaitReason::Worker => "waits for a worker",
+            WaitReason::Room => "waits for room",
+            WaitReason::Rack => "waits for a rack",
         },
-        Decision::Kept { .. } => "room kept",
+        Decision::Reserved { .. } => "room kept",
         Decision::Placed {
             waited,
             run,
-            standing,
+            guarantee: standing,
             ..
         } => {
             metrics.wait_seconds.record(waited.as_secs_f64(), &[]);
             match standing {
                 Some(standing) if standing.within && *run == 1 => {
-                    let late = if standing.left < 0 { "yes" } else { "no" };
+                    let late = if standing.left_ms < 0 { "yes" } else { "no" };
                     let labels = [label("late", late)];
                     metrics.owed_seconds.record(waited.as_secs_f64(), &labels);
                 }
@@ -121,14 +121,14 @@
             "placed"
         }
         Decision::Stopped { .. } => "stopped",
-        Decision::Ended { how, ran, .. } => {
+        Decision::Ended { end: how, ran, .. } => {
             metrics
                 .run_seconds
                 .record(ran.as_secs_f64(), &[label("how", how)]);
             "run ended"
         }
-        Decision::Blamed { .. } => "worker lost under a task",
-        Decision::Over {
+        Decision::LossCounted { .. } => "worker lost under a task",
+        Decision::JobEnded {
             outcome,
             took,
             objective,
@@ -150,10 +150,10 @@
 
 fn write(log: &slog::Logger, decision: &Decision, token: Revision) {
     match decision {
-        Decision::Known { agent, life } => slog::info!(log,
+        Decision::WorkerAdded { agent, life } => slog::info!(log,
             "planner: a worker is known"; "agent" => &**agent,
             "worker" => &**life, "token" => token),
-        Decision::Gone { life, silent } => slog::warn!(log,
+        Decision::WorkerLost { life, silent } => slog::warn!(log,
             "planner: a worker is taken for gone"; "worker" => &**life,
             "silent_ms" => millis(silent), "token" => token),
         Decision::Resized {
@@ -167,7 +167,11 @@
             "accelerators" => to.accelerators,
             "accelerators_before" => from.accelerators,
             "accelerators_used" => used.accelerators, "token" => token),
-        Decision::Apart { life, time, failed } => slog::warn!(log,
+        Decision::WorkerQuarantined {
+            life,
+            duration: time,
+            failed,
+        } => slog::warn!(log,
             "planner: a worker is kept apart"; "worker" => &**life,
             "for_ms" => millis(time), "failed" => failed, "token" => token),
         Decision::Paced {
@@ -178,29 +182,29 @@
         } => slog::info!(log,
             "planner: what fills a worker is paced"; "agent" => &**agent,
             "from" => from, "to" => to, "worst" => worst, "token" => token),
-        Decision::Waits {
-            of,
-            what,
-            slack,
+        Decision::Waiting {
+            subject: of,
+            reason: what,
+            slack_ms: slack,
             workers,
-            standing,
+            guarantee: standing,
             shortage,
         } => slog::info!(log,
             "planner: a unit waits"; of, "on" => word(*what),
             "slack_ms" => slack, "of_workers" => workers,
-            "lacks" => shortage.map(|s| s.lack.word()),
+            "lacks" => shortage.map(|s| s.kind.word()),
             "accelerators" => shortage.map(|s| s.needed),
             "free" => shortage.map(|s| s.free),
             "fits" => shortage.map(|s| s.fits),
-            "dear_core_s" => shortage.and_then(|s| s.dear).map(f64::round),
-            "held_within" => shortage.map(|s| s.holders.within),
-            "held_lent" => shortage.map(|s| s.holders.lent),
-            "held_lower" => shortage.map(|s| s.holders.lower),
+            "dear_core_s" => shortage.and_then(|s| s.preemption_cost).map(f64::round),
+            "held_within" => shortage.map(|s| s.usage.within),
+            "held_lent" => shortage.map(|s| s.usage.borrowed),
+            "held_lower" => shortage.map(|s| s.usage.lower),
             Promise(*standing),
             "token" => token),
-        Decision::Kept {
-            of,
-            on,
+        Decision::Reserved {
+            subject: of,
+            lives: on,
             stopped,
             cost,
         } => slog::info!(log,
@@ -208,34 +212,38 @@
             "stopped" => stopped, "cost_core_s" => cost.round(),
             "token" => token),
         Decision::Placed {
-            of,
+            subject: of,
             run,
-            on,
+            lives: on,
             waited,
-            slack,
+            slack_ms: slack,
             expected,
-            standing,
+            guarantee: standing,
         } => slog::info!(log,
             "planner: a unit is placed"; of, "run" => run,
             "workers" => names(on), "waited_ms" => millis(waited),
             "slack_ms" => slack, "expected_ms" => millis(expected),
             Promise(*standing), "token" => token),
-        Decision::Stopped { of, run, why } => slog::info!(log,
+        Decision::Stopped {
+            subject: of,
+            run,
+            reason: why,
+        } => slog::info!(log,
             "planner: a run is stopped"; of, "run" => run, "why" => why,
             "token" => token),
         Decision::Ended {
-            of,
+            subject: of,
             run,
             member,
             life,
-            how,
+            end: how,
             ran,
         } => slog::info!(log,
             "planner: a run has ended"; of, "run" => run, "member" => member,
             "worker" => &**life, "how" => how, "ran_ms" => millis(ran),
             "token" => token),
-        Decision::Blamed {
-            of,
+        Decision::LossCounted {
+            subject: of,
             run,
             task,
             life,
@@ -246,7 +254,7 @@
             "task" => task, "worker" => &**life, "ran_ms" => millis(ran),
             "lost" => loss.lost, "sudden" => loss.sudden,
             "silent" => loss.silent.len(), "token" => token),
-        Decision::Over {
+        Decision::JobEnded {
             job,
             account,
             queue,
@@ -262,7 +270,7 @@
 }
 
 /// How a unit stands to what its account is guaranteed, if it is urgent.
-struct Promise(Option<Standing>);
+struct Promise(Option<GuaranteeStatus>);
 
 impl slog::KV for Promise {
     fn serialize(
@@ -276,7 +284,7 @@
         to.emit_i64("guaranteed", standing.guaranteed)?;
         to.emit_i64("account_needs", standing.needed)?;
         to.emit_bool("within_guarantee", standing.within)?;
-        to.emit_i64("owed_in_ms", standing.left)
+        to.emit_i64("owed_in_ms", standing.left_ms)
     }
 }
 
@@ -302,10 +310,10 @@
     names.join(",")
 }
 
-fn word(what: Wait) -> &'static str {
+fn word(what: WaitReason) -> &'static str {
     match what {
-        Wait::Worker => "a worker",
-        Wait::Room => "room",
-        Wait::Rack => "a rack",
+        WaitReason::Worker => "a worker",
+        WaitReason::Room => "room",
+        WaitReason::Rack => "a rack",
     }
 }
--- a/src/cell/writer.rs
+++ b/src/cell/writer.rs
@@ -7,8 +7,8 @@
 use crate::cell::claim::Claim;
 use crate::cell::keys;
 use crate::cell::pause;
-use crate::graph::Id;
-use crate::graph::Unwritten;
+use crate::graph::JobId;
+use crate::graph::ProgressUpdate;
 use crate::http::transfer_time;
 use crate::store::Compare;
 use crate::store::Error;
@@ -30,14 +30,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Known {
     /// The revision of each job's progress.
-    pub revisions: BTreeMap<Id, Revision>,
+    pub revisions: BTreeMap<JobId, Revision>,
     /// The jobs that no longer count as waiting.
-    pub begun: BTreeSet<Id>,
+    pub begun: BTreeSet<JobId>,
 }
 
 impl Known {
     /// Returns what is known of the jobs of a batch.
-    pub fn of(&self, batch: &[Unwritten]) -> Known {
+    pub fn of(&self, batch: &[ProgressUpdate]) -> Known {
         let ids = || batch.iter().map(|job| &job.id);
         Known {
             revisions: ids()
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub struct Written {
     /// The jobs, with the version and revision of each.
-    pub jobs: Vec<(Id, u64, Revision)>,
+    pub jobs: Vec<(JobId, u64, Revision)>,
 }
 
 /// The claim is lost, or somebody else has written.
@@ -76,7 +76,7 @@
     store: &impl Store,
     claim: &Claim,
     known: &Known,
-    batch: &[Unwritten],
+    batch: &[ProgressUpdate],
 ) -> Result<Written, Lost> {
     let mut conditions = vec![claim.condition()];
     let mut puts = Vec::new();
@@ -114,8 +114,8 @@
 }
 
 fn all(
-    batch: &[Unwritten],
-    revision: impl Fn(&Id) -> Option<Revision>,
+    batch: &[ProgressUpdate],
+    revision: impl Fn(&JobId) -> Option<Revision>,
 ) -> Written {
     let jobs = batch.iter().filter_map(|job| {
         Some((job.id.clone(), job.version, revision(&job.id)?))
@@ -128,7 +128,7 @@
 /// Tells an earlier try of ours that has taken effect from a write of
 /// somebody else.
 fn landed(
-    batch: &[Unwritten],
+    batch: &[ProgressUpdate],
     puts: &[Mutation],
     items: &[Item],
 ) -> Result<Written, Lost> {
@@ -141,7 +141,7 @@
     if !ours {
         return Err(Lost("another has written".to_owned()));
     }
-    let revision = |id: &Id| {
+    let revision = |id: &JobId| {
         let key = keys::progress(id);
         items.iter().find(|i| i.key == key).map(|i| i.modified)
     };
--- a/src/graph/advice.rs
+++ b/src/graph/advice.rs
@@ -1,121 +1,130 @@
-//! Queues whose steps run only where a service gives leave.
+//! Queues whose steps need the permission of an advice service.
 //!
-//! The service answers which of the workers named may run a step, each with
-//! a ticket that every start there brings. Its answers take time by the
-//! worker named, so few are asked about at once: those with room first.
+//! The service answers which of the workers in a question may run a step, each
+//! with a ticket that every start there must include. The service needs time
+//! for each worker in a question, so that questions name few workers: those
+//! with free resources first.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::graph::entry::Entry;
+use crate::graph::job_record::JobRecord;
 use crate::graph::place::Request;
 use crate::graph::unit::Phase;
-use crate::graph::Book;
-use crate::graph::Id;
+use crate::graph::JobId;
 use crate::graph::Life;
-use crate::graph::Moment;
-
-/// The most workers that one question names; the users reckon with as many
-/// a step.
-const NAMED: usize = 30;
-/// The least rest of a ticket with which a run is given out: it must be
-/// written and ordered by then.
-const REST: Duration = Duration::from_millis(400);
-/// How long is waited before a question without answer is put again.
-const AGAIN: Duration = Duration::from_millis(500);
-
-/// One time of a step of a job.
-pub type StepKey = (Id, u32, usize);
-
-/// A leave to run a step on a life of a worker.
+use crate::graph::Scheduler;
+use crate::graph::Timestamp;
+
+/// The most workers in one question. The users assume this number for each
+/// step.
+const MAX_NAMED_WORKERS: usize = 30;
+/// The least remaining validity of a ticket for which a run is assigned: the
+/// run must be written and ordered by then.
+const MIN_TICKET_VALIDITY: Duration = Duration::from_millis(400);
+/// How long to wait before an unanswered question is asked again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
+
+/// A step of a job in one repetition: the job, the repetition and the step's
+/// index.
+pub type StepKey = (JobId, u32, usize);
+
+/// A permission to run a step on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    /// The life.
+    /// The life of the worker that the ticket is valid for.
     pub life: Life,
-    /// What a start there brings.
+    /// The text that a start on the worker must include.
     pub text: String,
 }
 
-/// What is to be asked of the service.
+/// A question to the advice service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Question {
-    /// The step.
+    /// The step to run.
     pub step: StepKey,
-    /// The lives of the workers that it could use.
+    /// The lives of the workers that could run the step.
     pub lives: Vec<Life>,
 }
 
-/// What is known of a step's leave.
+/// The answers of the service about a step.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Leave {
-    /// The tickets, and until when each holds.
+pub(super) struct Permission {
+    /// The tickets, each with the end of its validity.
     tickets: BTreeMap<Life, (String, Instant)>,
-    /// Who may never run the step.
+    /// The workers that may never run the step.
     barred: BTreeSet<Life>,
-    /// Before when nothing more is asked.
+    /// No further question is asked before this time.
     not_before: Option<Instant>,
 }
 
-impl Leave {
-    /// Returns whether a run on a life may be given out.
+impl Permission {
+    /// Returns whether a run on this life may be assigned.
     pub fn allows(&self, life: &Life, now: Instant) -> bool {
         let ticket = self.tickets.get(life);
-        ticket.is_some_and(|(_, until)| now + REST < *until)
+        ticket.is_some_and(|(_, until)| now + MIN_TICKET_VALIDITY < *until)
     }
 
-    /// Returns the ticket for a life, however old.
+    /// Returns the ticket for a life, even an expired one.
     pub fn ticket(&self, life: &Life) -> Option<String> {
         self.tickets.get(life).map(|(text, _)| text.clone())
     }
 }
 
-/// Whether a unit's starts need leave, and the leave that there is.
+/// Whether a unit's starts need permission, and the permissions so far.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Needed<'a> {
-    No,
-    Yes(Option<&'a Leave>),
+pub(super) enum Requirement<'a> {
+    NotNeeded,
+    Needed(Option<&'a Permission>),
 }
 
-impl Needed<'_> {
-    /// Returns whether the unit may run on a life.
+impl Requirement<'_> {
+    /// Returns whether the unit may run on this life.
     pub fn allows(&self, life: &Life, now: Instant) -> bool {
         match self {
-            Needed::No => true,
-            Needed::Yes(leave) => {
-                leave.is_some_and(|leave| leave.allows(life, now))
-            }
+            Requirement::NotNeeded => true,
+            Requirement::Needed(permission) => permission
+                .is_some_and(|permission| permission.allows(life, now)),
         }
     }
 }
 
-impl Book {
-    /// Returns where a unit may run, as far as leave goes.
-    pub(super) fn leave_of(&self, request: &Request) -> Needed<'_> {
-        let entry = self.jobs.get(&request.id);
-        match entry.is_none_or(|entry| entry.job.advice.is_none()) {
-            true => Needed::No,
-            false => Needed::Yes(self.leave.get(&request.step_key())),
+impl Scheduler {
+    /// Returns whether a unit's starts need permission, and the permissions so
+    /// far.
+    pub(super) fn requirement_of(&self, request: &Request) -> Requirement<'_> {
+        let record = self.jobs.get(&request.id);
+        match record.is_none_or(|record| record.job.advice.is_none()) {
+            true => Requirement::NotNeeded,
+            false => {
+                Requirement::Needed(self.permissions.get(&request.step_key()))
+            }
         }
     }
 
-    /// Returns what is to be asked next, if anything is.
-    pub fn question(&mut self, now: Moment) -> Option<Question> {
+    /// Returns the next question to the service, if there is one.
+    pub fn take_question(&mut self, now: Timestamp) -> Option<Question> {
         let question = self.next_question(now)?;
-        let leave = self.leave.entry(question.step.clone()).or_default();
-        leave.not_before = Some(now.now + AGAIN);
+        let permission =
+            self.permissions.entry(question.step.clone()).or_default();
+        permission.not_before = Some(now.monotonic + RETRY_INTERVAL);
         Some(question)
     }
 
-    fn next_question(&self, now: Moment) -> Option<Question> {
-        self.live()
-            .filter(|entry| entry.job.advice.is_some() && !entry.over())
-            .find_map(|entry| self.question_of(entry, now))
+    fn next_question(&self, now: Timestamp) -> Option<Question> {
+        self.live_jobs()
+            .filter(|record| record.job.advice.is_some() && !record.is_over())
+            .find_map(|record| self.question_of(record, now))
     }
 
-    fn question_of(&self, entry: &Entry, now: Moment) -> Option<Question> {
-        let waits = entry
+    fn question_of(
+        &self,
+        record: &JobRecord,
+        now: Timestamp,
+    ) -> Option<Question> {
+        let waits = record
             .units
             .iter()
             .filter(|(_, unit)| matches!(unit.phase, Phase::Waiting));
@@ -124,14 +133,18 @@
             if !asked.insert((key.time, key.step)) {
                 continue;
             }
-            let expected = self.expect(entry, key.step);
-            let request = Request::new(entry, key, unit, expected);
+            let expected = self.expected_time(record, key.step);
+            let request = Request::new(record, key, unit, expected);
             let step = request.step_key();
-            let leave = self.leave.get(&step).cloned().unwrap_or_default();
-            if leave.not_before.is_some_and(|before| now.now < before) {
+            let permission =
+                self.permissions.get(&step).cloned().unwrap_or_default();
+            if permission
+                .not_before
+                .is_some_and(|before| now.monotonic < before)
+            {
                 continue;
             }
-            let lives = self.unasked(&request, &leave, now);
+            let lives = self.lives_to_ask(&request, &permission, now);
             if !lives.is_empty() {
                 return Some(Question { step, lives });
             }
@@ -139,61 +152,62 @@
         None
     }
 
-    /// Returns the lives that a unit could use and has no leave for, those
-    /// with room first.
-    fn unasked(
+    /// Returns the lives that a unit could use and has no ticket for, those
+    /// with free resources first.
+    fn lives_to_ask(
         &self,
         request: &Request,
-        leave: &Leave,
-        now: Moment,
+        permission: &Permission,
+        now: Timestamp,
     ) -> Vec<Life> {
-        let mut open: Vec<(bool, &Life)> = self
+        let mut candidates: Vec<(bool, &Life)> = self
             .workers
             .values()
-            .filter(|worker| self.usable(worker, request, now))
-            .filter(|worker| !leave.barred.contains(&worker.life))
-            .filter(|worker| !leave.allows(&worker.life, now.now))
+            .filter(|worker| self.is_usable(worker, request, now))
+            .filter(|worker| !permission.barred.contains(&worker.life))
+            .filter(|worker| !permission.allows(&worker.life, now.monotonic))
             .map(|worker| {
-                let full = !worker.free().holds(&request.charge);
-                (full, &worker.life)
+                let is_full = !worker.free().holds(&request.charge);
+                (is_full, &worker.life)
             })
             .collect();
-        open.sort();
-        let lives = open.into_iter().map(|(_, life)| life.clone());
-        lives.take(NAMED).collect()
+        candidates.sort();
+        let lives = candidates.into_iter().map(|(_, life)| life.clone());
+        lives.take(MAX_NAMED_WORKERS).collect()
     }
 
-    /// Takes in what the service answered to a question that was sent at
-    /// `sent`; `None` if it did not answer.
-    pub fn advised(
+    /// Applies the service's answer to a question that was sent at `sent`, or
+    /// `None` if the service did not answer.
+    pub fn apply_advice(
         &mut self,
         question: &Question,
-        good: Option<Vec<Ticket>>,
+        granted: Option<Vec<Ticket>>,
         sent: Instant,
     ) {
         let job = self.jobs.get(&question.step.0).map(|e| &e.job);
         let Some(advice) = job.and_then(|job| job.advice) else {
             return;
         };
-        let Some(good) = good else {
+        let Some(granted) = granted else {
             return;
         };
         self.changed = true;
-        let leave = self.leave.entry(question.step.clone()).or_default();
-        leave.not_before = None;
-        // Who may run a step does not change.
-        leave.barred.extend(question.lives.iter().cloned());
+        let permission =
+            self.permissions.entry(question.step.clone()).or_default();
+        permission.not_before = None;
+        // The service's answer about a worker is final for the step.
+        permission.barred.extend(question.lives.iter().cloned());
         let until = sent + advice.valid;
-        for ticket in good {
-            leave.barred.remove(&ticket.life);
-            leave.tickets.insert(ticket.life, (ticket.text, until));
+        for ticket in granted {
+            permission.barred.remove(&ticket.life);
+            permission.tickets.insert(ticket.life, (ticket.text, until));
         }
     }
 
-    /// Forgets a ticket that a worker no longer takes.
+    /// Removes a ticket that a worker no longer accepts.
     pub(super) fn drop_ticket(&mut self, step: &StepKey, life: &Life) {
-        if let Some(leave) = self.leave.get_mut(step) {
-            leave.tickets.remove(life);
+        if let Some(permission) = self.permissions.get_mut(step) {
+            permission.tickets.remove(life);
         }
     }
 }
--- a/src/graph/decision.rs
+++ b/src/graph/decision.rs
@@ -1,186 +1,190 @@
-//! What was decided, for whoever reads the logs.
+//! Decisions of the scheduler, for the log.
 
 use std::time::Duration;
 
 use crate::graph::AgentId;
-use crate::graph::Id;
+use crate::graph::GuaranteeStatus;
+use crate::graph::JobId;
 use crate::graph::Life;
 use crate::graph::Loss;
 use crate::graph::Outcome;
 use crate::graph::Resources;
 use crate::graph::Run;
+use crate::graph::SharedStr;
 use crate::graph::Shortage;
-use crate::graph::Standing;
-use crate::graph::Text;
 use crate::graph::UnitKey;
 
-/// Which unit is meant.
+/// The identification of a unit in the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Subject {
-    /// Its job.
-    pub job: Id,
+    /// The unit's job.
+    pub job: JobId,
     /// The client account of the job.
-    pub account: Text,
+    pub account: SharedStr,
     /// The queue of the job.
-    pub queue: Text,
-    /// The unit within the job.
+    pub queue: SharedStr,
+    /// The unit's key within the job.
     pub unit: UnitKey,
 }
 
 /// What a unit waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wait {
-    /// Workers that may be used at all.
+pub enum WaitReason {
+    /// No worker is usable for the unit.
     Worker,
-    /// Room on one of them.
+    /// The usable workers lack free resources.
     Room,
-    /// A rack where it is not slow.
+    /// The free resources are not in a rack where the unit runs at full speed.
     Rack,
 }
 
-/// A decision, with what it rests on.
+/// A decision and the values behind it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// A worker came into the books.
-    Known {
-        /// Its agent.
+    /// A worker was added.
+    WorkerAdded {
+        /// The worker's agent.
         agent: AgentId,
-        /// Its life.
+        /// The worker's present life.
         life: Life,
     },
-    /// A worker is taken for gone.
-    Gone {
-        /// Its life.
+    /// A worker is considered lost.
+    WorkerLost {
+        /// The life that was lost.
         life: Life,
-        /// How long nothing was heard of it.
+        /// How long the agent has been silent.
         silent: Duration,
     },
-    /// A worker's room has changed.
+    /// A worker's capacity has changed.
     Resized {
-        /// Its life.
+        /// The worker's life.
         life: Life,
-        /// What it had.
+        /// The capacity before.
         from: Resources,
-        /// What it has now.
+        /// The capacity from now on.
         to: Resources,
-        /// What is placed there, and kept.
+        /// The resources that are occupied or reserved.
         used: Resources,
     },
-    /// A worker is kept apart.
-    Apart {
-        /// Its life.
+    /// A worker is quarantined.
+    WorkerQuarantined {
+        /// The worker's life.
         life: Life,
-        /// For how long.
-        time: Duration,
-        /// The runs that failed there in a row.
+        /// The length of the quarantine.
+        duration: Duration,
+        /// The number of units that failed there in a row.
         failed: usize,
     },
-    /// A unit finds no place; told once, and when the reason changes.
-    Waits {
-        /// The unit.
-        of: Subject,
-        /// What for.
-        what: Wait,
-        /// What is left until it would have to start, in ms.
-        slack: i64,
-        /// How many workers it may use.
+    /// A unit finds no place. Reported once, and again when the reason
+    /// changes.
+    Waiting {
+        /// The waiting unit.
+        subject: Subject,
+        /// What the unit waits for.
+        reason: WaitReason,
+        /// The time left until the unit's latest start, in ms; below 0 once
+        /// that is past.
+        slack_ms: i64,
+        /// The number of workers that the unit may use.
         workers: usize,
-        /// How it stands to what its account is guaranteed, if it is urgent.
-        standing: Option<Standing>,
-        /// What it lacks, where there are such workers.
+        /// The state of the account's guarantee, if the unit is urgent.
+        guarantee: Option<GuaranteeStatus>,
+        /// What the unit lacks, if there are workers that it may use.
         shortage: Option<Shortage>,
     },
-    /// Room is kept for a unit.
-    Kept {
-        /// The unit.
-        of: Subject,
-        /// Where.
-        on: Vec<Life>,
-        /// The runs that are stopped for it.
+    /// Resources are reserved for a unit.
+    Reserved {
+        /// The unit with the reservation.
+        subject: Subject,
+        /// The workers of its members.
+        lives: Vec<Life>,
+        /// The number of runs that are stopped for the unit.
         stopped: usize,
-        /// The core-seconds that this throws away.
+        /// The core-seconds that these stops lose.
         cost: f64,
     },
-    /// A unit is given a run.
+    /// A run of a unit is assigned.
     Placed {
-        /// The unit.
-        of: Subject,
-        /// Which run.
+        /// The placed unit.
+        subject: Subject,
+        /// The number of the run.
         run: Run,
-        /// Where its members go.
-        on: Vec<Life>,
-        /// How long it could have been placed.
+        /// The workers of its members.
+        lives: Vec<Life>,
+        /// How long the unit has been ready.
         waited: Duration,
-        /// What is left until it would have to start, in ms.
-        slack: i64,
-        /// How long it is expected to run.
+        /// The time left until the unit's latest start, in ms; below 0 once
+        /// that is past.
+        slack_ms: i64,
+        /// The expected run time.
         expected: Duration,
-        /// How it stands to what its account is guaranteed, if it is urgent.
-        standing: Option<Standing>,
+        /// The state of the account's guarantee, if the unit is urgent.
+        guarantee: Option<GuaranteeStatus>,
     },
     /// A run is stopped.
     Stopped {
-        /// The unit.
-        of: Subject,
-        /// Which run.
+        /// The unit whose run is stopped.
+        subject: Subject,
+        /// The number of the run.
         run: Run,
-        /// Why.
-        why: &'static str,
+        /// The reason, as the log names it.
+        reason: &'static str,
     },
-    /// A run of a task has ended, or never began.
+    /// A member's run has ended, or never began.
     Ended {
-        /// The unit.
-        of: Subject,
-        /// Which run.
+        /// The member's unit.
+        subject: Subject,
+        /// The number of the run.
         run: Run,
-        /// The member of a gang, from 0.
+        /// The position of the member in its gang, from 0.
         member: usize,
-        /// Where.
+        /// The member's worker.
         life: Life,
-        /// How.
-        how: &'static str,
-        /// How long after it was given out.
+        /// The kind of end, as the log names it.
+        end: &'static str,
+        /// The time since the run was assigned.
         ran: Duration,
     },
-    /// A worker went without a word while it ran a task.
-    Blamed {
-        /// The unit.
-        of: Subject,
-        /// Which run.
+    /// A worker was lost without a report while it ran a task.
+    LossCounted {
+        /// The task's unit.
+        subject: Subject,
+        /// The number of the run.
         run: Run,
-        /// The task's number within its step.
+        /// The task's index within its step.
         task: u32,
-        /// The worker.
+        /// The lost worker.
         life: Life,
-        /// How long the task was seen at work there, at least.
+        /// How long the task is known to have run there.
         ran: Duration,
-        /// All that were lost under the task.
+        /// All losses under the task.
         loss: Loss,
     },
-    /// Another pace is ordered for what fills a worker.
+    /// The pace of a worker's filler tasks changes.
     Paced {
         /// The worker's agent.
         agent: AgentId,
-        /// The share of their speed before, 0 to 100.
+        /// The pace before, in percent of full speed.
         from: u8,
-        /// The share from now on.
+        /// The pace from now on, in percent of full speed.
         to: u8,
-        /// The worst tail there, in parts of its target.
+        /// The worst tail latency on the worker, relative to its target.
         worst: f64,
     },
     /// A job has ended.
-    Over {
-        /// The job.
-        job: Id,
-        /// Its client account.
-        account: Text,
-        /// Its queue.
-        queue: Text,
-        /// How.
+    JobEnded {
+        /// The job's name.
+        job: JobId,
+        /// The job's client account.
+        account: SharedStr,
+        /// The job's queue.
+        queue: SharedStr,
+        /// How the job ended.
         outcome: Outcome,
-        /// How long after it was accepted.
+        /// The time since the job was accepted.
         took: Duration,
-        /// Within which it was to end, as far as its runs tell.
+        /// The time within which the job should have ended, from its expected
+        /// run times.
         objective: Duration,
     },
 }
--- a/src/graph/guarantee.rs
+++ b/src/graph/guarantee.rs
@@ -1,218 +1,245 @@
-//! What client accounts are guaranteed, and which urgent work is within it.
+//! Guarantees of client accounts, and the urgent work within them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::graph::entry::Entry;
+use crate::graph::job_record::JobRecord;
 use crate::graph::place::Request;
 use crate::graph::unit::Phase;
-use crate::graph::Book;
-use crate::graph::Id;
 use crate::graph::Job;
-use crate::graph::Moment;
+use crate::graph::JobId;
+use crate::graph::Scheduler;
+use crate::graph::SharedStr;
 use crate::graph::Step;
-use crate::graph::Text;
+use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
-/// What it takes beside stops until a unit begins that was given room: the
-/// write of its run, and the orders.
-const ORDER: Duration = Duration::from_millis(500);
+/// The time from a reservation to the start of the unit, without stops: the
+/// run must be written and the orders sent.
+const ORDER_LATENCY: Duration = Duration::from_millis(500);
 
-/// How an urgent unit stands to what its account is guaranteed.
+/// The state of an account's guarantee, for an urgent unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct GuaranteeStatus {
     /// The accelerators that the account is guaranteed.
     pub guaranteed: i64,
-    /// Those that all of its urgent work asks for which is not over.
+    /// The accelerators that the account's urgent jobs request, except for
+    /// those that are over.
     pub needed: i64,
     /// Whether the unit is within the guarantee.
     pub within: bool,
-    /// What is left until such a unit has to begin, in ms; below 0 once that
-    /// is past.
-    pub left: i64,
+    /// The time left until a unit within the guarantee has to begin, in ms;
+    /// below 0 once that is past.
+    pub left_ms: i64,
 }
 
-/// Who holds the accelerators of a pool, with those that are kept.
+/// The accelerators of a pool that are in use or reserved, by kind of work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Holders {
+pub struct PoolUsage {
     /// Urgent work within guarantees.
     pub within: i64,
     /// Urgent work beyond guarantees, which borrows.
-    pub lent: i64,
+    pub borrowed: i64,
     /// All other work.
     pub lower: i64,
 }
 
-/// Returns the most accelerators that a step of a job takes.
+/// Returns the most accelerators that a step of a job uses.
 pub(super) fn accelerators(job: &Job) -> i64 {
     let step =
         |step: &Step| i64::from(step.replicas) * step.resources.accelerators;
     job.steps.iter().map(step).max().unwrap_or(0)
 }
 
-impl Book {
+impl Scheduler {
     /// Returns the urgent jobs that are not over.
-    fn urgent_jobs(&self) -> impl Iterator<Item = &Entry> {
-        self.live()
-            .filter(|entry| !entry.over() && entry.job.priority == 0)
+    fn urgent_jobs(&self) -> impl Iterator<Item = &JobRecord> {
+        self.live_jobs()
+            .filter(|record| !record.is_over() && record.job.priority == 0)
     }
 
-    /// Returns the accelerators that the urgent work of each account asks
-    /// for.
-    fn needed(&self) -> BTreeMap<&Text, i64> {
+    /// Returns the accelerators that each account's urgent jobs request.
+    fn demand(&self) -> BTreeMap<&SharedStr, i64> {
         let mut needed = BTreeMap::new();
-        for entry in self.urgent_jobs() {
-            let most = accelerators(&entry.job);
-            *needed.entry(&entry.job.account).or_default() += most;
+        for record in self.urgent_jobs() {
+            let most = accelerators(&record.job);
+            *needed.entry(&record.job.account).or_default() += most;
         }
         needed
     }
 
-    fn guaranteed(&self, account: &Text) -> i64 {
+    fn guaranteed(&self, account: &SharedStr) -> i64 {
         self.guarantees.get(account).copied().unwrap_or(0)
     }
 
-    /// Finds the urgent jobs that are within what their accounts are
-    /// guaranteed: of each account the first that fit into it, in the order
-    /// in which they were accepted. What lies beyond borrows.
-    pub(super) fn promise(&mut self, now: Moment) {
-        let mut urgent: Vec<&Entry> = self.urgent_jobs().collect();
-        urgent.sort_by_key(|entry| (entry.accepted, &entry.job.id));
-        let mut promised: BTreeMap<&Text, i64> = BTreeMap::new();
+    /// Determines the urgent jobs within guarantees: for each account the
+    /// first jobs that fit, in the order in which they were accepted. Urgent
+    /// jobs beyond the guarantee borrow.
+    pub(super) fn assign_guarantees(&mut self, now: Timestamp) {
+        let mut urgent: Vec<&JobRecord> = self.urgent_jobs().collect();
+        urgent.sort_by_key(|record| (record.accepted_at, &record.job.id));
+        let mut allotted: BTreeMap<&SharedStr, i64> = BTreeMap::new();
         let mut within = BTreeSet::new();
-        for entry in urgent {
-            let account = &entry.job.account;
-            let taken = promised.entry(account).or_default();
-            let needed = accelerators(&entry.job);
+        for record in urgent {
+            let account = &record.job.account;
+            let taken = allotted.entry(account).or_default();
+            let needed = accelerators(&record.job);
             if *taken + needed <= self.guaranteed(account) {
                 *taken += needed;
-                within.insert(entry.job.id.clone());
+                within.insert(record.job.id.clone());
             }
         }
-        let soon = self.urgent_jobs().filter(|entry| {
-            !within.contains(&entry.job.id) && self.is_soon(entry, now)
+        let soon = self.urgent_jobs().filter(|record| {
+            !within.contains(&record.job.id)
+                && self.is_within_guarantee_soon(record, now)
         });
-        let soon: Vec<Id> = soon.map(|entry| entry.job.id.clone()).collect();
+        let soon: Vec<JobId> =
+            soon.map(|record| record.job.id.clone()).collect();
         within.extend(soon);
-        self.promised = within;
+        self.within_guarantee = within;
     }
 
-    /// Returns whether a job that is beyond its account's guarantee may be
-    /// within it by the time it has to have begun, and room for it has to be
-    /// made now: once the account's other work has ended it would be too late
-    /// for stops.
-    fn is_soon(&self, entry: &Entry, now: Moment) -> bool {
-        let by = entry.accepted + self.terms.reclaim;
-        if now.now >= by || now.now + self.terms.stop + ORDER < by {
+    /// Returns whether a job beyond its account's guarantee may come within it
+    /// before the job has to have begun, so that room has to be made now. Once
+    /// the account's other work has ended, it would be too late for stops.
+    fn is_within_guarantee_soon(
+        &self,
+        record: &JobRecord,
+        now: Timestamp,
+    ) -> bool {
+        let begin_by = record.accepted_at + self.options.reclaim_time;
+        if now.monotonic >= begin_by
+            || now.monotonic + self.options.stop_time + ORDER_LATENCY
+                < begin_by
+        {
             return false;
         }
-        let account = &entry.job.account;
+        let account = &record.job.account;
         let others = self.urgent_jobs().filter(|other| {
             other.job.account == *account
-                && other.job.id != entry.job.id
+                && other.job.id != record.job.id
                 && !self.may_be_over(other)
         });
         let others: i64 = others.map(|other| accelerators(&other.job)).sum();
-        others + accelerators(&entry.job) <= self.guaranteed(account)
+        others + accelerators(&record.job) <= self.guaranteed(account)
     }
 
-    /// Returns whether all of a job may be over within a stop: nothing of it
-    /// has yet to begin.
-    fn may_be_over(&self, entry: &Entry) -> bool {
-        let steps = 0..entry.job.steps.len();
-        let mut open = steps.filter(|step| !entry.step_done(0, *step));
-        let mut units = entry.units.values();
-        entry.job.repeat.is_none()
-            && open.all(|step| entry.opened.contains(&(0, step)))
+    /// Returns whether all of a job may be over within the time of a stop,
+    /// because every unit of it has begun.
+    fn may_be_over(&self, record: &JobRecord) -> bool {
+        let steps = 0..record.job.steps.len();
+        let mut open = steps.filter(|step| !record.is_step_done(0, *step));
+        let mut units = record.units.values();
+        record.job.repeat.is_none()
+            && open.all(|step| record.opened_steps.contains(&(0, step)))
             && units.all(|unit| {
                 matches!(unit.phase, Phase::Running(_) | Phase::Done)
             })
     }
 
-    /// Returns whether a job was within what its account is guaranteed when
-    /// the present pass began.
-    pub(super) fn is_promised(&self, entry: &Entry) -> bool {
-        self.promised.contains(&entry.job.id)
+    /// Returns whether a job was within its account's guarantee at the start
+    /// of the present pass.
+    pub(super) fn is_within_guarantee(&self, record: &JobRecord) -> bool {
+        self.within_guarantee.contains(&record.job.id)
     }
 
-    /// Returns by when a unit has to begin that is within its account's
-    /// guarantee: what has not run yet from when its job was accepted.
-    pub(super) fn owed(&self, entry: &Entry, key: &UnitKey) -> Instant {
-        let kept = entry.progress.units.get(key);
-        let first = entry.job.steps[key.step].after.is_empty()
-            && entry.job.repeat.is_none()
-            && kept.is_none_or(|kept| kept.run <= 1);
-        let ready = entry.units.get(key).map(|unit| unit.ready);
+    /// Returns when a unit within its account's guarantee has to begin. For
+    /// the first run of a first step the time counts from the acceptance of
+    /// the job, otherwise from when the unit became ready.
+    pub(super) fn must_begin_by(
+        &self,
+        record: &JobRecord,
+        key: &UnitKey,
+    ) -> Instant {
+        let progress = record.progress.units.get(key);
+        let first = record.job.steps[key.step].after.is_empty()
+            && record.job.repeat.is_none()
+            && progress.is_none_or(|progress| progress.run <= 1);
+        let ready = record.units.get(key).map(|unit| unit.ready_since);
         let since = match ready {
             Some(ready) if !first => ready,
-            _ => entry.accepted,
+            _ => record.accepted_at,
         };
-        since + self.terms.reclaim
+        since + self.options.reclaim_time
     }
 
-    /// Returns whether room of a pool is kept for units within guarantees.
-    pub(super) fn keeps_promised(&self, pool: &Text) -> bool {
-        let promised = self.promised.iter().filter_map(|id| self.jobs.get(id));
-        let mut here = promised.filter(|entry| entry.job.pool == *pool);
-        here.any(|entry| {
-            let mut units = entry.units.values();
+    /// Returns whether any resources of a pool are reserved for units within
+    /// guarantees.
+    pub(super) fn reserves_for_guarantees(&self, pool: &SharedStr) -> bool {
+        let guaranteed = self
+            .within_guarantee
+            .iter()
+            .filter_map(|id| self.jobs.get(id));
+        let mut here = guaranteed.filter(|record| record.job.pool == *pool);
+        here.any(|record| {
+            let mut units = record.units.values();
             units.any(|unit| matches!(unit.phase, Phase::Reserved(_)))
         })
     }
 
-    /// Returns when room for a unit within its account's guarantee has to be
-    /// decided on, so that it begins in time though others are stopped for it.
-    pub(super) fn last_call(&self, request: &Request) -> Option<Instant> {
-        let entry = self.jobs.get(&request.id)?;
-        let by = self.owed(entry, &request.key);
-        let takes = self.terms.stop + ORDER;
-        let last = by.checked_sub(takes).unwrap_or(by);
-        self.is_promised(entry).then_some(last)
+    /// Returns the latest time at which places must be chosen for a unit
+    /// within its account's guarantee, so that it begins in time even if other
+    /// runs are stopped for it.
+    pub(super) fn latest_decision(
+        &self,
+        request: &Request,
+    ) -> Option<Instant> {
+        let record = self.jobs.get(&request.id)?;
+        let begin_by = self.must_begin_by(record, &request.key);
+        let lead_time = self.options.stop_time + ORDER_LATENCY;
+        let last = begin_by.checked_sub(lead_time).unwrap_or(begin_by);
+        self.is_within_guarantee(record).then_some(last)
     }
 
-    /// Returns how a unit stands to what its account is guaranteed, if it is
-    /// urgent.
-    pub(super) fn standing(
+    /// Returns the state of the account's guarantee, if the unit is urgent.
+    pub(super) fn guarantee_status(
         &self,
-        entry: &Entry,
+        record: &JobRecord,
         key: &UnitKey,
-        now: Moment,
-    ) -> Option<Standing> {
-        if entry.job.priority > 0 {
+        now: Timestamp,
+    ) -> Option<GuaranteeStatus> {
+        if record.job.priority > 0 {
             return None;
         }
-        let account = &entry.job.account;
-        let owed = self.owed(entry, key);
-        let left = owed.saturating_duration_since(now.now).as_millis();
-        let past = now.now.saturating_duration_since(owed).as_millis();
-        Some(Standing {
+        let account = &record.job.account;
+        let begin_by = self.must_begin_by(record, key);
+        let left = begin_by
+            .saturating_duration_since(now.monotonic)
+            .as_millis();
+        let past = now
+            .monotonic
+            .saturating_duration_since(begin_by)
+            .as_millis();
+        Some(GuaranteeStatus {
             guaranteed: self.guaranteed(account),
-            needed: self.needed().get(account).copied().unwrap_or(0),
-            within: self.is_promised(entry),
-            left: left as i64 - past as i64,
+            needed: self.demand().get(account).copied().unwrap_or(0),
+            within: self.is_within_guarantee(record),
+            left_ms: left as i64 - past as i64,
         })
     }
 
-    /// Returns who holds the accelerators of a pool.
-    pub(super) fn holders(&self, pool: &Text) -> Holders {
-        let mut holders = Holders::default();
-        for entry in self.live().filter(|entry| entry.job.pool == *pool) {
-            let held = entry.units.iter().filter(|(_, unit)| {
+    /// Returns how the accelerators of a pool are used.
+    pub(super) fn pool_usage(&self, pool: &SharedStr) -> PoolUsage {
+        let mut usage = PoolUsage::default();
+        for record in
+            self.live_jobs().filter(|record| record.job.pool == *pool)
+        {
+            let held = record.units.iter().filter(|(_, unit)| {
                 matches!(unit.phase, Phase::Running(_) | Phase::Reserved(_))
             });
             let held = held.map(|(key, unit)| {
-                let each = entry.job.steps[key.step].resources.accelerators;
+                let each = record.job.steps[key.step].resources.accelerators;
                 each * unit.members().count() as i64
             });
             let held: i64 = held.sum();
-            match entry.job.priority {
-                0 if self.is_promised(entry) => holders.within += held,
-                0 => holders.lent += held,
-                _ => holders.lower += held,
+            match record.job.priority {
+                0 if self.is_within_guarantee(record) => usage.within += held,
+                0 => usage.borrowed += held,
+                _ => usage.lower += held,
             }
         }
-        holders
+        usage
     }
 }
--- a/src/graph/history.rs
+++ b/src/graph/history.rs
@@ -1,67 +1,69 @@
-//! How long runs take, learnt from those that were done.
+//! Run time estimates, learned from finished runs.
 //!
-//! Declared times are often off by a factor of two or three, in some queues
-//! more than the runs differ, in others less: so what a queue's last runs
-//! bore out of them counts. A new planner learns anew.
+//! Declared times are often off by a factor of two or three: in some queues by
+//! more than the runs differ among themselves, in others by less. The estimate
+//! therefore trusts declared times as far as the last runs of the queue
+//! confirmed them. A new planner starts without history.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::graph::entry::Entry;
-use crate::graph::Book;
-use crate::graph::Id;
+use crate::graph::job_record::JobRecord;
 use crate::graph::Job;
+use crate::graph::JobId;
 use crate::graph::Prediction;
-use crate::graph::Text;
-
-/// How many steps of a queue are remembered.
-const KEPT: usize = 31;
-/// How many steps of a queue are needed before they count.
-const LEAST: usize = 4;
-/// What speaks for declared times before any run has, as a sum of squares of
-/// logarithms: four steps that are off by a quarter.
-const DECLARED: f64 = 0.25;
-/// How many runs of a step what was expected before them counts for.
-const BEFORE: f64 = 0.5;
-/// The longest that is believed of a run: callers declare anything, and
-/// several times as long must still be a time.
-const LONGEST: Duration = Duration::from_secs(30 * 24 * 3600);
-/// The shortest run, so that every run has a logarithm.
-const SHORTEST: Duration = Duration::from_millis(1);
-
-/// The runs of one step that were done: its tasks are alike, so that a wide
-/// step tells no more than a narrow one.
+use crate::graph::Scheduler;
+use crate::graph::SharedStr;
+
+/// The number of steps that are remembered for each queue.
+const MAX_SAMPLES: usize = 31;
+/// The number of steps from which a queue's history is used.
+const MIN_SAMPLES: usize = 4;
+/// The prior weight of declared times, as a sum of squared logarithms: equals
+/// four steps that are off by a quarter.
+const DECLARED_WEIGHT: f64 = 0.25;
+/// The weight of the queue's estimate beside a step's own runs, in runs.
+const PRIOR_WEIGHT: f64 = 0.5;
+/// The longest run time that is assumed. Callers may declare any value, and a
+/// multiple of it must still be a valid duration.
+const MAX_RUN_TIME: Duration = Duration::from_secs(30 * 24 * 3600);
+/// The shortest run time that is assumed, so that every run time has a
+/// logarithm.
+const MIN_RUN_TIME: Duration = Duration::from_millis(1);
+
+/// The finished runs of one step. A step counts once however many tasks it
+/// has, because its tasks are alike.
 #[derive(Clone, Debug)]
 struct Sample {
-    job: Id,
+    job: JobId,
     step: usize,
     declared: Duration,
-    ran: Runs,
+    ran: RunTimes,
 }
 
-/// What a queue's runs have shown.
+/// The relation of declared to real run times in a queue.
 #[derive(Clone, Copy, Debug)]
-struct Fit {
-    /// Half of the runs took no longer.
+struct QueueFit {
+    /// The median run time.
     median: Duration,
-    /// The means of the logarithms of declared and real times.
+    /// The means of the logarithms of the declared and of the real run times.
     declared: f64,
     ran: f64,
-    /// How much of a difference in declared times is real.
+    /// The share of a difference in declared times that is real, 0 to 1.
     slope: f64,
 }
 
-/// The runs of one step that were done.
+/// The run times of one step.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Runs {
-    /// The sum of the logarithms of how long they took.
+pub(super) struct RunTimes {
+    /// The sum of the logarithms of the run times in seconds.
     sum: f64,
     count: f64,
 }
 
-impl Runs {
-    /// Takes note of a run.
+impl RunTimes {
+    /// Adds the time of a run.
     pub fn push(&mut self, ran: Duration) {
         self.sum += logarithm(ran);
         self.count += 1.0;
@@ -73,18 +75,18 @@
     }
 }
 
-/// The runs that were done, by queue.
+/// The finished runs of each queue.
 #[derive(Clone, Debug, Default)]
 pub(super) struct History {
-    runs: BTreeMap<Text, VecDeque<Sample>>,
-    /// What the runs of each queue with runs enough have shown.
-    fits: BTreeMap<Text, Fit>,
+    runs: BTreeMap<SharedStr, VecDeque<Sample>>,
+    /// The fit of each queue that has at least [`MIN_SAMPLES`] steps.
+    fits: BTreeMap<SharedStr, QueueFit>,
 }
 
 impl History {
-    /// Takes note of how long a run of a job's step took that began anew and
-    /// was done.
-    pub fn learn(&mut self, job: &Job, step: usize, ran: Duration) {
+    /// Records the time of a finished run that did not resume from a
+    /// checkpoint.
+    pub fn record(&mut self, job: &Job, step: usize, ran: Duration) {
         let runs = self.runs.entry(job.queue.clone()).or_default();
         let known = runs
             .iter_mut()
@@ -97,57 +99,58 @@
                     job: job.id.clone(),
                     step,
                     declared: job.steps[step].estimate,
-                    ran: Runs::default(),
+                    ran: RunTimes::default(),
                 };
                 sample.ran.push(ran);
                 runs.push_back(sample);
             }
         }
-        if runs.len() > KEPT {
+        if runs.len() > MAX_SAMPLES {
             runs.pop_front();
         }
-        if runs.len() >= LEAST {
-            let fit = Fit::of(runs);
+        if runs.len() >= MIN_SAMPLES {
+            let fit = QueueFit::of(runs);
             self.fits.insert(job.queue.clone(), fit);
         }
     }
 
-    /// Returns how long a run is expected to take.
-    fn expect(
+    /// Returns the expected run time of a task.
+    fn estimate(
         &self,
-        queue: &Text,
+        queue: &SharedStr,
         declared: Duration,
         prediction: Prediction,
     ) -> Duration {
         let expected = match (prediction, self.fits.get(queue)) {
             (Prediction::Queue, Some(fit)) => fit.median,
             (Prediction::Fitted, Some(fit)) => {
-                let off = logarithm(declared) - fit.declared;
-                exponential(fit.ran + fit.slope * off)
+                let deviation = logarithm(declared) - fit.declared;
+                exponential(fit.ran + fit.slope * deviation)
             }
             _ => declared,
         };
-        expected.min(LONGEST)
+        expected.min(MAX_RUN_TIME)
     }
 }
 
-impl Fit {
-    fn of(runs: &VecDeque<Sample>) -> Fit {
-        let count = runs.len() as f64;
-        let mean =
-            |of: fn(&Sample) -> f64| runs.iter().map(of).sum::<f64>() / count;
+impl QueueFit {
+    fn of(samples: &VecDeque<Sample>) -> QueueFit {
+        let count = samples.len() as f64;
+        let mean = |value: fn(&Sample) -> f64| {
+            samples.iter().map(value).sum::<f64>() / count
+        };
         let declared = mean(|run| logarithm(run.declared));
         let ran = mean(|run| run.ran.mean());
-        let (mut both, mut square) = (0.0, 0.0);
-        for run in runs {
-            let off = logarithm(run.declared) - declared;
-            both += off * (run.ran.mean() - ran);
-            square += off * off;
+        let (mut products, mut squares) = (0.0, 0.0);
+        for run in samples {
+            let deviation = logarithm(run.declared) - declared;
+            products += deviation * (run.ran.mean() - ran);
+            squares += deviation * deviation;
         }
-        // Until the runs say otherwise, a difference declared is one.
-        let slope = (both + DECLARED) / (square + DECLARED);
-        Fit {
-            median: median(runs),
+        // The prior makes the slope 1 until the runs show otherwise.
+        let slope = (products + DECLARED_WEIGHT) / (squares + DECLARED_WEIGHT);
+        QueueFit {
+            median: median(samples),
             declared,
             ran,
             slope: slope.clamp(0.0, 1.0),
@@ -155,17 +158,21 @@
     }
 }
 
-impl Book {
-    /// Returns how long a task of a job's step is expected to run.
-    pub(super) fn expect(&self, entry: &Entry, step: usize) -> Duration {
-        let prediction = self.terms.policy.prediction;
-        let declared = entry.job.steps[step].estimate;
-        let queue = &entry.job.queue;
-        let expected = self.history.expect(queue, declared, prediction);
-        match entry.ran.get(&step) {
+impl Scheduler {
+    /// Returns the expected run time of a task of a job's step.
+    pub(super) fn expected_time(
+        &self,
+        record: &JobRecord,
+        step: usize,
+    ) -> Duration {
+        let prediction = self.options.policy.prediction;
+        let declared = record.job.steps[step].estimate;
+        let queue = &record.job.queue;
+        let expected = self.history.estimate(queue, declared, prediction);
+        match record.run_times.get(&step) {
             Some(runs) if prediction == Prediction::Fitted => {
-                let before = BEFORE * logarithm(expected);
-                exponential((before + runs.sum) / (BEFORE + runs.count))
+                let prior = PRIOR_WEIGHT * logarithm(expected);
+                exponential((prior + runs.sum) / (PRIOR_WEIGHT + runs.count))
             }
             _ => expected,
         }
@@ -173,16 +180,16 @@
 }
 
 fn logarithm(time: Duration) -> f64 {
-    time.max(SHORTEST).as_secs_f64().ln()
+    time.max(MIN_RUN_TIME).as_secs_f64().ln()
 }
 
 fn exponential(logarithm: f64) -> Duration {
-    let longest = LONGEST.as_secs_f64();
+    let longest = MAX_RUN_TIME.as_secs_f64();
     Duration::from_secs_f64(logarithm.exp().min(longest))
 }
 
-fn median(runs: &VecDeque<Sample>) -> Duration {
-    let runs = runs.iter().map(|run| exponential(run.ran.mean()));
+fn median(samples: &VecDeque<Sample>) -> Duration {
+    let runs = samples.iter().map(|run| exponential(run.ran.mean()));
     let mut runs: Vec<Duration> = runs.collect();
     runs.sort();
     runs.get(runs.len() / 2).copied().unwrap_or_default()
--- a/src/graph/inquiry.rs
+++ b/src/graph/inquiry.rs
@@ -1,59 +1,59 @@
-//! Agents that are not heard of, and what they have left in the store.
+//! Queries for the ends that silent agents have saved.
 //!
-//! An agent that does not reach the planner keeps the ends that its worker
-//! lists in the store. Before what runs there is taken for gone, that is
-//! read: a task that is done must not begin again, whatever kept its agent
-//! from saying so.
+//! An agent that cannot reach the planner writes the ends that its worker
+//! lists to the store. The planner reads them before it considers the worker
+//! lost, because a task that is done must not begin again, whatever kept its
+//! agent from reporting.
 
 use std::time::Instant;
 
-use crate::graph::settle::End;
+use crate::graph::settle::MemberEnd;
 use crate::graph::AgentId;
-use crate::graph::Book;
-use crate::graph::Moment;
 use crate::graph::Place;
 use crate::graph::Report;
+use crate::graph::Scheduler;
+use crate::graph::Timestamp;
 
-/// How far the question about an agent has come.
+/// The state of the query about an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Inquiry {
-    /// It is to be asked.
-    Open,
-    /// It is being asked.
-    Asked,
-    /// All that the agent kept before then is known.
+    /// The query has not been sent.
+    Pending,
+    /// The query has been sent.
+    Sent,
+    /// Everything that the agent saved before this time is known.
     Answered(Instant),
 }
 
-impl Book {
-    /// Returns the agents that are silent for so long that their members are
-    /// about to be taken for gone, each once: what they have kept in the
-    /// store must be told to [`Book::inquired`].
+impl Scheduler {
+    /// Returns the agents whose members are about to be considered lost, each
+    /// once. The caller reads what these agents have saved and passes it to
+    /// [`Scheduler::apply_inquiry`].
     pub fn take_inquiries(&mut self) -> Vec<AgentId> {
         let open = self
             .inquiries
             .iter_mut()
-            .filter(|(_, inquiry)| **inquiry == Inquiry::Open);
+            .filter(|(_, inquiry)| **inquiry == Inquiry::Pending);
         open.map(|(agent, inquiry)| {
-            *inquiry = Inquiry::Asked;
+            *inquiry = Inquiry::Sent;
             agent.clone()
         })
         .collect()
     }
 
-    /// Takes in what an agent has kept, as read by a call that was sent at
-    /// `sent`; nothing where it has kept nothing.
-    pub fn inquired(
+    /// Applies the report that an agent has saved, as read by a call that was
+    /// sent at `sent`, or `None` if the agent has saved nothing.
+    pub fn apply_inquiry(
         &mut self,
         agent: &AgentId,
-        kept: Option<Report>,
+        saved: Option<Report>,
         sent: Instant,
-        now: Moment,
+        now: Timestamp,
     ) {
         self.changed = true;
         self.inquiries
             .insert(agent.clone(), Inquiry::Answered(sent));
-        let Some(worker) = kept.and_then(|report| report.worker) else {
+        let Some(worker) = saved.and_then(|report| report.worker) else {
             return;
         };
         self.move_births(agent, &worker.life, &worker.lists);
@@ -62,31 +62,33 @@
             life: worker.life,
         };
         for ended in &worker.lists.ended {
-            let found = self.find(&ended.task, ended.run, &place);
-            if let Some((key, at)) = found {
-                self.save(&ended.task.job, &key, &ended.saved);
-                let end = End::Listed(ended.how);
-                self.end_member(&ended.task.job, &key, at, end, now);
+            let found = self.find_member(&ended.task, ended.run, &place);
+            if let Some((key, position)) = found {
+                self.store_checkpoint(&ended.task.job, &key, &ended.saved);
+                let end = MemberEnd::Listed(ended.how);
+                self.end_member(&ended.task.job, &key, position, end, now);
             }
         }
     }
 
-    /// Returns whether it is known what an agent has kept until `since`;
-    /// else it will be asked.
-    pub(super) fn is_inquired(
+    /// Returns whether everything that an agent saved until `since` is known;
+    /// if not, a query is made pending.
+    pub(super) fn is_inquiry_answered(
         &mut self,
         agent: &AgentId,
         since: Instant,
     ) -> bool {
-        let inquiry =
-            self.inquiries.entry(agent.clone()).or_insert(Inquiry::Open);
+        let inquiry = self
+            .inquiries
+            .entry(agent.clone())
+            .or_insert(Inquiry::Pending);
         match *inquiry {
             Inquiry::Answered(sent) if sent >= since => true,
             Inquiry::Answered(_) => {
-                *inquiry = Inquiry::Open;
+                *inquiry = Inquiry::Pending;
                 false
             }
-            Inquiry::Open | Inquiry::Asked => false,
+            Inquiry::Pending | Inquiry::Sent => false,
         }
     }
 }
--- a/src/graph/entry.rs
+++ b/src/graph/job_record.rs
@@ -1,11 +1,11 @@
-//! A job in the books, and how far it has come.
+//! The scheduler's record of a job.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Instant;
 
-use crate::graph::history::Runs;
+use crate::graph::history::RunTimes;
 use crate::graph::unit::Member;
 use crate::graph::unit::Unit;
 use crate::graph::Job;
@@ -14,38 +14,38 @@
 use crate::graph::Task;
 use crate::graph::UnitKey;
 
-/// A job and how far it has come.
+/// A job with its progress and its open units.
 #[derive(Clone, Debug)]
-pub(super) struct Entry {
+pub(super) struct JobRecord {
     pub job: Arc<Job>,
     pub progress: Progress,
-    /// Counts the changes of the progress.
+    /// The number of changes of the progress.
     pub version: u64,
-    /// The last version that is written.
+    /// The last version of the progress that is written.
     pub written: u64,
     pub cancelled: bool,
-    /// The units that have been opened: their time is due, and the steps
-    /// that they wait for are done.
+    /// The open units: their repetition is due, and the steps that they depend
+    /// on are done.
     pub units: BTreeMap<UnitKey, Unit>,
-    /// The steps that have been opened.
-    pub opened: BTreeSet<(u32, usize)>,
-    /// How long whole runs of each step took.
-    pub ran: BTreeMap<usize, Runs>,
-    /// Whether one of the units under which a worker was lost has since been
-    /// at work without that.
-    pub acquitted: bool,
-    /// Whether a worker was lost under any of its units: of most, none was.
-    pub blamed: bool,
-    pub accepted: Instant,
+    /// The steps whose units are open, by repetition and step.
+    pub opened_steps: BTreeSet<(u32, usize)>,
+    /// How long uninterrupted runs of each step took.
+    pub run_times: BTreeMap<usize, RunTimes>,
+    /// Whether a suspect unit has since worked without the loss of a worker.
+    pub cleared: bool,
+    /// Whether a worker was lost under any unit. Most jobs have no losses and
+    /// skip the checks for suspects.
+    pub has_losses: bool,
+    pub accepted_at: Instant,
 }
 
-impl Entry {
-    pub fn over(&self) -> bool {
+impl JobRecord {
+    pub fn is_over(&self) -> bool {
         self.progress.outcome.is_some()
     }
 
-    /// Returns the members that a unit has.
-    pub fn width(&self, key: &UnitKey) -> u32 {
+    /// Returns the number of members of a unit.
+    pub fn member_count(&self, key: &UnitKey) -> u32 {
         match key.index {
             Some(_) => 1,
             None => self.job.steps[key.step].replicas,
@@ -53,34 +53,34 @@
     }
 
     /// Returns whether every task of a step is done.
-    pub fn step_done(&self, time: u32, step: usize) -> bool {
+    pub fn is_step_done(&self, time: u32, step: usize) -> bool {
         let done = |index| {
             let key = UnitKey { time, step, index };
             self.progress.units.get(&key).is_some_and(|unit| unit.done)
         };
-        let terms = &self.job.steps[step];
-        match terms.gang {
+        let definition = &self.job.steps[step];
+        match definition.gang {
             true => done(None),
-            false => (0..terms.replicas).all(|index| done(Some(index))),
+            false => (0..definition.replicas).all(|index| done(Some(index))),
         }
     }
 
     /// Returns whether every task of the job is done.
-    pub fn all_done(&self) -> bool {
+    pub fn is_all_done(&self) -> bool {
         (0..self.job.times()).all(|time| {
-            (0..self.job.steps.len()).all(|step| self.step_done(time, step))
+            (0..self.job.steps.len()).all(|step| self.is_step_done(time, step))
         })
     }
 
-    /// Returns whether a unit's next failure would be its job's.
-    pub fn is_last(&self, key: &UnitKey) -> bool {
-        let kept = self.progress.units.get(key);
-        let failed = kept.map_or(0, |kept| kept.failed);
+    /// Returns whether the job fails if the unit fails once more.
+    pub fn is_last_attempt(&self, key: &UnitKey) -> bool {
+        let progress = self.progress.units.get(key);
+        let failed = progress.map_or(0, |progress| progress.failed);
         !self.job.steps[key.step].lasting
             && failed + 1 >= self.job.max_attempts
     }
 
-    /// Returns a unit with what it belongs to.
+    /// Returns the unit's identification for the log.
     pub fn subject(&self, key: &UnitKey) -> Subject {
         Subject {
             job: self.job.id.clone(),
--- a/src/graph/mod.rs
+++ b/src/graph/mod.rs
@@ -1,70 +1,67 @@
-//! Jobs that are graphs of steps, and the decisions about them.
+//! Scheduling of jobs that are graphs of steps.
 //!
-//! A *job* has steps; a step has `replicas` tasks. What is placed and
-//! started as one is a *unit*: the whole gang of a step that is a gang, else
-//! one task. Each start of a unit is a *run*, numbered from 1; its members
-//! are one task each, on one worker each.
+//! A *job* has steps, and a step has `replicas` tasks. The *unit* is what the
+//! scheduler places and starts as a whole: all tasks of a step that is a gang,
+//! otherwise a single task. Each start of a unit is a *run*, numbered from 1.
+//! The members of a run are one task each, on one worker each.
 //!
-//! [`Book`] is the decision core: it has no clock, does no I/O and draws no
-//! random numbers. It is told what happened and says which progress must be
-//! written ([`Book::unwritten`]) and what each agent is to do
-//! ([`Book::orders`]). An order is given only once the progress that names
-//! its run is written, and an end is acknowledged only once it is written:
-//! so a planner that takes over neither gives a run number out twice nor
-//! misses an end.
+//! [`Scheduler`] is the decision core: it has no clock, does no I/O and draws
+//! no random numbers. Callers report events to it, write the progress that
+//! [`Scheduler::take_unwritten`] returns, and send each agent its
+//! [`Scheduler::orders`]. The scheduler orders a run only once the progress
+//! that names the run is written, and acknowledges an end only once the end is
+//! written. A planner that takes over therefore neither assigns a run number
+//! twice nor misses an end.
 
 mod advice;
 mod birth;
-mod book;
+pub mod budget;
 mod crash;
 mod decision;
-mod entry;
 mod guarantee;
 mod health;
 mod history;
 mod inquiry;
 mod intake;
 mod job;
+mod job_record;
 mod life;
-mod loss;
+mod liveness;
 mod orders;
 mod pace;
 mod place;
 mod policy;
 mod preempt;
-pub mod price;
 mod progress;
 mod report;
 mod reserve;
+mod resize;
 mod schedule;
+mod scheduler;
 mod settle;
 mod shortage;
-mod shrink;
-mod silence;
 mod spare;
+mod unconfirmed;
 mod unit;
 mod urgency;
 
 pub use advice::Question;
 pub use advice::StepKey;
 pub use advice::Ticket;
-pub use book::Book;
-pub use book::Terms;
-pub use book::Unwritten;
 pub use decision::Decision;
 pub use decision::Subject;
-pub use decision::Wait;
-pub use guarantee::Holders;
-pub use guarantee::Standing;
+pub use decision::WaitReason;
+pub use guarantee::GuaranteeStatus;
+pub use guarantee::PoolUsage;
 pub use job::Advice;
 pub use job::Error;
-pub use job::Id;
 pub use job::Job;
+pub use job::JobId;
 pub use job::Repeat;
 pub use job::Resources;
+pub use job::SharedStr;
 pub use job::Step;
 pub use job::Task;
-pub use job::Text;
 pub use job::MAX_RESOURCE;
 pub use life::Birth;
 pub use life::Life;
@@ -81,17 +78,20 @@
 pub use progress::Unit as UnitProgress;
 pub use progress::UnitKey;
 pub use report::AgentId;
-pub use report::Before;
 pub use report::Ended;
-pub use report::How;
 pub use report::Lists;
+pub use report::PastLife;
 pub use report::Refusal;
 pub use report::Refused;
 pub use report::Report;
+pub use report::RunOutcome;
 pub use report::Running;
 pub use report::Worker as WorkerReport;
-pub use shortage::Lack;
+pub use scheduler::Options;
+pub use scheduler::ProgressUpdate;
+pub use scheduler::Scheduler;
 pub use shortage::Shortage;
+pub use shortage::ShortageKind;
 
 use std::time::Instant;
 use std::time::SystemTime;
@@ -101,20 +101,20 @@
 /// The number of a unit's start, counted from 1.
 pub type Run = u32;
 
-/// A point in time on both clocks.
+/// A reading of both clocks at one point in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Moment {
-    /// The steady clock, for everything that is waited for.
-    pub now: Instant,
-    /// The time of day, for what falls due at a time of day.
+pub struct Timestamp {
+    /// The monotonic clock, for all timeouts.
+    pub monotonic: Instant,
+    /// The wall clock, for jobs that are due at a time of day.
     pub wall: SystemTime,
 }
 
-impl Moment {
-    /// Returns the present.
-    pub fn present() -> Moment {
-        Moment {
-            now: clock::now(),
+impl Timestamp {
+    /// Reads both clocks.
+    pub fn now() -> Timestamp {
+        Timestamp {
+            monotonic: clock::now(),
             wall: clock::wall_time(),
         }
     }
--- a/src/graph/orders.rs
+++ b/src/graph/orders.rs
@@ -1,82 +1,83 @@
-//! What an agent is to do.
+//! Orders to agents.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::graph::advice::Leave;
-use crate::graph::entry::Entry;
+use crate::graph::advice::Permission;
+use crate::graph::job_record::JobRecord;
+use crate::graph::unit::MemberState;
 use crate::graph::unit::Phase;
-use crate::graph::unit::State;
 use crate::graph::unit::Unit;
 use crate::graph::AgentId;
-use crate::graph::Book;
 use crate::graph::Life;
 use crate::graph::Pace;
 use crate::graph::Resources;
 use crate::graph::Run;
+use crate::graph::Scheduler;
+use crate::graph::SharedStr;
 use crate::graph::StepKey;
 use crate::graph::Task;
-use crate::graph::Text;
 use crate::graph::UnitKey;
 
-/// A run to be started.
+/// A run to start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Start {
-    /// The task.
+    /// The task to start.
     pub task: Task,
-    /// Which run of it.
+    /// The number of the run.
     pub run: Run,
-    /// What the task is told.
-    pub spec: Text,
+    /// The specification that is passed on to the task.
+    pub spec: SharedStr,
     /// The checkpoint to resume from, if any.
     pub saved: Option<String>,
-    /// The leave to run there, where one is needed.
+    /// The ticket that permits the run on this worker, where one is needed.
     pub ticket: Option<String>,
-    /// What it takes of the worker's room.
+    /// The resources that the task takes of the worker.
     #[serde(default)]
     pub charge: Resources,
 }
 
-/// A run to be stopped.
+/// A run to stop.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Stop {
-    /// The task.
+    /// The task to stop.
     pub task: Task,
-    /// Which run of it.
+    /// The number of the run.
     pub run: Run,
 }
 
-/// All that an agent is to do; what it has done already stays listed until
-/// its reports show it.
+/// All orders for an agent. An order that is already carried out stays listed
+/// until the agent's reports show it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Orders {
-    /// For which life of its worker.
+    /// The life of the worker that the orders are for.
     pub life: Option<Life>,
-    /// The ends up to this number are kept, and may be forgotten.
+    /// The highest number of an end that is stored. The worker may drop the
+    /// ends up to it.
     pub noted: u64,
-    /// What is to be started.
+    /// The runs to start.
     pub starts: Vec<Start>,
-    /// What is to be stopped.
+    /// The runs to stop.
     pub stops: Vec<Stop>,
-    /// What is to work at another pace.
+    /// The filler tasks that are to change their pace.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub paces: Vec<Pace>,
 }
 
-impl Book {
-    /// Returns what an agent is to do now.
+impl Scheduler {
+    /// Returns the current orders for an agent.
     pub fn orders(&mut self, agent: &AgentId) -> Orders {
-        let mut orders = self.orders_of(std::slice::from_ref(agent));
+        let mut orders = self.orders_for(std::slice::from_ref(agent));
         orders.remove(agent).unwrap_or_default()
     }
 
-    /// Returns what each of several agents is to do now, by one walk over
-    /// all runs however many agents there are.
-    pub fn orders_of(
+    /// Returns the current orders for several agents, with a single walk over
+    /// all runs.
+    pub fn orders_for(
         &mut self,
         agents: &[AgentId],
     ) -> BTreeMap<AgentId, Orders> {
@@ -86,74 +87,74 @@
                 all.insert(agent.clone(), orders);
             }
         }
-        for id in &self.open {
-            if let Some(entry) = self.jobs.get_mut(id) {
-                order(entry, &self.leave, &mut all);
+        for id in &self.open_jobs {
+            if let Some(record) = self.jobs.get_mut(id) {
+                add_orders(record, &self.permissions, &mut all);
             }
         }
         all
     }
 
     /// Acknowledges the ends that are written, and returns an agent's orders
-    /// beside what is to be started and stopped of known runs.
+    /// without the starts and stops of known runs.
     fn begin_orders(&mut self, agent: &AgentId) -> Option<Orders> {
-        let paces = self.paces(agent);
+        let paces = self.pace_orders(agent);
         let worker = self.workers.get_mut(agent)?;
-        while let Some(end) = worker.unnoted.front() {
+        while let Some(end) = worker.unacked_ends.front() {
             let written = self
                 .jobs
                 .get(&end.job)
-                .is_none_or(|entry| entry.written >= end.version);
+                .is_none_or(|record| record.written >= end.version);
             if !written {
                 break;
             }
-            worker.noted = end.number;
-            worker.unnoted.pop_front();
+            worker.acked_end = end.number;
+            worker.unacked_ends.pop_front();
         }
-        let stray = |(task, run): &(Task, Run)| Stop {
+        let unknown_run = |(task, run): &(Task, Run)| Stop {
             task: task.clone(),
             run: *run,
         };
         Some(Orders {
             life: Some(worker.life.clone()),
-            noted: worker.noted,
+            noted: worker.acked_end,
             starts: Vec::new(),
-            stops: worker.strays.iter().map(stray).collect(),
+            stops: worker.unknown_runs.iter().map(unknown_run).collect(),
             paces,
         })
     }
 }
 
-fn order(
-    entry: &mut Entry,
-    leave: &BTreeMap<StepKey, Leave>,
+fn add_orders(
+    record: &mut JobRecord,
+    permissions: &BTreeMap<StepKey, Permission>,
     all: &mut BTreeMap<AgentId, Orders>,
 ) {
-    let mut units = std::mem::take(&mut entry.units);
+    let mut units = std::mem::take(&mut record.units);
     for (key, unit) in &mut units {
-        let step = (entry.job.id.clone(), key.time, key.step);
-        order_unit(entry, key, unit, leave.get(&step), all);
+        let step = (record.job.id.clone(), key.time, key.step);
+        add_unit_orders(record, key, unit, permissions.get(&step), all);
     }
-    entry.units = units;
+    record.units = units;
 }
 
-fn order_unit(
-    entry: &Entry,
+fn add_unit_orders(
+    record: &JobRecord,
     key: &UnitKey,
     unit: &mut Unit,
-    leave: Option<&Leave>,
+    permission: Option<&Permission>,
     all: &mut BTreeMap<AgentId, Orders>,
 ) {
     let Phase::Running(members) = &mut unit.phase else {
         return;
     };
-    let Some(kept) = entry.progress.units.get(key) else {
+    let Some(progress) = record.progress.units.get(key) else {
         return;
     };
-    let stopped = unit.stop.is_some();
+    let stopped = unit.stop_reason.is_some();
     for member in members.iter_mut() {
-        let waits = matches!(member.state, State::Ordered(_));
-        if member.state == State::Ended || !stopped && !waits {
+        let not_begun = matches!(member.state, MemberState::Ordered(_));
+        if member.state == MemberState::Ended || !stopped && !not_begun {
             continue;
         }
         let life = &member.place.life;
@@ -162,26 +163,29 @@
         let Some(orders) = orders else {
             continue;
         };
-        let task = entry.task(key, member);
+        let task = record.task(key, member);
         match member.state {
-            // Once a gang is done without a member, that one must not begin
+            // Once a gang is done, a member that has not begun must not begin
             // any more.
-            State::Ordered(_) | State::Present if stopped || kept.done => {
+            MemberState::Ordered(_) | MemberState::Running
+                if stopped || progress.done =>
+            {
                 orders.stops.push(Stop {
                     task,
-                    run: kept.run,
+                    run: progress.run,
                 });
             }
-            State::Ordered(version) if version <= entry.written => {
-                member.handed = true;
+            MemberState::Ordered(version) if version <= record.written => {
+                member.sent = true;
                 orders.starts.push(Start {
                     task,
-                    run: kept.run,
-                    spec: entry.job.spec.clone(),
-                    saved: Some(kept.from.clone())
+                    run: progress.run,
+                    spec: record.job.spec.clone(),
+                    saved: Some(progress.from.clone())
                         .filter(|from| !from.is_empty()),
-                    ticket: leave.and_then(|leave| leave.ticket(life)),
-                    charge: entry.job.steps[key.step].charge(),
+                    ticket: permission
+                        .and_then(|permission| permission.ticket(life)),
+                    charge: record.job.steps[key.step].charge(),
                 });
             }
             _ => {}
--- a/src/graph/place.rs
+++ b/src/graph/place.rs
@@ -1,78 +1,79 @@
-//! Where a unit's tasks may go.
+//! Placement of units on workers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::graph::book::Worker;
-use crate::graph::entry::Entry;
-use crate::graph::schedule::LONGEST_IDLE;
+use crate::graph::job_record::JobRecord;
+use crate::graph::schedule::MAX_WAIT_WHEN_IDLE;
+use crate::graph::scheduler::Worker;
 use crate::graph::unit::Unit;
 use crate::graph::AgentId;
-use crate::graph::Book;
-use crate::graph::Id;
-use crate::graph::Moment;
+use crate::graph::JobId;
 use crate::graph::Place;
 use crate::graph::Resources;
+use crate::graph::Scheduler;
+use crate::graph::SharedStr;
 use crate::graph::StepKey;
-use crate::graph::Text;
+use crate::graph::Timestamp;
 use crate::graph::UnitKey;
 
-/// What a unit needs.
+/// The requirements of a unit.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
-    pub id: Id,
+    pub id: JobId,
     pub key: UnitKey,
     pub priority: u32,
-    pub pool: Text,
+    pub pool: SharedStr,
     pub width: u32,
     pub charge: Resources,
-    pub label: Option<Text>,
-    pub data_rack: Option<Text>,
+    pub label: Option<SharedStr>,
+    pub data_rack: Option<SharedStr>,
     pub same_rack: bool,
     pub per_worker: Option<u32>,
     pub avoid: Vec<AgentId>,
-    pub ready: Instant,
-    /// Whether it may use room that is kept for others but empty.
-    pub past_kept: bool,
-    /// How long it is expected to run.
+    pub ready_since: Instant,
+    /// Whether the unit may use resources that are reserved for others but
+    /// unoccupied.
+    pub may_use_reserved: bool,
+    /// The expected run time of the unit.
     pub expected: Duration,
-    /// Whether it may not fail once more.
-    pub last: bool,
-    /// Whether a worker was suddenly lost under it.
+    /// Whether the job fails if the unit fails once more.
+    pub last_attempt: bool,
+    /// Whether several workers were suddenly lost under the unit.
     pub suspect: bool,
 }
 
 impl Request {
     pub fn new(
-        entry: &Entry,
+        record: &JobRecord,
         key: &UnitKey,
         unit: &Unit,
         expected: Duration,
     ) -> Request {
-        let step = &entry.job.steps[key.step];
+        let step = &record.job.steps[key.step];
         Request {
-            id: entry.job.id.clone(),
+            id: record.job.id.clone(),
             key: *key,
-            priority: entry.job.priority,
-            pool: entry.job.pool.clone(),
-            width: entry.width(key),
+            priority: record.job.priority,
+            pool: record.job.pool.clone(),
+            width: record.member_count(key),
             charge: step.charge(),
             label: step.label.clone(),
             data_rack: step.data_rack.clone(),
             same_rack: step.gang && step.same_rack,
             per_worker: step.per_worker,
-            avoid: unit.avoid.clone(),
-            ready: unit.ready,
-            past_kept: false,
+            avoid: unit.avoided.clone(),
+            ready_since: unit.ready_since,
+            may_use_reserved: false,
             expected,
-            last: entry.is_last(key),
-            suspect: entry.is_suspect(key),
+            last_attempt: record.is_last_attempt(key),
+            suspect: record.is_suspect(key),
         }
     }
 
-    /// Returns how many of its tasks a worker holds when it is empty.
+    /// Returns how many of the unit's tasks fit on a worker when it is empty.
     pub fn slots(&self, worker: &Worker) -> u32 {
         let most = self.per_worker.unwrap_or(u32::MAX);
         worker.capacity.times(&self.charge).min(most)
@@ -83,8 +84,8 @@
         (self.id.clone(), self.key.time, self.key.step)
     }
 
-    /// Returns whether a rack is one where the unit is not slow.
-    pub fn near(&self, rack: &Text) -> bool {
+    /// Returns whether the unit runs at full speed in a rack.
+    pub fn is_near(&self, rack: &SharedStr) -> bool {
         self.data_rack.as_ref().is_none_or(|data| data == rack)
     }
 }
@@ -93,35 +94,36 @@
 #[derive(Clone, Debug)]
 pub(super) struct Candidate {
     pub place: Place,
-    pub rack: Text,
+    pub rack: SharedStr,
     pub free: Resources,
-    /// How many tasks of the unit's step it may still take.
+    /// How many more tasks of the unit's step the worker may run.
     pub quota: u32,
-    /// What speaks against it, the lower the better.
-    pub doubt: usize,
+    /// The worker's recent failures. Workers with fewer are preferred.
+    pub failures: usize,
 }
 
 impl Candidate {
-    /// Returns how many tasks fit.
+    /// Returns how many tasks fit on the worker now.
     pub fn slots(&self, charge: &Resources) -> u32 {
         self.free.times(charge).min(self.quota)
     }
 }
 
-impl Book {
+impl Scheduler {
     /// Returns a place for each member, if there is room now.
     pub(super) fn place(
         &self,
         request: &Request,
-        now: Moment,
+        now: Timestamp,
     ) -> Option<Vec<Place>> {
-        // Most that wait in a full pool find no room anywhere: one walk tells
-        // so, in place of a copy of the candidates for each rack.
+        // Most waiting units find no room in a full pool. A single walk over
+        // the workers detects that without copying the candidates for each
+        // rack.
         let all = self.workers.values();
         let free =
             all.filter(|w| w.pool == request.pool)
-                .map(|worker| match request.past_kept {
-                    true => worker.empty(),
+                .map(|worker| match request.may_use_reserved {
+                    true => worker.unoccupied(),
                     false => worker.free(),
                 });
         let most = free.map(|free| u64::from(free.times(&request.charge)));
@@ -133,54 +135,56 @@
         if slots.map(u64::from).sum::<u64>() < u64::from(request.width) {
             return None;
         }
-        let choices = self.among(request, &candidates, now).into_iter();
-        choices.filter_map(|chosen| fill(request, chosen)).next()
+        let choices = self.sets_by_rack(request, &candidates, now).into_iter();
+        choices.filter_map(|chosen| pack(request, chosen)).next()
     }
 
-    /// Returns the workers to try together, the best choice first.
-    pub(super) fn choices(
+    /// Returns the sets of workers to try, the best set first.
+    pub(super) fn candidate_sets(
         &self,
         request: &Request,
-        now: Moment,
+        now: Timestamp,
     ) -> Vec<Vec<Candidate>> {
         let candidates = self.candidates(request, now);
-        self.among(request, &candidates, now)
+        self.sets_by_rack(request, &candidates, now)
     }
 
-    /// Returns the candidates to try together, the best choice first.
-    fn among(
+    /// Returns the sets of candidates to try, the best set first.
+    fn sets_by_rack(
         &self,
         request: &Request,
         candidates: &[Candidate],
-        now: Moment,
+        now: Timestamp,
     ) -> Vec<Vec<Candidate>> {
-        // Grouped once: to go through all of them for each of 30 racks was
-        // most of a pass with a burst of urgent gangs.
-        let mut by_rack: BTreeMap<&Text, Vec<usize>> = BTreeMap::new();
-        for (at, candidate) in candidates.iter().enumerate() {
-            by_rack.entry(&candidate.rack).or_default().push(at);
+        // The candidates are grouped by rack once. A walk over all of them for
+        // each of 30 racks dominated passes with bursts of urgent gangs.
+        let mut by_rack: BTreeMap<&SharedStr, Vec<usize>> = BTreeMap::new();
+        for (index, candidate) in candidates.iter().enumerate() {
+            by_rack.entry(&candidate.rack).or_default().push(index);
         }
-        let within = |racks: Option<BTreeSet<Text>>| {
+        let within = |racks: Option<BTreeSet<SharedStr>>| {
             let Some(racks) = racks else {
                 return candidates.to_vec();
             };
             let here = racks.iter().filter_map(|rack| by_rack.get(rack));
             let mut here: Vec<usize> = here.flatten().copied().collect();
             here.sort_unstable();
-            here.iter().map(|at| candidates[*at].clone()).collect()
+            here.iter()
+                .map(|index| candidates[*index].clone())
+                .collect()
         };
-        let racks = self.racks(request, candidates, now).into_iter();
+        let racks = self.rack_choices(request, candidates, now).into_iter();
         racks.map(within).collect()
     }
 
-    /// Returns the sets of racks to try in turn; `None` is all of them.
-    fn racks(
+    /// Returns the sets of racks to try in turn; `None` stands for all racks.
+    fn rack_choices(
         &self,
         request: &Request,
         candidates: &[Candidate],
-        now: Moment,
-    ) -> Vec<Option<BTreeSet<Text>>> {
-        let mut racks: BTreeMap<Text, u32> = BTreeMap::new();
+        now: Timestamp,
+    ) -> Vec<Option<BTreeSet<SharedStr>>> {
+        let mut racks: BTreeMap<SharedStr, u32> = BTreeMap::new();
         for candidate in candidates {
             let here = racks.entry(candidate.rack.clone()).or_default();
             *here = here.saturating_add(candidate.slots(&request.charge));
@@ -189,8 +193,9 @@
         let near = racks.iter().filter(|(rack, _)| roomy.contains(*rack));
         let mut choices = Vec::new();
         if request.same_rack {
-            let mut near: Vec<(&Text, &u32)> = near.collect();
-            // The tightest rack that has room goes first.
+            let mut near: Vec<(&SharedStr, &u32)> = near.collect();
+            // The rack with the least room comes first: if the unit fits
+            // there, larger gaps stay free.
             near.sort_by_key(|(_, slots)| **slots);
             choices.extend(
                 near.iter().map(|(rack, _)| Some([(*rack).clone()].into())),
@@ -199,66 +204,73 @@
             choices.push(Some(near.map(|(rack, _)| rack.clone()).collect()));
         }
         let slow_if_spread = request.same_rack || request.data_rack.is_some();
-        let spread = choices.is_empty() || now.now >= self.near_until(request);
-        if spread && !(slow_if_spread && self.awaits(now)) {
+        let spread =
+            choices.is_empty() || now.monotonic >= self.near_until(request);
+        if spread && !(slow_if_spread && self.awaits_reports(now)) {
             choices.push(None);
         }
         choices
     }
 
-    /// Returns the racks where a unit is not slow and has room once they
-    /// are empty.
-    fn roomy_racks(&self, request: &Request) -> BTreeSet<Text> {
-        let mut slots: BTreeMap<&Text, u32> = BTreeMap::new();
+    /// Returns the racks where a unit runs at full speed and would have room
+    /// if the racks were empty.
+    fn roomy_racks(&self, request: &Request) -> BTreeSet<SharedStr> {
+        let mut slots: BTreeMap<&SharedStr, u32> = BTreeMap::new();
         for worker in self.workers.values() {
             let here = slots.entry(&worker.rack).or_default();
             let stays = !worker.leaving && !worker.gone;
-            let open = !self.closed.contains(&worker.hall);
+            let open = !self.closed_halls.contains(&worker.hall);
             if worker.pool == request.pool && stays && open {
                 *here = here.saturating_add(request.slots(worker));
             }
         }
         slots
             .into_iter()
-            .filter(|(rack, _)| request.near(rack))
+            .filter(|(rack, _)| request.is_near(rack))
             .filter(|(_, slots)| *slots >= request.width)
             .map(|(rack, _)| rack.clone())
             .collect()
     }
 
-    /// Returns until when only racks will do where a unit is not slow.
+    /// Returns until when a unit only accepts racks where it runs at full
+    /// speed.
     fn near_until(&self, request: &Request) -> Instant {
-        let dear = request.expected.mul_f64((self.terms.far - 1.0).max(0.0));
-        let wait = dear.mul_f64(self.terms.policy.near);
-        let until = match self.mostly_idle(&request.pool) {
-            true => request.ready + wait.min(LONGEST_IDLE),
-            false => request.ready + wait,
+        let extra_time = request
+            .expected
+            .mul_f64((self.options.far_slowdown - 1.0).max(0.0));
+        let wait = extra_time.mul_f64(self.options.policy.near_wait);
+        let until = match self.is_mostly_idle(&request.pool) {
+            true => request.ready_since + wait.min(MAX_WAIT_WHEN_IDLE),
+            false => request.ready_since + wait,
         };
-        match self.last_call(request) {
-            // Later there is no time left for stops elsewhere.
+        match self.latest_decision(request) {
+            // Later there would be no time left to stop runs elsewhere.
             Some(last) => until.min(last),
             None => until,
         }
     }
 
-    /// Returns the workers that a unit may use, whatever room they have.
+    /// Returns the workers that a unit may use, whether or not they have room.
     pub(super) fn candidates(
         &self,
         request: &Request,
-        now: Moment,
+        now: Timestamp,
     ) -> Vec<Candidate> {
-        let leave = self.leave_of(request);
-        let sound: Vec<(&AgentId, &Worker)> = self
+        let requirement = self.requirement_of(request);
+        let usable: Vec<(&AgentId, &Worker)> = self
             .workers
             .iter()
-            .filter(|(_, worker)| self.usable(worker, request, now))
-            .filter(|(_, worker)| leave.allows(&worker.life, now.now))
+            .filter(|(_, worker)| self.is_usable(worker, request, now))
+            .filter(|(_, worker)| {
+                requirement.allows(&worker.life, now.monotonic)
+            })
             .collect();
-        let wary = self.terms.policy.probation && request.last;
-        let sound = untried(request, sound, wary);
-        let sound = self.apart(request, sound, now);
-        let spare = self.spare(request, &sound, now);
-        sound
+        let avoid_failing =
+            self.options.policy.probation && request.last_attempt;
+        let usable = prefer_untried(request, usable, avoid_failing);
+        let usable = self.isolate_suspect(request, usable, now);
+        let spare = self.spare_workers(request, &usable, now);
+        usable
             .into_iter()
             .filter(|(agent, _)| !spare.contains(*agent))
             .map(|(agent, worker)| Candidate {
@@ -267,44 +279,46 @@
                     life: worker.life.clone(),
                 },
                 rack: worker.rack.clone(),
-                free: match request.past_kept {
-                    true => worker.empty(),
+                free: match request.may_use_reserved {
+                    true => worker.unoccupied(),
                     false => worker.free(),
                 },
                 quota: self.quota(request, agent),
-                doubt: worker.health.doubt(),
+                failures: worker.health.failure_count(),
             })
             .collect()
     }
 
-    pub(super) fn usable(
+    pub(super) fn is_usable(
         &self,
         worker: &Worker,
         request: &Request,
-        now: Moment,
+        now: Timestamp,
     ) -> bool {
         let label = request.label.as_ref();
         worker.pool == request.pool
             && !worker.leaving
-            && !self.closed.contains(&worker.hall)
+            && !self.closed_halls.contains(&worker.hall)
             && !worker.silent
             && !worker.gone
-            && !worker.health.apart(now.now)
-            && worker.trial.is_none_or(|until| now.now >= until)
-            && now.now < worker.granted + self.terms.contact
+            && !worker.health.is_quarantined(now.monotonic)
+            && worker
+                .isolated_until
+                .is_none_or(|until| now.monotonic >= until)
+            && now.monotonic < worker.last_grant + self.options.contact_timeout
             && label.is_none_or(|label| worker.labels.contains(label))
             && worker.capacity.holds(&request.charge)
     }
 
-    /// Returns how many more tasks of a step a worker may take.
+    /// Returns how many more tasks of a step a worker may run.
     fn quota(&self, request: &Request, agent: &AgentId) -> u32 {
         let Some(most) = request.per_worker else {
             return u32::MAX;
         };
-        let Some(entry) = self.jobs.get(&request.id) else {
+        let Some(record) = self.jobs.get(&request.id) else {
             return 0;
         };
-        let here = entry
+        let here = record
             .units
             .iter()
             .filter(|(key, _)| {
@@ -317,30 +331,31 @@
     }
 }
 
-/// Leaves out the workers where a unit has failed, and for a wary one those
-/// in doubt, if the others could hold it; a unit that has waited while most
-/// is idle takes them all the same.
-fn untried<'a>(
+/// Leaves out the workers that the unit has failed on and, if `avoid_failing`,
+/// those with recent failures, provided that the others could hold the unit. A
+/// unit that has waited while most of the pool is idle may use all of them.
+fn prefer_untried<'a>(
     request: &Request,
-    sound: Vec<(&'a AgentId, &'a Worker)>,
-    wary: bool,
+    usable: Vec<(&'a AgentId, &'a Worker)>,
+    avoid_failing: bool,
 ) -> Vec<(&'a AgentId, &'a Worker)> {
     let slots = |worker: &Worker| u64::from(request.slots(worker));
-    let tried = |agent: &AgentId, worker: &Worker| {
-        request.avoid.contains(agent) || wary && worker.health.doubt() > 0
+    let avoided = |agent: &AgentId, worker: &Worker| {
+        request.avoid.contains(agent)
+            || avoid_failing && worker.health.failure_count() > 0
     };
-    let others = sound.iter().filter(|(agent, w)| !tried(agent, w));
-    let held: u64 = others.map(|(_, worker)| slots(worker)).sum();
-    if request.past_kept || held < u64::from(request.width) {
-        return sound;
+    let others = usable.iter().filter(|(agent, w)| !avoided(agent, w));
+    let slots_elsewhere: u64 = others.map(|(_, worker)| slots(worker)).sum();
+    if request.may_use_reserved || slots_elsewhere < u64::from(request.width) {
+        return usable;
     }
-    let others = sound.into_iter().filter(|(agent, w)| !tried(agent, w));
+    let others = usable.into_iter().filter(|(agent, w)| !avoided(agent, w));
     others.collect()
 }
 
-/// Returns a place for each member on the given workers, the fullest that
-/// still fit going first so that whole workers stay free.
-pub(super) fn fill(
+/// Returns a place for each member on the given workers. The fullest workers
+/// that still have room are used first, so that whole workers stay free.
+pub(super) fn pack(
     request: &Request,
     mut candidates: Vec<Candidate>,
 ) -> Option<Vec<Place>> {
@@ -351,7 +366,7 @@
             .filter(|c| c.quota > 0 && c.free.holds(&request.charge))
             .min_by_key(|c| {
                 let left = c.free.minus(&request.charge);
-                (c.doubt, left.accelerators, left.cpu)
+                (c.failures, left.accelerators, left.cpu)
             })?;
         best.free = best.free.minus(&request.charge);
         best.quota -= 1;
--- a/src/graph/shortage.rs
+++ b/src/graph/shortage.rs
@@ -1,74 +1,75 @@
-//! What a unit that finds no room lacks, with figures.
+//! The shortage of a unit that finds no room, in figures.
 //!
-//! "No room" alone says nothing of what would help: more workers, gangs that
-//! lie closer together, less that is kept, or another one that is stopped.
+//! A bare "no room" does not show what would help: more workers, gangs that
+//! are packed more closely, fewer reservations, or another run that is
+//! stopped.
 
-use crate::graph::book::Worker;
 use crate::graph::place::Request;
-use crate::graph::Book;
-use crate::graph::Holders;
-use crate::graph::Moment;
+use crate::graph::scheduler::Worker;
+use crate::graph::PoolUsage;
 use crate::graph::Resources;
+use crate::graph::Scheduler;
+use crate::graph::Timestamp;
 
-/// Why a unit finds no room, the first that holds.
+/// Why a unit finds no room. The first kind that applies is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lack {
-    /// Fewer accelerators are free than it asks for.
+pub enum ShortageKind {
+    /// Fewer accelerators are free than the unit requests.
     Accelerators,
-    /// Enough are free, though not enough on single workers.
-    Together,
-    /// Enough are free together, but cores or memory are not.
+    /// Enough accelerators are free, but not enough on single workers.
+    Fragmented,
+    /// The accelerators would suffice, but CPU or memory does not.
     Cores,
-    /// There is room enough, part of it kept for others.
-    Kept,
-    /// There is room enough, part of it left to more urgent work.
+    /// The resources would suffice, but a part of them is reserved for others.
+    Reserved,
+    /// The resources would suffice, but a part of them is left to more urgent
+    /// work.
     Spare,
-    /// There is room enough, but not within one rack.
+    /// The resources would suffice, but not within one rack.
     Rack,
 }
 
-impl Lack {
-    /// Returns the word for it in logs.
+impl ShortageKind {
+    /// Returns the value that names the kind in logs.
     pub fn word(self) -> &'static str {
         match self {
-            Lack::Accelerators => "accelerators",
-            Lack::Together => "accelerators together",
-            Lack::Cores => "cores or memory",
-            Lack::Kept => "room that is kept",
-            Lack::Spare => "room for urgent work",
-            Lack::Rack => "room in one rack",
+            ShortageKind::Accelerators => "accelerators",
+            ShortageKind::Fragmented => "accelerators together",
+            ShortageKind::Cores => "cores or memory",
+            ShortageKind::Reserved => "room that is kept",
+            ShortageKind::Spare => "room for urgent work",
+            ShortageKind::Rack => "room in one rack",
         }
     }
 }
 
-/// What a unit lacks.
+/// The shortage of a waiting unit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shortage {
-    /// Why it finds no room.
-    pub lack: Lack,
-    /// The accelerators that it asks for.
+    /// Why the unit finds no room.
+    pub kind: ShortageKind,
+    /// The accelerators that the unit requests.
     pub needed: i64,
-    /// Those that nothing is in, on workers that it may use.
+    /// The unoccupied accelerators on workers that the unit may use.
     pub free: i64,
-    /// How many of its tasks would fit now, all but racks looked away from.
+    /// How many of the unit's tasks would fit now, without regard to racks.
     pub fits: u32,
-    /// The core-seconds that stopping others would throw away, if that makes
-    /// room.
-    pub dear: Option<f64>,
-    /// Who holds the pool's accelerators.
-    pub holders: Holders,
+    /// The core-seconds that preemption would lose, if it could make room.
+    pub preemption_cost: Option<f64>,
+    /// How the pool's accelerators are used.
+    pub usage: PoolUsage,
 }
 
-impl Book {
-    /// Returns what a unit lacks that finds no room.
+impl Scheduler {
+    /// Returns the shortage of a unit that finds no room.
     pub(super) fn shortage(
         &self,
         request: &Request,
-        dear: Option<f64>,
-        now: Moment,
+        preemption_cost: Option<f64>,
+        now: Timestamp,
     ) -> Shortage {
         let workers = self.workers.values();
-        let usable = workers.filter(|w| self.usable(w, request, now));
+        let usable = workers.filter(|w| self.is_usable(w, request, now));
         let usable: Vec<&Worker> = usable.collect();
         let accelerators = Resources {
             accelerators: request.charge.accelerators,
@@ -78,32 +79,32 @@
             let each = usable.iter().map(|w| room(w).times(charge));
             each.fold(0, u32::saturating_add)
         };
-        let free = usable.iter().map(|w| w.empty().accelerators).sum();
+        let free = usable.iter().map(|w| w.unoccupied().accelerators).sum();
         let needed = request.charge.accelerators * i64::from(request.width);
         let candidates = self.candidates(request, now);
         let fits = candidates.iter().map(|c| c.slots(&request.charge));
         let fits = fits.fold(0, u32::saturating_add);
         let width = request.width;
-        let lack = if free < needed {
-            Lack::Accelerators
-        } else if slots(Worker::empty, &accelerators) < width {
-            Lack::Together
-        } else if slots(Worker::empty, &request.charge) < width {
-            Lack::Cores
+        let kind = if free < needed {
+            ShortageKind::Accelerators
+        } else if slots(Worker::unoccupied, &accelerators) < width {
+            ShortageKind::Fragmented
+        } else if slots(Worker::unoccupied, &request.charge) < width {
+            ShortageKind::Cores
         } else if slots(Worker::free, &request.charge) < width {
-            Lack::Kept
+            ShortageKind::Reserved
         } else if fits < width {
-            Lack::Spare
+            ShortageKind::Spare
         } else {
-            Lack::Rack
+            ShortageKind::Rack
         };
         Shortage {
-            lack,
+            kind,
             needed,
             free,
             fits,
-            dear,
-            holders: self.holders(&request.pool),
+            preemption_cost,
+            usage: self.pool_usage(&request.pool),
         }
     }
 }
--- a/src/graph/urgency.rs
+++ b/src/graph/urgency.rs
@@ -1,80 +1,82 @@
-//! How soon units must go on, and what they are told to wait for.
+//! The order of waiting units, and the reasons for which they wait.
 //!
-//! The load that the order answers: bursts of twice the urgent gangs that
-//! there is room for. By the latest start alone those whose time is past go
-//! first, and each takes the room of one that could be in time, until all are
-//! late. So they go behind those, the smallest first. What an account is
-//! guaranteed goes first however late it is.
+//! The order is made for bursts of twice as many urgent gangs as there is room
+//! for. If units were ordered by latest start alone, those that are already
+//! late would come first, and each would take the place of one that could
+//! still be in time, until all are late. Late units therefore wait behind the
+//! others, the smallest first. Units within a guarantee come first however
+//! late they are.
 
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::graph::entry::Entry;
-use crate::graph::place::fill;
+use crate::graph::job_record::JobRecord;
+use crate::graph::place::pack;
 use crate::graph::place::Request;
 use crate::graph::preempt::cores;
-use crate::graph::unit::Told;
-use crate::graph::Book;
+use crate::graph::unit::LoggedWait;
 use crate::graph::Decision;
-use crate::graph::Id;
-use crate::graph::Moment;
+use crate::graph::JobId;
+use crate::graph::Scheduler;
+use crate::graph::Timestamp;
 use crate::graph::UnitKey;
-use crate::graph::Wait;
+use crate::graph::WaitReason;
 
-/// How long after it was told what a unit waits for is looked at again.
-const LOOK_AGAIN: Duration = Duration::from_millis(1000);
+/// How long after a check the reason for which a unit waits is checked again.
+const WAIT_CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// How many times its objective a job takes at most to be of any use.
-const USELESS: u32 = 3;
+/// The multiple of its objective after which a job is of no use any more.
+const USELESS_FACTOR: u32 = 3;
 
-/// What kind of unit waits, what goes first in front.
+/// The class of a waiting unit; lower classes are served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Class {
-    /// Urgent, and within its account's guarantee.
-    Promised,
+    /// Urgent, and within the account's guarantee.
+    Guaranteed,
     /// Urgent, and in time if it starts soon.
     Urgent,
-    /// Urgent, and late all the same.
+    /// Urgent, and late whenever it starts.
     Late,
-    /// Any other.
+    /// Not urgent.
     Other,
-    /// Of no use any more.
-    Hopeless,
+    /// Not urgent, and too late to be of use.
+    Useless,
 }
 
-/// Where a unit stands among those that wait.
+/// The rank of a waiting unit; lower ranks are served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     class: Class,
-    /// Its core-seconds, where the smallest go first.
+    /// The unit's core-seconds if the smallest units go first, otherwise 0.
     size: u64,
-    /// By when it would have to start to be in time.
+    /// The latest start at which the unit is in time.
     latest: Instant,
 }
 
-impl Book {
-    /// Returns where a unit stands among those that wait.
+impl Scheduler {
+    /// Returns the rank of a waiting unit.
     pub(super) fn rank(
         &self,
-        entry: &Entry,
+        record: &JobRecord,
         key: &UnitKey,
-        now: Moment,
+        now: Timestamp,
     ) -> Rank {
-        let job = &entry.job;
-        let (latest, hopeless) = self.due(entry, key);
-        let first = !self.terms.policy.late_last || now.now <= latest;
+        let job = &record.job;
+        let (latest, hopeless) = self.deadlines(record, key);
+        let first = !self.options.policy.late_last || now.monotonic <= latest;
         let class = match job.priority {
-            // Beside other urgent work it waits behind borrowers that are in
-            // a greater hurry, past the time in which it is to begin.
-            0 if self.is_promised(entry) => Class::Promised,
+            // Ranked by latest start alone, such a unit would wait behind
+            // borrowing units in a greater hurry, beyond the time within which
+            // it has to begin.
+            0 if self.is_within_guarantee(record) => Class::Guaranteed,
             0 if first => Class::Urgent,
             0 => Class::Late,
-            _ if now.now >= hopeless => Class::Hopeless,
+            _ if now.monotonic >= hopeless => Class::Useless,
             _ => Class::Other,
         };
         let step = &job.steps[key.step];
-        let work = cores(&step.charge()) * f64::from(entry.width(key));
-        let work = work * self.expect(entry, key.step).as_secs_f64();
+        let work = cores(&step.charge()) * f64::from(record.member_count(key));
+        let work = work * self.expected_time(record, key.step).as_secs_f64();
         let size = match class {
             Class::Late => work as u64,
             _ => 0,
@@ -86,97 +88,113 @@
         }
     }
 
-    /// Returns by when a unit would have to start to be in time, and from
-    /// when on it is of no use.
-    fn due(&self, entry: &Entry, key: &UnitKey) -> (Instant, Instant) {
-        let job = &entry.job;
-        let objective = self.objective(entry);
-        // Of a job that runs several times, each time counts by itself.
+    /// Returns the latest start at which a unit is in time, and the time from
+    /// which it is of no use.
+    fn deadlines(
+        &self,
+        record: &JobRecord,
+        key: &UnitKey,
+    ) -> (Instant, Instant) {
+        let job = &record.job;
+        let objective = self.objective(record);
+        // Each repetition of a job is timed from when it is due.
         let late = job.due(key.time).duration_since(job.accepted);
-        let due = entry.accepted + late.unwrap_or_default();
-        let latest = due + objective.saturating_sub(self.chain(entry));
-        (latest, due + objective * USELESS)
+        let due = record.accepted_at + late.unwrap_or_default();
+        let latest = due
+            + objective.saturating_sub(self.expected_critical_path(record));
+        (latest, due + objective * USELESS_FACTOR)
     }
 
-    /// Returns within which a job is to end, as far as its runs tell.
-    pub(super) fn objective(&self, entry: &Entry) -> Duration {
-        let stretch = entry.job.stretch.max(1.0);
-        self.chain(entry).mul_f64(stretch) + entry.job.target
+    /// Returns the time within which a job should end, from its expected run
+    /// times.
+    pub(super) fn objective(&self, record: &JobRecord) -> Duration {
+        let stretch = record.job.stretch.max(1.0);
+        self.expected_critical_path(record).mul_f64(stretch)
+            + record.job.target
     }
 
-    /// Returns the longest chain of expected work through a job's steps.
-    pub(super) fn chain(&self, entry: &Entry) -> Duration {
-        entry.job.chain(|step| self.expect(entry, step))
+    /// Returns the length of a job's critical path, from its expected run
+    /// times.
+    pub(super) fn expected_critical_path(
+        &self,
+        record: &JobRecord,
+    ) -> Duration {
+        record
+            .job
+            .critical_path(|step| self.expected_time(record, step))
     }
 
-    /// Returns what is left until a unit would have to start, in ms; below
-    /// 0 once that is past.
-    pub(super) fn slack(
+    /// Returns the time left until a unit's latest start, in ms; below 0 once
+    /// that is past.
+    pub(super) fn slack_ms(
         &self,
-        entry: &Entry,
+        record: &JobRecord,
         key: &UnitKey,
-        now: Moment,
+        now: Timestamp,
     ) -> i64 {
-        let (latest, _) = self.due(entry, key);
-        let left = latest.saturating_duration_since(now.now).as_millis();
-        let past = now.now.saturating_duration_since(latest).as_millis();
+        let (latest, _) = self.deadlines(record, key);
+        let left = latest.saturating_duration_since(now.monotonic).as_millis();
+        let past = now.monotonic.saturating_duration_since(latest).as_millis();
         left as i64 - past as i64
     }
 
-    /// Tells what a unit waits for, unless that was told already; `dear` is
-    /// what stopping others for it would throw away.
-    pub(super) fn tell_wait(
+    /// Records why a unit waits, unless that is already recorded.
+    /// `preemption_cost` is the work that stopping other runs for the unit
+    /// would lose.
+    pub(super) fn record_wait(
         &mut self,
-        id: &Id,
+        id: &JobId,
         key: &UnitKey,
-        dear: Option<f64>,
-        now: Moment,
+        preemption_cost: Option<f64>,
+        now: Timestamp,
     ) {
-        let Some(entry) = self.jobs.get(id) else {
+        let Some(record) = self.jobs.get(id) else {
             return;
         };
-        let Some(unit) = entry.units.get(key) else {
+        let Some(unit) = record.units.get(key) else {
             return;
         };
-        if unit
-            .waits
-            .is_some_and(|told| now.now < told.at + LOOK_AGAIN)
-        {
+        if unit.logged_wait.is_some_and(|logged| {
+            now.monotonic < logged.checked_at + WAIT_CHECK_INTERVAL
+        }) {
             return;
         }
-        let expected = self.expect(entry, key.step);
-        let request = Request::new(entry, key, unit, expected);
+        let expected = self.expected_time(record, key.step);
+        let request = Request::new(record, key, unit, expected);
         let candidates = self.candidates(&request, now);
         let workers = candidates.len();
-        let what = match candidates.is_empty() {
-            true => Wait::Worker,
-            false if fill(&request, candidates).is_some() => Wait::Rack,
-            false => Wait::Room,
+        let reason = match candidates.is_empty() {
+            true => WaitReason::Worker,
+            false if pack(&request, candidates).is_some() => WaitReason::Rack,
+            false => WaitReason::Room,
         };
-        let standing = self.standing(entry, key, now);
-        let within = standing.is_some_and(|standing| standing.within);
-        let told = unit.waits.filter(|told| told.within == within);
-        let news = told.is_none_or(|told| told.what != what);
-        let lacks = news && what != Wait::Worker;
-        let told = Decision::Waits {
-            of: entry.subject(key),
-            what,
-            slack: self.slack(entry, key, now),
+        let guarantee = self.guarantee_status(record, key, now);
+        let within = guarantee.is_some_and(|guarantee| guarantee.within);
+        let logged = unit
+            .logged_wait
+            .filter(|logged| logged.within_guarantee == within);
+        let news = logged.is_none_or(|logged| logged.reason != reason);
+        let lacks = news && reason != WaitReason::Worker;
+        let decision = Decision::Waiting {
+            subject: record.subject(key),
+            reason,
+            slack_ms: self.slack_ms(record, key, now),
             workers,
-            standing,
-            shortage: lacks.then(|| self.shortage(&request, dear, now)),
+            guarantee,
+            shortage: lacks
+                .then(|| self.shortage(&request, preemption_cost, now)),
         };
-        let entry = self.jobs.get_mut(id);
-        let unit = entry.and_then(|e| e.units.get_mut(key));
+        let record = self.jobs.get_mut(id);
+        let unit = record.and_then(|e| e.units.get_mut(key));
         if let Some(unit) = unit {
-            unit.waits = Some(Told {
-                what,
-                within,
-                at: now.now,
+            unit.logged_wait = Some(LoggedWait {
+                reason,
+                within_guarantee: within,
+                checked_at: now.monotonic,
             });
         }
         if news {
-            self.note(told);
+            self.record_decision(decision);
         }
     }
 }
--- a/tests/it/guarantees.rs
+++ b/tests/it/guarantees.rs
@@ -54,7 +54,8 @@
     }
     site.settle();
     for worker in [1, 3] {
-        site.workers[worker].end(landingvalve::graph::How::Done, |_| true);
+        site.workers[worker]
+            .end(landingvalve::graph::RunOutcome::Done, |_| true);
     }
     site.settle();
     if let Some(priority) = rest {
@@ -144,7 +145,7 @@
     for _ in 0..2 {
         for at in 0..site.workers.len() {
             let report = site.workers[at].report();
-            site.book.report(report, site.now);
+            site.book.apply_report(report, site.now);
         }
         site.step();
         site.write();
--- a/tests/it/shortage.rs
+++ b/tests/it/shortage.rs
@@ -1,8 +1,8 @@
 //! What a unit that finds no room is told to lack.
 
 use landingvalve::graph::Decision;
-use landingvalve::graph::Lack;
 use landingvalve::graph::Shortage;
+use landingvalve::graph::ShortageKind;
 use landingvalve::graph::Step;
 
 use crate::graph::job;
@@ -33,7 +33,7 @@
     }
     let told = site.book.take_decisions().into_iter().rev();
     let shortage = told.filter_map(|decision| match decision {
-        Decision::Waits { shortage, .. } => shortage,
+        Decision::Waiting { shortage, .. } => shortage,
         _ => None,
     });
     shortage.last().expect("it waits")
@@ -45,22 +45,22 @@
     let cases = [
         // All are in use.
         (
-            Lack::Accelerators,
+            ShortageKind::Accelerators,
             vec![whole(), whole(), takes(3, 1, 8, true)],
         ),
         // Half of each worker is: what is left holds no whole one.
         (
-            Lack::Together,
+            ShortageKind::Fragmented,
             vec![takes(4, 33, 4, false), takes(2, 1, 8, true)],
         ),
         // Cores are: the accelerators beside them are stranded.
         (
-            Lack::Cores,
+            ShortageKind::Cores,
             vec![takes(4, 60, 1, false), takes(2, 8, 4, true)],
         ),
         // One worker of each rack is free.
         (
-            Lack::Rack,
+            ShortageKind::Rack,
             vec![
                 whole(),
                 Step {
@@ -76,7 +76,7 @@
     ];
     for (lack, steps) in cases {
         let told = lacks(1, steps);
-        assert_eq!(told.lack, lack, "{told:?}");
+        assert_eq!(told.kind, lack, "{told:?}");
     }
 }
 
@@ -85,5 +85,5 @@
     let whole = |replicas| takes(replicas, 1, 8, true);
     let told = lacks(1, vec![whole(1), whole(2), whole(3)]);
     assert_eq!((told.needed, told.free, told.fits), (24, 8, 1));
-    assert_eq!(told.dear, None, "nothing is stopped for it");
+    assert_eq!(told.preemption_cost, None, "nothing is stopped for it");
 }
