--- a/crates/landingvalve-sim/src/day.rs
+++ b/crates/landingvalve-sim/src/day.rs
@@ -259,7 +259,7 @@
         let peers = Peers::new(&name, dial, log::none());
         let direct = self.store.of(&self.network, process);
         let store = Relay::new(direct, peers.clone(), log::none());
-        let host = Host::new().with_carrier(Arc::new(store.clone()));
+        let host = Host::new().with_proxy(Arc::new(store.clone()));
         self.network.listen(&address, process, host.clone());
         let named = peers.follow(store.clone(), address.clone());
         let session = Session {
@@ -303,7 +303,7 @@
             agent: format!("agent-{at}").into(),
             survival: Terms::default().survival,
             lease: Duration::from_secs(6),
-            dial: self.network.dial(process),
+            connector: self.network.dial(process),
             log: log::none(),
         };
         let worker = agent.site.of(&self.network, process);
--- a/crates/landingvalve-sim/src/network.rs
+++ b/crates/landingvalve-sim/src/network.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use jsonrpsee::core::async_trait;
-use landingvalve::cell::dial::Dial;
-use landingvalve::cell::dial::Peer;
+use landingvalve::cell::connector::Connector;
+use landingvalve::cell::connector::Peer;
 use landingvalve::cell::relay::call::Call;
 use landingvalve::cell::relay::call::Reply;
 use landingvalve::cell::rpc::Answer;
@@ -113,7 +113,7 @@
     }
 
     /// Returns the dial of a process.
-    pub fn dial(&self, process: Process) -> Arc<dyn Dial> {
+    pub fn dial(&self, process: Process) -> Arc<dyn Connector> {
         let network = self.clone();
         Arc::new(Dialler { network, process })
     }
@@ -134,8 +134,8 @@
 }
 
 #[async_trait]
-impl Dial for Dialler {
-    async fn dial(&self, address: &str) -> Result<Arc<dyn Peer>, Error> {
+impl Connector for Dialler {
+    async fn connect(&self, address: &str) -> Result<Arc<dyn Peer>, Error> {
         tokio::time::sleep(WAY * 2).await;
         match self.network.reach(self.process, address) {
             Some(_) => Ok(Arc::new(Connection {
--- a/crates/landingvalve-sim/src/worker.rs
+++ b/crates/landingvalve-sim/src/worker.rs
@@ -8,7 +8,7 @@
 use landingvalve::cell::member::Heartbeat;
 use landingvalve::cell::worker::Call;
 use landingvalve::cell::worker::Error;
-use landingvalve::cell::worker::Look;
+use landingvalve::cell::worker::Snapshot;
 use landingvalve::cell::worker::Worker;
 use landingvalve::cell::worker::WorkerTime;
 use landingvalve::graph::Ended;
@@ -368,7 +368,7 @@
 enum Order {
     Start(Start, WorkerTime),
     Stop(Stop),
-    Look(u64, Option<WorkerTime>),
+    Snapshot(u64, Option<WorkerTime>),
 }
 
 impl Site {
@@ -394,7 +394,7 @@
                 self.start(&mut data, start, *expires, when)?;
             }
             Order::Stop(stop) => self.stop(&mut data, stop),
-            Order::Look(noted, expires) => {
+            Order::Snapshot(noted, expires) => {
                 self.acknowledge(&mut data, *noted, *expires, when);
             }
         }
@@ -595,17 +595,17 @@
         _pace: &Pace,
     ) -> Result<WorkerTime, Error> {
         // Nothing fills or serves here.
-        self.order(call, Order::Look(0, None)).await
+        self.order(call, Order::Snapshot(0, None)).await
     }
 
-    async fn look(
+    async fn poll(
         &self,
         call: &Call,
         noted: u64,
         expires: Option<WorkerTime>,
         wait: Duration,
-    ) -> Result<Look, Error> {
-        let order = Order::Look(noted, expires);
+    ) -> Result<Snapshot, Error> {
+        let order = Order::Snapshot(noted, expires);
         self.order(call, order).await?;
         let births = lock(&self.site.data).births;
         let deadline = Instant::now() + wait;
@@ -628,7 +628,7 @@
 }
 
 impl Data {
-    fn look(&self) -> Look {
+    fn look(&self) -> Snapshot {
         let running = self.running.iter().map(|(task, work)| Running {
             task: task.clone(),
             run: work.run,
@@ -636,7 +636,7 @@
             pace: 100.0,
             load: Some(f64::from(u8::from(work.whole)) * 1000.0),
         });
-        Look {
+        Snapshot {
             born: self.life().born(),
             time: self.time(),
             lists: Lists {
--- a/src/cell/admission.rs
+++ b/src/cell/admission.rs
@@ -10,7 +10,7 @@
 
 use crate::cell::keys;
 use crate::cell::pause;
-use crate::cell::reach::Reach;
+use crate::cell::reachability::Reachability;
 use crate::graph;
 use crate::graph::Id;
 use crate::graph::Job;
@@ -28,24 +28,24 @@
 
 /// How long a store that turns calls away is asked again before a job is
 /// refused: the caller is told at once when to come back.
-const PATIENCE: Duration = Duration::from_millis(600);
+const DEFAULT_PATIENCE: Duration = Duration::from_millis(600);
 /// How long is waited before the store is asked again.
-const AGAIN: Duration = Duration::from_millis(60);
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 /// How long a write may have no answer before it is made again, for the
 /// first time; twice as long each further time. The slowest answers of a
 /// store that serves took 340 ms; a job that waits for one that does not
 /// come is late 1.5 s after it was sent.
-const UNANSWERED: Duration = Duration::from_millis(350);
+const FIRST_WRITE_TIMEOUT: Duration = Duration::from_millis(350);
 /// How long the end of a job that runs is waited for: what it takes from its
 /// worker through the planner into the store, with some to spare.
-const END: Duration = Duration::from_millis(120);
+const END_WAIT: Duration = Duration::from_millis(120);
 /// How much longer than it waits such a call may take.
 const END_SLACK: Duration = Duration::from_millis(100);
 /// The least wait that is worth a call.
-const LEAST_WAIT: Duration = Duration::from_millis(10);
+const MIN_WAIT: Duration = Duration::from_millis(10);
 /// How long an unanswered write is remembered: longer than a late write
 /// can take.
-const REMEMBERED: Duration = Duration::from_secs(60);
+const UNSURE_TTL: Duration = Duration::from_secs(60);
 
 /// What came of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug)]
 pub struct Admission<S> {
     store: S,
-    reach: Reach,
+    reachability: Reachability,
     patience: Duration,
     /// Jobs whose write had no answer here, and when.
     unsure: Arc<Mutex<HashMap<Id, Instant>>>,
@@ -90,8 +90,8 @@
     pub fn new(store: S, log: slog::Logger) -> Admission<S> {
         Admission {
             store,
-            reach: Reach::new(),
-            patience: PATIENCE,
+            reachability: Reachability::new(),
+            patience: DEFAULT_PATIENCE,
             unsure: Arc::default(),
             log,
         }
@@ -105,8 +105,8 @@
 
     /// Returns what is known of the way to the store, to be told of other
     /// calls as well.
-    pub fn reach(&self) -> Reach {
-        self.reach.clone()
+    pub fn reachability(&self) -> Reachability {
+        self.reachability.clone()
     }
 
     /// Keeps a job, unless it is kept already. Half of the time until the
@@ -146,16 +146,16 @@
         let absent = [Compare::Modified(key.clone(), 0)];
         let puts = vec![
             Put::Value(key, value, 0),
-            Put::Value(keys::waits(&job.queue, &job.id), Vec::new(), 0),
+            Put::Value(keys::waiting_job(&job.queue, &job.id), Vec::new(), 0),
         ];
-        let mut limit = UNANSWERED;
+        let mut limit = FIRST_WRITE_TIMEOUT;
         loop {
             let unsure = self.is_unsure(&job.id);
             let until = match unsure {
                 true => deadline,
                 false => (began + self.patience).min(deadline),
             };
-            if !self.reach.wait(&self.store, until).await {
+            if !self.reachability.wait(&self.store, until).await {
                 return match unsure {
                     true => Submitted::Unsure,
                     false => Submitted::Refused,
@@ -174,8 +174,8 @@
                 }
                 Ok(Err(_)) | Err(_) => self.set_unsure(&job.id),
             }
-            self.reach.set(false);
-            pause(AGAIN).await;
+            self.reachability.set(false);
+            pause(RETRY_DELAY).await;
         }
     }
 
@@ -200,7 +200,7 @@
             let swap = self.store.swap(&absent, puts);
             match tokio::time::timeout_at(deadline, swap).await {
                 Ok(Ok(_)) => break,
-                Ok(Err(error)) => again(error, deadline).await?,
+                Ok(Err(error)) => pause_before_retry(error, deadline).await?,
                 Err(_) => return Err(Unavailable("in time".to_owned())),
             }
         }
@@ -227,7 +227,7 @@
         // A cancel that is kept may yet come after the job's end: only the
         // planner can tell, and what was told is never taken back.
         if let Some(progress) = progress {
-            let ended = self.end(&progress, deadline).await;
+            let ended = self.wait_for_end(&progress, deadline).await;
             return Ok(Some(ended.map_or(Stage::Running, Stage::Ended)));
         }
         let job = self.read(&keys::job(id), deadline).await?;
@@ -235,17 +235,17 @@
     }
 
     /// Waits a moment for a job's end.
-    async fn end(
+    async fn wait_for_end(
         &self,
         progress: &Item,
         deadline: Instant,
     ) -> Option<Outcome> {
-        let until = (Instant::now() + END).min(deadline);
+        let until = (Instant::now() + END_WAIT).min(deadline);
         let mut after = progress.modified;
         loop {
             let now = Instant::now();
             let wait = until.saturating_duration_since(now);
-            if wait < LEAST_WAIT {
+            if wait < MIN_WAIT {
                 return None;
             }
             let changes = self.store.changes(&progress.key, after, wait);
@@ -285,12 +285,12 @@
         queue: &str,
         deadline: Instant,
     ) -> Result<usize, Unavailable> {
-        let prefix = keys::waiting(queue);
+        let prefix = keys::waiting_prefix(queue);
         loop {
             let list = self.store.list(&prefix);
             match tokio::time::timeout_at(deadline, list).await {
                 Ok(Ok(listing)) => return Ok(listing.items.len()),
-                Ok(Err(error)) => again(error, deadline).await?,
+                Ok(Err(error)) => pause_before_retry(error, deadline).await?,
                 Err(_) => return Err(Unavailable("in time".to_owned())),
             }
         }
@@ -305,7 +305,7 @@
             let get = self.store.get(key);
             match tokio::time::timeout_at(deadline, get).await {
                 Ok(Ok(item)) => return Ok(item),
-                Ok(Err(error)) => again(error, deadline).await?,
+                Ok(Err(error)) => pause_before_retry(error, deadline).await?,
                 Err(_) => return Err(Unavailable("in time".to_owned())),
             }
         }
@@ -321,7 +321,7 @@
         let now = Instant::now();
         let unsure = self.unsure.lock();
         let mut unsure = unsure.unwrap_or_else(PoisonError::into_inner);
-        unsure.retain(|_, since| now < *since + REMEMBERED);
+        unsure.retain(|_, since| now < *since + UNSURE_TTL);
         unsure.insert(id.clone(), now);
     }
 }
@@ -334,10 +334,13 @@
 }
 
 /// Waits before a call is made again, if there is time for it.
-async fn again(error: Error, deadline: Instant) -> Result<(), Unavailable> {
-    if Instant::now() + AGAIN * 2 >= deadline {
+async fn pause_before_retry(
+    error: Error,
+    deadline: Instant,
+) -> Result<(), Unavailable> {
+    if Instant::now() + RETRY_DELAY * 2 >= deadline {
         return Err(Unavailable(error.to_string()));
     }
-    pause(AGAIN).await;
+    pause(RETRY_DELAY).await;
     Ok(())
 }
--- a/src/cell/advice.rs
+++ b/src/cell/advice.rs
@@ -7,12 +7,12 @@
 use crate::graph::Ticket;
 
 /// How many questions wait at most; the planner asks one at a time.
-const WAITING: usize = 4;
+const MAX_QUEUED: usize = 4;
 
 /// A question of the planner, and where its answer goes. Dropped, it counts
 /// as not answered.
 #[derive(Debug)]
-pub struct Inquiry {
+pub struct Request {
     /// The question.
     pub question: Question,
     /// Takes the tickets for those of the workers that may run the step.
@@ -20,19 +20,19 @@
 }
 
 /// Where the planner puts its questions.
-pub type Desk = mpsc::Sender<Inquiry>;
+pub type Sender = mpsc::Sender<Request>;
 
 /// Returns a desk, and what is put there.
-pub fn desk() -> (Desk, mpsc::Receiver<Inquiry>) {
-    mpsc::channel(WAITING)
+pub fn channel() -> (Sender, mpsc::Receiver<Request>) {
+    mpsc::channel(MAX_QUEUED)
 }
 
 /// Puts a question; returns the answer, if one comes.
 pub(crate) async fn ask(
-    desk: &Desk,
+    sender: &Sender,
     question: Question,
 ) -> Option<Vec<Ticket>> {
     let (reply, answer) = oneshot::channel();
-    desk.send(Inquiry { question, reply }).await.ok()?;
+    sender.send(Request { question, reply }).await.ok()?;
     answer.await.ok()
 }
--- a/src/cell/claim.rs
+++ b/src/cell/claim.rs
@@ -23,18 +23,18 @@
 /// until another may claim; long against the store's slowest answers.
 pub const TTL: Duration = Duration::from_millis(2000);
 /// How often it is renewed.
-pub const RENEW: Duration = Duration::from_millis(500);
+pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
 /// How long at most a process leaves a free claim to stronger ones: a call of
 /// the store takes 340 ms where it is 84 times as slow as usual, the slowest
 /// seen.
-const HESITATES: Duration = Duration::from_millis(400);
+const MAX_DEFERRAL: Duration = Duration::from_millis(400);
 /// The cores that a planner of 240 workers took at its busiest: what a
 /// process is measured by while nobody has claimed yet.
-const PLANS: f64 = 0.45;
+const PLANNER_CORES: f64 = 0.45;
 /// The share of the strongest one's cores that counts as being as strong.
-const AS_STRONG: f64 = 0.9;
+const EQUAL_CORES_SHARE: f64 = 0.9;
 /// How long a call for a renewal may take.
-const CALL: Duration = Duration::from_millis(900);
+const RENEWAL_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// The value of the claim's key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -58,16 +58,16 @@
     /// The lease it hangs on.
     pub lease: LeaseId,
     /// Until when it surely holds.
-    valid: Arc<Mutex<Stamp>>,
+    valid_until: Arc<Mutex<Stamp>>,
 }
 
 impl Claim {
     /// Returns a claim that holds until `valid`.
-    pub fn new(token: Revision, lease: LeaseId, valid: Stamp) -> Claim {
+    pub fn new(token: Revision, lease: LeaseId, valid_until: Stamp) -> Claim {
         Claim {
             token,
             lease,
-            valid: Arc::new(Mutex::new(valid)),
+            valid_until: Arc::new(Mutex::new(valid_until)),
         }
     }
 
@@ -78,7 +78,10 @@
 
     /// Returns until when it surely holds.
     pub fn valid_until(&self) -> Stamp {
-        *self.valid.lock().unwrap_or_else(PoisonError::into_inner)
+        *self
+            .valid_until
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Returns the condition that it is still held, for writes.
@@ -90,12 +93,17 @@
     pub async fn renew(&self, store: &impl Store) -> bool {
         // Counted from before the call: the lease began later.
         let sent = Stamp::now();
-        let call = tokio::time::timeout(CALL, store.keep_alive(self.lease));
+        let call = tokio::time::timeout(
+            RENEWAL_TIMEOUT,
+            store.keep_alive(self.lease),
+        );
         match call.await {
             Ok(Ok(true)) => {
-                let mut valid =
-                    self.valid.lock().unwrap_or_else(PoisonError::into_inner);
-                *valid = (*valid).max(sent + TTL);
+                let mut valid_until = self
+                    .valid_until
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner);
+                *valid_until = (*valid_until).max(sent + TTL);
                 true
             }
             Ok(Ok(false)) => false,
@@ -106,7 +114,7 @@
 
 /// What a try to claim has shown.
 #[derive(Clone, Debug)]
-pub enum Tried {
+pub enum Attempt {
     /// This process holds the claim.
     Held(Claim),
     /// Another does, or may; as of this revision.
@@ -121,23 +129,23 @@
 pub async fn try_claim(
     store: &impl Store,
     holder: &Holder,
-) -> Result<Tried, Error> {
+) -> Result<Attempt, Error> {
     let current = store.get(keys::PLANNER).await?;
     let condition = match &current {
         None => Compare::Modified(keys::PLANNER.to_owned(), 0),
         // An earlier life of this very process is over.
-        Some(item) if is_earlier(item, holder) => {
+        Some(item) if is_earlier_run(item, holder) => {
             Compare::Modified(keys::PLANNER.to_owned(), item.modified)
         }
-        Some(item) => return Ok(Tried::Other(item.modified)),
+        Some(item) => return Ok(Attempt::Other(item.modified)),
     };
     let strongest = strongest(store).await?;
-    if let Some(wait) = hesitation(holder.cores, strongest) {
+    if let Some(wait) = deferral(holder.cores, strongest) {
         tokio::time::sleep(wait).await;
         let current = store.get(keys::PLANNER).await?;
-        let others = current.filter(|item| !is_earlier(item, holder));
+        let others = current.filter(|item| !is_earlier_run(item, holder));
         if let Some(item) = others {
-            return Ok(Tried::Other(item.modified));
+            return Ok(Attempt::Other(item.modified));
         }
     }
     let sent = Stamp::now();
@@ -150,11 +158,11 @@
     }
     match store.swap(&[condition], puts).await {
         Ok(Swap::Written(token)) => {
-            Ok(Tried::Held(Claim::new(token, lease, sent + TTL)))
+            Ok(Attempt::Held(Claim::new(token, lease, sent + TTL)))
         }
         Ok(Swap::Refused(items)) => {
             let seen = items.first().map_or(0, |item| item.modified);
-            Ok(Tried::Other(seen))
+            Ok(Attempt::Other(seen))
         }
         Err(error) => Err(error),
     }
@@ -170,13 +178,13 @@
 /// Returns how long a process of `cores` leaves a free claim to others, if
 /// there may be stronger ones. A planner that came to live on a thin machine
 /// lost a day: it could not answer 240 agents in time.
-fn hesitation(cores: f64, strongest: Option<f64>) -> Option<Duration> {
-    let most = strongest.unwrap_or(PLANS);
-    let weak = cores < most * AS_STRONG;
-    weak.then(|| HESITATES.mul_f64(1.0 - (cores / most).max(0.0)))
+fn deferral(cores: f64, strongest: Option<f64>) -> Option<Duration> {
+    let most = strongest.unwrap_or(PLANNER_CORES);
+    let weak = cores < most * EQUAL_CORES_SHARE;
+    weak.then(|| MAX_DEFERRAL.mul_f64(1.0 - (cores / most).max(0.0)))
 }
 
-fn is_earlier(item: &Item, holder: &Holder) -> bool {
+fn is_earlier_run(item: &Item, holder: &Holder) -> bool {
     serde_json::from_slice::<Holder>(&item.value)
         .is_ok_and(|current| current.process == holder.process)
 }
--- a/src/cell/configuration.rs
+++ b/src/cell/configuration.rs
@@ -13,8 +13,8 @@
 use tokio::time::Instant;
 
 use crate::cell::pause;
-use crate::cell::reach::Reach;
-use crate::cell::watch::News;
+use crate::cell::reachability::Reachability;
+use crate::cell::watch::Batch;
 use crate::cell::watch::Watch;
 use crate::clock::Stamp;
 use crate::graph::Advice;
@@ -27,10 +27,10 @@
 use crate::telemetry::metrics;
 
 /// How long is waited after a call that failed.
-const AGAIN: Duration = Duration::from_millis(60);
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 /// How long the store may have said nothing for new callers to be taken: a
 /// call that waits, a lost one, and the slowest of its answers seen.
-const IN_TOUCH: Duration = Duration::from_millis(1200);
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// A queue that callers put jobs in.
 #[derive(Clone, Debug, PartialEq)]
@@ -100,25 +100,25 @@
 
 /// What is known of the configuration.
 #[derive(Debug, Default)]
-struct Known {
+struct State {
     current: Option<Arc<Configuration>>,
     /// The halls that are to be given no new work.
     closed: BTreeSet<Text>,
     revision: Revision,
     /// The last revision that was seen, whether it could be read or not.
-    seen: Revision,
+    latest_revision: Revision,
     /// When the last call that showed it to be current was sent.
     confirmed: Option<Stamp>,
     /// When the store has answered last.
-    heard: Option<Stamp>,
+    last_answer: Option<Stamp>,
 }
 
 /// The configuration as this process knows it; it never goes back.
 #[derive(Clone, Debug, Default)]
 pub struct Source {
-    known: Arc<Mutex<Known>>,
+    known: Arc<Mutex<State>>,
     /// Told of each call that showed it to be current.
-    news: Arc<Notify>,
+    confirmations: Arc<Notify>,
 }
 
 impl Source {
@@ -160,11 +160,11 @@
         until: Instant,
     ) -> Option<Arc<Configuration>> {
         loop {
-            let news = self.news.notified();
+            let confirmed = self.confirmations.notified();
             if let Some(fresh) = self.fresh(age) {
                 return Some(fresh);
             }
-            tokio::time::timeout_at(until, news).await.ok()?;
+            tokio::time::timeout_at(until, confirmed).await.ok()?;
         }
     }
 
@@ -172,8 +172,10 @@
     /// be accepted here, and callers are better off elsewhere.
     pub fn in_touch(&self) -> bool {
         let known = self.lock();
-        let heard = known.heard.is_some_and(|at| at.elapsed() <= IN_TOUCH);
-        heard && known.confirmed.is_some() && known.current.is_some()
+        let in_contact = known
+            .last_answer
+            .is_some_and(|at| at.elapsed() <= CONTACT_TIMEOUT);
+        in_contact && known.confirmed.is_some() && known.current.is_some()
     }
 
     /// Returns the age of our knowledge in ms, for log lines.
@@ -181,7 +183,7 @@
         self.age().map(millis)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
+    fn lock(&self) -> MutexGuard<'_, State> {
         self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -191,15 +193,15 @@
         store: impl Store,
         keys: Keys,
         decode: impl Fn(&[u8]) -> Result<Configuration, E>,
-        reach: Reach,
+        reach: Reachability,
         log: slog::Logger,
     ) {
         let mut reached = true;
         let mut watch = Watch::new(keys.prefix);
         loop {
-            let asked = self.ask(&store, &mut watch, &keys, &decode, &log);
-            let asked = asked.await;
-            let failed = asked.err().map(|error| error.to_string());
+            let polled = self.poll(&store, &mut watch, &keys, &decode, &log);
+            let polled = polled.await;
+            let failed = polled.err().map(|error| error.to_string());
             match (&failed, reached) {
                 (Some(error), true) => slog::warn!(log,
                     "configuration: the store is lost"; "error" => error,
@@ -215,13 +217,13 @@
             reached = failed.is_none();
             reach.set(reached);
             if !reached {
-                pause(AGAIN).await;
+                pause(RETRY_DELAY).await;
             }
         }
     }
 
     /// Makes one call for what is new, and takes it in.
-    async fn ask<E: std::fmt::Display>(
+    async fn poll<E: std::fmt::Display>(
         &self,
         store: &impl Store,
         watch: &mut Watch<'_>,
@@ -230,21 +232,21 @@
         log: &slog::Logger,
     ) -> Result<(), Error> {
         let sent = Stamp::now();
-        let news = match watch.next(store).await {
-            Ok(news) => news,
+        let batch = match watch.next(store).await {
+            Ok(batch) => batch,
             Err(Error::Forgotten(revision)) => {
                 slog::info!(log, "configuration: all is read anew";
                     "after" => revision);
-                pause(AGAIN).await;
+                pause(RETRY_DELAY).await;
                 return Ok(());
             }
             Err(error) => return Err(error),
         };
-        self.close(&news, keys, log);
-        for change in news.changes {
+        self.update_closed(&batch, keys, log);
+        for change in batch.changes {
             match change {
                 Change::Put(item) if item.key == keys.configuration => {
-                    self.take(item, sent, decode, log);
+                    self.update(item, sent, decode, log);
                 }
                 _ => {}
             }
@@ -254,13 +256,13 @@
     }
 
     /// Takes in which halls are closed, and which are open again.
-    fn close(&self, news: &News, keys: &Keys, log: &slog::Logger) {
+    fn update_closed(&self, batch: &Batch, keys: &Keys, log: &slog::Logger) {
         let mut known = self.lock();
-        let mut closed = match news.whole {
+        let mut closed = match batch.is_listing {
             true => BTreeSet::new(),
             false => known.closed.clone(),
         };
-        for change in &news.changes {
+        for change in &batch.changes {
             let (key, puts) = match change {
                 Change::Put(item) => (&item.key, true),
                 Change::Deleted(key, _) => (key, false),
@@ -278,7 +280,7 @@
         }
     }
 
-    fn take<E: std::fmt::Display>(
+    fn update<E: std::fmt::Display>(
         &self,
         item: Item,
         sent: Stamp,
@@ -286,10 +288,10 @@
         log: &slog::Logger,
     ) {
         let mut known = self.lock();
-        if item.modified <= known.seen {
+        if item.modified <= known.latest_revision {
             return;
         }
-        known.seen = item.modified;
+        known.latest_revision = item.modified;
         match decode(&item.value) {
             Ok(configuration) => {
                 slog::info!(log, "configuration: a version is in force";
@@ -313,13 +315,13 @@
     /// Takes in that all which was written before `sent` has been seen.
     fn confirm(&self, sent: Stamp) {
         let mut known = self.lock();
-        known.heard = Some(Stamp::now());
+        known.last_answer = Some(Stamp::now());
         // Of a version that cannot be read, only its being there is known.
-        if known.seen == known.revision {
+        if known.latest_revision == known.revision {
             known.confirmed = Some(sent);
         }
         drop(known);
-        self.news.notify_waiters();
+        self.confirmations.notify_waiters();
     }
 }
 
--- a/src/cell/dial.rs
+++ b/src/cell/connector.rs
@@ -36,13 +36,13 @@
 
 /// Makes connections to entries.
 #[async_trait]
-pub trait Dial: Debug + Send + Sync {
+pub trait Connector: Debug + Send + Sync {
     /// Returns a connection of its own to `address`.
     ///
     /// # Errors
     ///
     /// If it cannot be made.
-    async fn dial(&self, address: &str) -> Result<Arc<dyn Peer>, Error>;
+    async fn connect(&self, address: &str) -> Result<Arc<dyn Peer>, Error>;
 }
 
 /// Connections over the network.
@@ -50,8 +50,8 @@
 pub struct Network;
 
 #[async_trait]
-impl Dial for Network {
-    async fn dial(&self, address: &str) -> Result<Arc<dyn Peer>, Error> {
+impl Connector for Network {
+    async fn connect(&self, address: &str) -> Result<Arc<dyn Peer>, Error> {
         let client = link::connect(address).await?;
         let address = address.to_owned();
         Ok(Arc::new(Remote { address, client }))
--- a/src/cell/cursor.rs
+++ b/src/cell/cursor.rs
@@ -8,7 +8,7 @@
 
 /// After which time a store has told whatever a watch passed over: a store
 /// that drops its history is seen to be a second late before.
-const SETTLED: Duration = Duration::from_secs(4);
+const HISTORY_DELAY: Duration = Duration::from_secs(4);
 
 /// After which revision to ask for more.
 ///
@@ -19,40 +19,40 @@
 #[derive(Clone, Debug)]
 pub struct Cursor {
     /// Up to here, everything was told.
-    told: Revision,
+    delivered: Revision,
     /// Up to here, nothing was told.
-    passed: Revision,
+    pending: Revision,
     /// When that will have been true of any store.
-    settles: Instant,
+    settles_at: Instant,
 }
 
 impl Cursor {
     /// Returns a cursor after a revision up to which all was told.
-    pub fn new(told: Revision) -> Cursor {
+    pub fn new(delivered: Revision) -> Cursor {
         Cursor {
-            told,
-            passed: told,
-            settles: Instant::now() + SETTLED,
+            delivered,
+            pending: delivered,
+            settles_at: Instant::now() + HISTORY_DELAY,
         }
     }
 
     /// Returns after which revision to ask.
     pub fn after(&self) -> Revision {
-        self.told
+        self.delivered
     }
 
     /// Takes in that everything was told up to a revision.
-    pub fn told(&mut self, revision: Revision) {
-        *self = Cursor::new(self.told.max(revision));
+    pub fn advance(&mut self, revision: Revision) {
+        *self = Cursor::new(self.delivered.max(revision));
     }
 
     /// Takes in that nothing was told up to a revision.
-    pub fn passed(&mut self, revision: Revision) {
-        if Instant::now() >= self.settles {
+    pub fn advance_empty(&mut self, revision: Revision) {
+        if Instant::now() >= self.settles_at {
             *self = Cursor {
-                told: self.told.max(self.passed),
-                passed: revision,
-                settles: Instant::now() + SETTLED,
+                delivered: self.delivered.max(self.pending),
+                pending: revision,
+                settles_at: Instant::now() + HISTORY_DELAY,
             };
         }
     }
--- a/src/cell/teller.rs
+++ b/src/cell/decision_log.rs
@@ -16,34 +16,34 @@
 
 /// How many lines of one kind are written a second: a hundred jobs that come
 /// at once are told whole, and a storm costs no more than that.
-const BUDGET: u32 = 400;
+const MAX_LINES_PER_WINDOW: u32 = 400;
 /// The time that the budget is for.
-const WINDOW: Duration = Duration::from_secs(1);
+const BUDGET_WINDOW: Duration = Duration::from_secs(1);
 
 /// A share of the log, for each kind of decision.
 #[derive(Debug, Default)]
 struct Budget {
-    written: u32,
+    lines: u32,
     left_out: u32,
 }
 
 /// Writes decisions to a log.
-pub(super) struct Teller {
+pub(super) struct Recorder {
     log: slog::Logger,
     /// When the present window ends.
-    until: Instant,
+    window_ends: Instant,
     /// What concerns workers.
     workers: Budget,
     /// What concerns units and jobs.
     units: Budget,
 }
 
-impl Teller {
+impl Recorder {
     /// Returns a teller with a whole budget.
-    pub fn new(log: slog::Logger) -> Teller {
-        Teller {
+    pub fn new(log: slog::Logger) -> Recorder {
+        Recorder {
             log,
-            until: Instant::now() + WINDOW,
+            window_ends: Instant::now() + BUDGET_WINDOW,
             workers: Budget::default(),
             units: Budget::default(),
         }
@@ -51,9 +51,9 @@
 
     /// Writes a decision, or counts it where the budget is spent. What a job
     /// came to is always written.
-    pub fn tell(&mut self, decision: &Decision, token: Revision) {
-        measure(decision);
-        self.renew();
+    pub fn record(&mut self, decision: &Decision, token: Revision) {
+        count_decision(decision);
+        self.renew_budgets();
         let budget = match decision {
             Decision::Known { .. }
             | Decision::Gone { .. }
@@ -63,21 +63,21 @@
             _ => &mut self.units,
         };
         let over = matches!(decision, Decision::Over { .. });
-        if budget.written >= BUDGET && !over {
+        if budget.lines >= MAX_LINES_PER_WINDOW && !over {
             budget.left_out += 1;
             return;
         }
-        budget.written += 1;
-        write(&self.log, decision, token);
+        budget.lines += 1;
+        write_line(&self.log, decision, token);
     }
 
     /// Begins another window once the present one is over.
-    fn renew(&mut self) {
+    fn renew_budgets(&mut self) {
         let now = Instant::now();
-        if now < self.until {
+        if now < self.window_ends {
             return;
         }
-        self.until = now + WINDOW;
+        self.window_ends = now + BUDGET_WINDOW;
         let left_out = (self.workers.left_out, self.units.left_out);
         if left_out != (0, 0) {
             slog::warn!(self.log, "planner: lines were left out";
@@ -89,7 +89,7 @@
 }
 
 /// Counts a decision, whether it is written or not.
-fn measure(decision: &Decision) {
+fn count_decision(decision: &Decision) {
     let metrics = metrics::get();
     let kind = match decision {
         Decision::Known { .. } => "worker known",
@@ -146,7 +146,7 @@
     metrics.decisions.add(1, &[label("kind", kind)]);
 }
 
-fn write(log: &slog::Logger, decision: &Decision, token: Revision) {
+fn write_line(log: &slog::Logger, decision: &Decision, token: Revision) {
     match decision {
         Decision::Known { agent, life } => slog::info!(log,
             "planner: a worker is known"; "agent" => &**agent,
@@ -184,7 +184,7 @@
             standing,
             shortage,
         } => slog::info!(log,
-            "planner: a unit waits"; of, "on" => word(*what),
+            "planner: a unit waits"; of, "on" => waits_on(*what),
             "slack_ms" => slack, "of_workers" => workers,
             "lacks" => shortage.map(|s| s.lack.word()),
             "accelerators" => shortage.map(|s| s.needed),
@@ -194,7 +194,7 @@
             "held_within" => shortage.map(|s| s.holders.within),
             "held_lent" => shortage.map(|s| s.holders.lent),
             "held_lower" => shortage.map(|s| s.holders.lower),
-            Promise(*standing),
+            Guarantee(*standing),
             "token" => token),
         Decision::Kept {
             of,
@@ -217,7 +217,7 @@
             "planner: a unit is placed"; of, "run" => run,
             "workers" => names(on), "waited_ms" => millis(waited),
             "slack_ms" => slack, "expected_ms" => millis(expected),
-            Promise(*standing), "token" => token),
+            Guarantee(*standing), "token" => token),
         Decision::Stopped { of, run, why } => slog::info!(log,
             "planner: a run is stopped"; of, "run" => run, "why" => why,
             "token" => token),
@@ -260,15 +260,15 @@
 }
 
 /// How a unit stands to what its account is guaranteed, if it is urgent.
-struct Promise(Option<Standing>);
+struct Guarantee(Option<Standing>);
 
-impl slog::KV for Promise {
+impl slog::KV for Guarantee {
     fn serialize(
         &self,
         _record: &slog::Record<'_>,
         to: &mut dyn slog::Serializer,
     ) -> slog::Result {
-        let Promise(Some(standing)) = self else {
+        let Guarantee(Some(standing)) = self else {
             return Ok(());
         };
         to.emit_i64("guaranteed", standing.guaranteed)?;
@@ -300,7 +300,7 @@
     names.join(",")
 }
 
-fn word(what: Wait) -> &'static str {
+fn waits_on(what: Wait) -> &'static str {
     match what {
         Wait::Worker => "a worker",
         Wait::Room => "room",
--- a/src/cell/inquiry.rs
+++ b/src/cell/inquiry.rs
@@ -12,7 +12,7 @@
 use crate::store::Store;
 
 /// How long is waited before the store is asked again.
-const AGAIN: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Returns what agents have kept, and when the call was sent that read it;
 /// nothing once the claim is over.
@@ -32,7 +32,7 @@
             Err(error) => slog::debug!(log,
                 "planner: kept reports cannot be read"; "error" => %error),
         }
-        pause(AGAIN).await;
+        pause(RETRY_DELAY).await;
     }
     None
 }
--- a/src/cell/keys.rs
+++ b/src/cell/keys.rs
@@ -52,12 +52,12 @@
 }
 
 /// Returns what the keys of a queue's waiting jobs start with.
-pub fn waiting(queue: &str) -> String {
+pub fn waiting_prefix(queue: &str) -> String {
     format!("lv/queue/{queue}/")
 }
 
 /// Returns the key that says that a job waits.
-pub fn waits(queue: &str, id: &str) -> String {
+pub fn waiting_job(queue: &str, id: &str) -> String {
     format!("lv/queue/{queue}/{id}")
 }
 
--- a/src/cell/member/link.rs
+++ b/src/cell/member/link.rs
@@ -5,11 +5,11 @@
 use tokio::time::Instant;
 
 use crate::cell::claim::Holder;
-use crate::cell::dial::Peer;
+use crate::cell::connector::Peer;
 use crate::cell::keys;
 use crate::cell::member::Member;
 use crate::cell::pause;
-use crate::cell::planner::HOLD;
+use crate::cell::planner::REPORT_HOLD;
 use crate::cell::rpc::Answer;
 use crate::cell::worker::Worker;
 use crate::clock::Stamp;
@@ -19,18 +19,18 @@
 use crate::store::Store;
 
 /// How much longer than a planner holds a report its answer may take.
-const ANSWER: Duration = Duration::from_millis(900);
+const ANSWER_SLACK: Duration = Duration::from_millis(900);
 /// How long is waited before the claim is looked up again.
-const AGAIN: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// How long a call of the store may take.
-const CALL: Duration = Duration::from_millis(1200);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1200);
 /// How long one call for a change of the claim waits.
-const WATCH: Duration = Duration::from_millis(600);
+const WATCH_WAIT: Duration = Duration::from_millis(600);
 /// The longest that an agent waits that is turned away: several tries fall
 /// within the survival without a planner.
-const LONGEST: Duration = Duration::from_secs(3);
+const MAX_BACK_OFF: Duration = Duration::from_secs(3);
 /// News that come this close together go in one report.
-const GATHER: Duration = Duration::from_millis(5);
+const REPORT_DELAY: Duration = Duration::from_millis(5);
 
 impl<W: Worker, S: Store> Member<W, S> {
     /// Reports to whoever holds the claim, for ever.
@@ -45,13 +45,13 @@
                 failed = 0;
                 continue;
             };
-            match self.0.config.dial.dial(&holder.address).await {
+            match self.0.config.connector.connect(&holder.address).await {
                 Ok(client) => {
                     turned_away = 0;
                     slog::info!(self.0.config.log,
                         "agent: reports to a planner";
                         "planner" => &holder.process, "claim" => revision);
-                    self.learn(revision);
+                    self.learn_token(revision);
                     self.report_to(&*client, revision).await;
                     slog::info!(self.0.config.log,
                         "agent: has left a planner";
@@ -69,7 +69,7 @@
             }
             // Whoever claims next is waited for, for a while.
             failed = revision;
-            pause(AGAIN / 3).await;
+            pause(RETRY_DELAY / 3).await;
         }
     }
 
@@ -77,10 +77,10 @@
     async fn holder(&self) -> (Option<Holder>, Revision) {
         loop {
             let get = self.0.store.get(keys::PLANNER);
-            match tokio::time::timeout(CALL, get).await {
+            match tokio::time::timeout(STORE_TIMEOUT, get).await {
                 Ok(Ok(Some(item))) => return (decode(&item), item.modified),
                 Ok(Ok(None)) => return (None, 0),
-                Ok(Err(_)) | Err(_) => pause(AGAIN).await,
+                Ok(Err(_)) | Err(_) => pause(RETRY_DELAY).await,
             }
         }
     }
@@ -89,25 +89,28 @@
     /// least until `until`.
     async fn wait_for_claim(&self, revision: Revision, until: Instant) {
         if revision == 0 {
-            pause(AGAIN).await;
+            pause(RETRY_DELAY).await;
             return;
         }
         loop {
-            let changes = self.0.store.changes(keys::PLANNER, revision, WATCH);
-            match tokio::time::timeout(WATCH + CALL, changes).await {
+            let changes =
+                self.0.store.changes(keys::PLANNER, revision, WATCH_WAIT);
+            match tokio::time::timeout(WATCH_WAIT + STORE_TIMEOUT, changes)
+                .await
+            {
                 Ok(Ok(changes)) => {
                     let gone = changes
                         .changes
                         .iter()
                         .all(|change| matches!(change, Change::Deleted(..)));
                     if gone {
-                        pause(AGAIN / 3).await;
+                        pause(RETRY_DELAY / 3).await;
                     }
                     if !changes.changes.is_empty() {
                         return;
                     }
                 }
-                Ok(Err(_)) | Err(_) => pause(AGAIN).await,
+                Ok(Err(_)) | Err(_) => pause(RETRY_DELAY).await,
             }
             if Instant::now() >= until {
                 return;
@@ -117,11 +120,11 @@
 
     /// Learns a claim's fencing token, without which a worker that has seen
     /// one shows nothing: an agent that has just started knows none.
-    fn learn(&self, token: Revision) {
+    fn learn_token(&self, token: Revision) {
         let mut state = self.lock();
         if token > state.token {
             state.token = token;
-            self.0.look.notify_one();
+            self.0.poll_now.notify_one();
         }
     }
 
@@ -131,7 +134,7 @@
             let sent = Stamp::now();
             let report = {
                 let mut state = self.lock();
-                if state.fenced >= token {
+                if state.highest_fenced >= token {
                     return;
                 }
                 state.report(&self.0.config, Instant::now())
@@ -139,9 +142,12 @@
             let sync = client.sync(report);
             let answer = tokio::select! {
                 biased;
-                answer = tokio::time::timeout(HOLD + ANSWER, sync) => answer,
-                () = self.0.news.notified() => {
-                    tokio::time::sleep(GATHER).await;
+                answer = tokio::time::timeout(
+                    REPORT_HOLD + ANSWER_SLACK,
+                    sync,
+                ) => answer,
+                () = self.0.report_now.notified() => {
+                    tokio::time::sleep(REPORT_DELAY).await;
                     continue;
                 }
             };
@@ -153,14 +159,14 @@
                 })) => {
                     let until = sent + self.0.config.survival;
                     let until = granted.then_some(until);
-                    self.take(token, until, orders);
+                    self.apply_orders(token, until, orders);
                 }
                 Ok(Ok(Answer::NotPlanner)) | Ok(Err(_)) | Err(_) => return,
             }
         }
     }
 
-    fn take(
+    fn apply_orders(
         &self,
         token: Revision,
         granted: Option<Stamp>,
@@ -169,18 +175,18 @@
         let paces = orders.paces.clone();
         let due = {
             let mut state = self.lock();
-            let noted = |state: &super::state::State| {
-                state.worker.as_ref().map(|known| known.noted)
+            let acknowledged = |state: &super::state::State| {
+                state.worker.as_ref().map(|view| view.acknowledged)
             };
-            let before = noted(&state);
-            let due = state.orders(token, granted, orders);
-            if noted(&state) != before {
-                self.0.look.notify_one();
+            let before = acknowledged(&state);
+            let due = state.take_orders(token, granted, orders);
+            if acknowledged(&state) != before {
+                self.0.poll_now.notify_one();
             }
             due
         };
         for key in due {
-            self.act(key);
+            self.carry_out(key);
         }
         for pace in paces {
             self.set_pace(pace);
@@ -194,8 +200,9 @@
     let Some(doublings) = turned_away.checked_sub(1) else {
         return Duration::ZERO;
     };
-    let most = (AGAIN * 2).saturating_mul(2u32.saturating_pow(doublings));
-    most.min(LONGEST).mul_f64(0.5 + fastrand::f64() / 2.0)
+    let most =
+        (RETRY_DELAY * 2).saturating_mul(2u32.saturating_pow(doublings));
+    most.min(MAX_BACK_OFF).mul_f64(0.5 + fastrand::f64() / 2.0)
 }
 
 fn decode(item: &Item) -> Option<Holder> {
--- a/src/cell/member/mod.rs
+++ b/src/cell/member/mod.rs
@@ -6,11 +6,11 @@
 //! that neither side depends on a message that was lost.
 
 mod act;
-mod keep;
-mod known;
 mod link;
-mod look;
+mod poll;
+mod save;
 mod state;
+mod view;
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -21,7 +21,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::cell::dial::Dial;
+use crate::cell::connector::Connector;
 use crate::cell::member::state::State;
 use crate::cell::worker::Worker;
 use crate::cell::worker::WorkerTime;
@@ -34,7 +34,7 @@
 use crate::telemetry::metrics::label;
 
 /// How long after a worker has said that it is leaving it is surely gone.
-const LEAVES: Duration = Duration::from_millis(800);
+const LEAVE_PERIOD: Duration = Duration::from_millis(800);
 
 /// What a member is told of its terms.
 #[derive(Clone, Debug)]
@@ -47,7 +47,7 @@
     /// The longest lease that the worker takes.
     pub lease: Duration,
     /// How planners are reached.
-    pub dial: Arc<dyn Dial>,
+    pub connector: Arc<dyn Connector>,
     /// Where logs go.
     pub log: slog::Logger,
 }
@@ -79,19 +79,19 @@
     pub time: Option<WorkerTime>,
 }
 
-struct Shared<W, S> {
+struct Inner<W, S> {
     config: Config,
     worker: W,
     store: S,
     state: Mutex<State>,
     /// There is news for the planner.
-    news: Notify,
+    report_now: Notify,
     /// The worker is to be looked at now.
-    look: Notify,
+    poll_now: Notify,
 }
 
 /// An agent.
-pub struct Member<W, S>(Arc<Shared<W, S>>);
+pub struct Member<W, S>(Arc<Inner<W, S>>);
 
 impl<W, S> Clone for Member<W, S> {
     fn clone(&self) -> Member<W, S> {
@@ -102,22 +102,22 @@
 impl<W: Worker, S: Store> Member<W, S> {
     /// Returns an agent that knows of no worker yet.
     pub fn new(config: Config, worker: W, store: S) -> Member<W, S> {
-        Member(Arc::new(Shared {
+        Member(Arc::new(Inner {
             config,
             worker,
             store,
             state: Mutex::new(State::new()),
-            news: Notify::new(),
-            look: Notify::new(),
+            report_now: Notify::new(),
+            poll_now: Notify::new(),
         }))
     }
 
     /// Looks after the worker and speaks with the planner, for ever.
     pub async fn run(&self) {
         tokio::join!(
-            self.watch_worker(),
+            self.poll_worker(),
             self.follow_planner(),
-            self.keep_ends()
+            self.save_ends()
         );
     }
 
@@ -128,44 +128,44 @@
         let leaving = heartbeat.leaving;
         let lease = self.0.config.lease;
         match self.lock().heartbeat(heartbeat, lease, now) {
-            state::News::Life => {
+            state::Update::Life => {
                 slog::info!(self.0.config.log, "agent: a worker is here";
                     "life" => &*life);
-                self.0.look.notify_one();
-                self.0.news.notify_one();
+                self.0.poll_now.notify_one();
+                self.0.report_now.notify_one();
                 let member = self.clone();
-                tokio::spawn(async move { member.bar_late(&life).await });
+                tokio::spawn(async move { member.bar_late_runs(&life).await });
             }
-            state::News::Terms => {
+            state::Update::Changed => {
                 slog::info!(self.0.config.log, "agent: the worker has changed";
                     "life" => &*life, "leaving" => leaving);
-                self.0.news.notify_one();
+                self.0.report_now.notify_one();
             }
-            state::News::Strange => {
+            state::Update::Conflict => {
                 metrics::get().strange.add(1, &[label("what", "life")]);
                 slog::warn!(self.0.config.log,
                     "agent: another life answers here"; "life" => &*life);
                 // Whether it still does is asked at once.
-                self.0.look.notify_one();
+                self.0.poll_now.notify_one();
             }
-            state::News::None => {}
+            state::Update::None => {}
         }
     }
 
     /// Takes in that a worker of that name ends.
-    pub fn left(&self, name: &str) {
-        self.life_left(&Life::from(name), true);
+    pub fn worker_left(&self, name: &str) {
+        self.life_ended(&Life::from(name), true);
     }
 
-    fn life_left(&self, life: &Life, said: bool) {
+    fn life_ended(&self, life: &Life, said: bool) {
         slog::info!(self.0.config.log, "agent: the worker has left";
             "life" => &**life);
         let now = Instant::now();
-        if self.lock().left(life, said, now + LEAVES) {
+        if self.lock().mark_leaving(life, said, now + LEAVE_PERIOD) {
             let member = self.clone();
             tokio::spawn(async move {
-                tokio::time::sleep_until(now + LEAVES).await;
-                member.0.news.notify_one();
+                tokio::time::sleep_until(now + LEAVE_PERIOD).await;
+                member.0.report_now.notify_one();
             });
         }
     }
--- /dev/null
+++ b/src/cell/member/poll.rs
@@ -0,0 +1,141 @@
+//! Looking after the worker: its lease, and what it lists.
+
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+use crate::cell::member::state::Poll;
+use crate::cell::member::Member;
+use crate::cell::pause;
+use crate::cell::worker::Error;
+use crate::cell::worker::Snapshot;
+use crate::cell::worker::Worker;
+use crate::store::Store;
+use crate::telemetry::metrics;
+use crate::telemetry::metrics::label;
+
+/// How long a look waits for an end.
+const POLL_WAIT: Duration = Duration::from_millis(1000);
+/// How much longer than that its answer may take.
+const ANSWER_SLACK: Duration = Duration::from_millis(600);
+/// How long is waited after a look that failed.
+const RETRY_DELAY: Duration = Duration::from_millis(120);
+/// How long is waited while ends are listed that are not acknowledged yet:
+/// until then a look returns at once.
+const UNACKNOWLEDGED_DELAY: Duration = Duration::from_millis(100);
+
+impl<W: Worker, S: Store> Member<W, S> {
+    /// Looks at the worker, for ever.
+    pub(super) async fn poll_worker(&self) {
+        let mut wait = Duration::ZERO;
+        loop {
+            let now = Instant::now();
+            let poll = self.lock().next_poll(self.0.config.lease, now);
+            let Some(poll) = poll else {
+                self.0.poll_now.notified().await;
+                continue;
+            };
+            if let Some(target) = poll.target {
+                let mut state = self.lock();
+                if let Some(view) = &mut state.worker {
+                    view.leased_until = view.leased_until.max(Some(target));
+                }
+            }
+            let answer = self.0.worker.poll(
+                &poll.call,
+                poll.acknowledged,
+                poll.expires,
+                wait,
+            );
+            let answer = tokio::time::timeout(wait + ANSWER_SLACK, answer);
+            let answer = tokio::select! {
+                biased;
+                answer = answer => answer,
+                () = self.0.poll_now.notified() => {
+                    wait = Duration::ZERO;
+                    continue;
+                }
+            };
+            wait = match answer {
+                Ok(Ok(snapshot)) => self.poll_answered(&poll, snapshot).await,
+                Ok(Err(error)) => self.poll_failed(&poll, error).await,
+                Err(_) => {
+                    let error = Error::Lost("not in time".to_owned());
+                    self.poll_failed(&poll, error).await
+                }
+            };
+        }
+    }
+
+    /// Returns how long the next look may wait.
+    async fn poll_answered(
+        &self,
+        poll: &Poll,
+        snapshot: Snapshot,
+    ) -> Duration {
+        if poll.call.life.is_other(snapshot.born) {
+            slog::warn!(self.0.config.log,
+                "agent: the worker has started again under its name";
+                "life" => &*poll.call.life, "born" => snapshot.born);
+        }
+        let unacknowledged = snapshot
+            .lists
+            .ended
+            .iter()
+            .any(|e| e.number > poll.acknowledged);
+        count_poll("answered");
+        if self.lock().poll_answered(poll, snapshot, Instant::now()) {
+            self.0.report_now.notify_one();
+        }
+        if !unacknowledged {
+            return POLL_WAIT;
+        }
+        if self.lock().has_unacknowledged_end(poll.acknowledged) {
+            // At once: it is only now known which birth would forget them.
+            return Duration::ZERO;
+        }
+        tokio::select! {
+            biased;
+            () = tokio::time::sleep(UNACKNOWLEDGED_DELAY) => {}
+            () = self.0.poll_now.notified() => {}
+        }
+        Duration::ZERO
+    }
+
+    async fn poll_failed(&self, poll: &Poll, error: Error) -> Duration {
+        count_poll(match &error {
+            Error::Lost(_) | Error::Unreached(_) | Error::Down(_) => {
+                "no answer"
+            }
+            _ => "turned away",
+        });
+        match &error {
+            Error::Fenced => self.record_fenced(poll.call.token),
+            error => slog::debug!(self.0.config.log,
+                "agent: a look has failed"; "error" => %error),
+        }
+        let now = Instant::now();
+        let down = matches!(error, Error::Down(_));
+        let unreached = matches!(error, Error::Lost(_) | Error::Unreached(_));
+        if matches!(error, Error::OtherLife) {
+            self.life_ended(&poll.call.life, false);
+        } else if !down && !unreached {
+            // Whatever it says, the worker lives.
+            let mut state = self.lock();
+            if let Some(view) = &mut state.worker {
+                view.mark_alive(now);
+            }
+        } else if self.lock().poll_failed(down, now) {
+            slog::warn!(self.0.config.log,
+                "agent: the worker does not answer"; "error" => %error,
+                "down" => down, "life" => &*poll.call.life);
+            self.0.report_now.notify_one();
+        }
+        pause(RETRY_DELAY).await;
+        Duration::ZERO
+    }
+}
+
+fn count_poll(outcome: &'static str) {
+    metrics::get().looks.add(1, &[label("outcome", outcome)]);
+}
--- a/src/cell/member/keep.rs
+++ b/src/cell/member/save.rs
@@ -23,19 +23,19 @@
 /// How often, while no planner answers, it is looked whether something must
 /// be kept. Well below the time between the end of the last lease and the
 /// planner's look: 0.8 s.
-const LOOK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// How long is waited at most before it is looked whether that is due.
-const LOOK_AGAIN: Duration = Duration::from_secs(1);
+const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// How long ends are kept: many times as long as a planner waits before it
 /// looks, and not for ever where an agent goes and none comes in its place.
-const KEPT_FOR: Duration = Duration::from_secs(120);
+const SAVED_TTL: Duration = Duration::from_secs(120);
 /// The share of the survival without a planner after which ends are kept:
 /// longer than it takes another to claim.
-const ALONE: f64 = 1.0 / 3.0;
+const UNREACHED_SHARE: f64 = 1.0 / 3.0;
 
 /// What was kept last.
 #[derive(Debug, Default)]
-struct Kept {
+struct Saved {
     /// The lives that it is of, and the highest end of each; none if nothing
     /// is kept.
     ends: Vec<(Life, u64)>,
@@ -45,30 +45,30 @@
 
 impl<W: Worker, S: Store> Member<W, S> {
     /// Keeps ends in the store while no planner is reached, for ever.
-    pub(super) async fn keep_ends(&self) {
-        let alone = self.0.config.survival.mul_f64(ALONE);
-        let mut kept = Kept::default();
+    pub(super) async fn save_ends(&self) {
+        let unreached = self.0.config.survival.mul_f64(UNREACHED_SHARE);
+        let mut saved = Saved::default();
         loop {
             let now = Instant::now();
-            let due = self.lock().answered + alone;
+            let due = self.lock().last_planner_answer + unreached;
             if !due.is_ahead() {
                 let report = self.lock().report(&self.0.config, now);
-                self.keep(report, &mut kept).await;
-                tokio::time::sleep(LOOK).await;
-            } else if !kept.ends.is_empty() {
-                self.clear(&mut kept).await;
-                tokio::time::sleep(LOOK).await;
+                self.save(report, &mut saved).await;
+                tokio::time::sleep(CHECK_INTERVAL).await;
+            } else if !saved.ends.is_empty() {
+                self.clear(&mut saved).await;
+                tokio::time::sleep(CHECK_INTERVAL).await;
             } else {
                 // A timer stands still while the machine is suspended.
-                tokio::time::sleep(due.left().min(LOOK_AGAIN)).await;
+                tokio::time::sleep(due.left().min(MAX_CHECK_INTERVAL)).await;
             }
         }
     }
 
     /// Keeps a report, if it lists an end that is not kept yet.
-    async fn keep(&self, report: Report, kept: &mut Kept) {
+    async fn save(&self, report: Report, saved: &mut Saved) {
         let ends = ends(&report);
-        if ends.is_empty() || kept.ends == ends {
+        if ends.is_empty() || saved.ends == ends {
             return;
         }
         let value = match serde_json::to_vec(&report) {
@@ -79,7 +79,7 @@
                 return;
             }
         };
-        let lease = match self.0.store.grant(KEPT_FOR).await {
+        let lease = match self.0.store.grant(SAVED_TTL).await {
             Ok(lease) => lease,
             Err(error) => {
                 slog::debug!(self.0.config.log,
@@ -88,18 +88,18 @@
             }
         };
         let put = |key| Put::Value(key, value, lease);
-        if self.swap(put, kept).await {
+        if self.swap(put, saved).await {
             slog::info!(self.0.config.log,
                 "agent: ends are kept, no planner is reached";
                 "ends" => ?ends);
-            kept.ends = ends;
+            saved.ends = ends;
         }
     }
 
     /// Removes what is kept, once a planner has heard it.
-    async fn clear(&self, kept: &mut Kept) {
-        if self.swap(Put::Delete, kept).await {
-            kept.ends.clear();
+    async fn clear(&self, saved: &mut Saved) {
+        if self.swap(Put::Delete, saved).await {
+            saved.ends.clear();
         }
     }
 
@@ -108,19 +108,19 @@
     async fn swap(
         &self,
         put: impl FnOnce(String) -> Put,
-        kept: &mut Kept,
+        saved: &mut Saved,
     ) -> bool {
         let key = keys::report(&self.0.config.agent);
-        let condition = Compare::Modified(key.clone(), kept.revision);
+        let condition = Compare::Modified(key.clone(), saved.revision);
         let put = put(key);
         let removes = matches!(put, Put::Delete(_));
         match self.0.store.swap(&[condition], vec![put]).await {
             Ok(Swap::Written(revision)) => {
-                kept.revision = if removes { 0 } else { revision };
+                saved.revision = if removes { 0 } else { revision };
                 true
             }
             Ok(Swap::Refused(items)) => {
-                kept.revision = items.first().map_or(0, |i| i.modified);
+                saved.revision = items.first().map_or(0, |i| i.modified);
                 false
             }
             Err(error) => {
--- a/src/cell/member/state.rs
+++ b/src/cell/member/state.rs
@@ -4,14 +4,14 @@
 
 use tokio::time::Instant;
 
-use crate::cell::member::known::Key;
-use crate::cell::member::known::Known;
-use crate::cell::member::known::DEAF;
+use crate::cell::member::view::Key;
+use crate::cell::member::view::View;
+use crate::cell::member::view::UNRESPONSIVE_POLLS;
 use crate::cell::member::Config;
 use crate::cell::member::Heartbeat;
-use crate::cell::member::LEAVES;
+use crate::cell::member::LEAVE_PERIOD;
 use crate::cell::worker::Call;
-use crate::cell::worker::Look;
+use crate::cell::worker::Snapshot;
 use crate::cell::worker::WorkerTime;
 use crate::clock::Stamp;
 use crate::graph::Before;
@@ -30,36 +30,36 @@
 const LEASE_SLACK: Duration = Duration::from_millis(400);
 /// For how long after a look's answer an acknowledgement may be sent: less
 /// than a process takes to crash and be back under its name.
-const JUST: Duration = Duration::from_millis(20);
+const ACKNOWLEDGE_WITHIN: Duration = Duration::from_millis(20);
 /// The least rest of a grant under which a task is still started.
-const LEAST_LEASE: Duration = Duration::from_millis(400);
+const MIN_LEASE: Duration = Duration::from_millis(400);
 
 /// How often a heartbeat of another life makes a line and a look: whoever
 /// writes them must not keep the agent from its worker.
-const STRANGE: Duration = Duration::from_secs(1);
+const CONFLICT_INTERVAL: Duration = Duration::from_secs(1);
 /// For how long it is told what had begun in a life that is over: longer
 /// than it takes a planner to claim and hear its agents.
-const TOLD: Duration = Duration::from_secs(20);
+const PREVIOUS_REPORTED_FOR: Duration = Duration::from_secs(20);
 
 /// What a heartbeat has brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum Update {
     /// A new life.
     Life,
     /// Another state or room.
-    Terms,
+    Changed,
     /// A life that cannot be the worker's: another one answers there.
-    Strange,
+    Conflict,
     /// Nothing.
     None,
 }
 
 /// A look to be made.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Poll {
     pub number: u64,
     pub call: Call,
-    pub noted: u64,
+    pub acknowledged: u64,
     pub expires: Option<WorkerTime>,
     pub target: Option<Instant>,
 }
@@ -73,16 +73,16 @@
     /// The highest fencing token seen.
     pub token: Revision,
     /// Until when the worker's tasks may go on.
-    pub granted: Option<Stamp>,
+    pub granted_until: Option<Stamp>,
     /// When a planner has answered last.
-    pub answered: Stamp,
+    pub last_planner_answer: Stamp,
     /// The highest token that the worker has called too low.
-    pub fenced: Revision,
-    pub worker: Option<Known>,
+    pub highest_fenced: Revision,
+    pub worker: Option<View>,
     /// Before when no heartbeat of another life is news.
-    strange: Option<Instant>,
+    next_conflict: Option<Instant>,
     /// What had begun in the life before, and until when that is told.
-    before: Option<(Before, Instant)>,
+    previous: Option<(Before, Instant)>,
 }
 
 impl State {
@@ -91,72 +91,83 @@
             process: uuid::Uuid::new_v4().simple().to_string(),
             sequence: 0,
             token: 0,
-            granted: None,
-            answered: Stamp::now(),
-            fenced: 0,
+            granted_until: None,
+            last_planner_answer: Stamp::now(),
+            highest_fenced: 0,
             worker: None,
-            strange: None,
-            before: None,
+            next_conflict: None,
+            previous: None,
         }
     }
 
     pub fn heartbeat(
         &mut self,
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
         lease: Duration,
         now: Instant,
-    ) -> News {
-        let known = match &mut self.worker {
-            Some(known) if known.beat.life == beat.life => known,
-            Some(known) if known.is_confirmed(now) => {
-                let due = self.strange.is_none_or(|next| now >= next);
+    ) -> Update {
+        let view = match &mut self.worker {
+            Some(view) if view.heartbeat.life == heartbeat.life => view,
+            Some(view) if view.is_confirmed(now) => {
+                let due = self.next_conflict.is_none_or(|next| now >= next);
                 if !due {
-                    return News::None;
+                    return Update::None;
                 }
-                self.strange = Some(now + STRANGE);
-                return News::Strange;
+                self.next_conflict = Some(now + CONFLICT_INTERVAL);
+                return Update::Conflict;
             }
             _ => {
-                let mut known = Known::new(beat, lease, now);
+                let mut view = View::new(heartbeat, lease, now);
                 if let Some(earlier) = self.worker.take() {
-                    self.before = Some((earlier.before(), now + TOLD));
-                    known.late = earlier.late_in(&known.beat.life);
+                    self.previous =
+                        Some((earlier.before(), now + PREVIOUS_REPORTED_FOR));
+                    view.late_runs = earlier.late_runs(&view.heartbeat.life);
                 }
-                self.worker = Some(known);
-                return News::Life;
+                self.worker = Some(view);
+                return Update::Life;
             }
         };
-        if beat.sequence <= known.beat.sequence {
-            return News::None;
+        if heartbeat.sequence <= view.heartbeat.sequence {
+            return Update::None;
         }
-        known.stays = beat.remaining.map(|remaining| now + remaining);
-        known.shows_life(now);
-        let same = known.beat.leaving == beat.leaving
-            && known.beat.capacity == beat.capacity;
-        known.shrunk |= !beat.capacity.holds(&known.beat.capacity);
+        view.stays_until =
+            heartbeat.remaining.map(|remaining| now + remaining);
+        view.mark_alive(now);
+        let same = view.heartbeat.leaving == heartbeat.leaving
+            && view.heartbeat.capacity == heartbeat.capacity;
+        view.shrunk |= !heartbeat.capacity.holds(&view.heartbeat.capacity);
         // A worker that has said so does not come back from leaving; one that
         // only was said to have left may never have been meant.
-        if known.left && known.answers(now) && !beat.leaving {
-            known.left = false;
-            known.over = None;
-            known.beat.leaving = false;
+        if view.reported_left && view.is_responding(now) && !heartbeat.leaving
+        {
+            view.reported_left = false;
+            view.over_at = None;
+            view.heartbeat.leaving = false;
         }
-        let leaving = known.beat.leaving || beat.leaving;
-        known.beat = Heartbeat { leaving, ..beat };
+        let leaving = view.heartbeat.leaving || heartbeat.leaving;
+        view.heartbeat = Heartbeat {
+            leaving,
+            ..heartbeat
+        };
         match same {
-            true => News::None,
-            false => News::Terms,
+            true => Update::None,
+            false => Update::Changed,
         }
     }
 
     /// Takes in that a life ends, as it was said or as another one that
     /// answers shows; returns whether it is the one here.
-    pub fn left(&mut self, life: &Life, said: bool, over: Instant) -> bool {
+    pub fn mark_leaving(
+        &mut self,
+        life: &Life,
+        reported: bool,
+        over_at: Instant,
+    ) -> bool {
         match &mut self.worker {
-            Some(known) if known.beat.life.may_be(life) => {
-                known.left |= said && !known.beat.leaving;
-                known.beat.leaving = true;
-                known.over = Some(over);
+            Some(view) if view.heartbeat.life.may_be(life) => {
+                view.reported_left |= reported && !view.heartbeat.leaving;
+                view.heartbeat.leaving = true;
+                view.over_at = Some(over_at);
                 true
             }
             _ => false,
@@ -166,44 +177,46 @@
     /// Returns the report to be sent now.
     pub fn report(&mut self, config: &Config, now: Instant) -> Report {
         self.sequence += 1;
-        if let Some(known) = &mut self.worker {
-            if known.is_over(now) {
+        if let Some(view) = &mut self.worker {
+            if view.is_over(now) {
                 // Told to be gone, its tasks begin elsewhere: whatever it
                 // does when it speaks again, none of these orders.
-                known.starts.clear();
+                view.starts.clear();
             }
         }
-        let known = self.worker.as_ref();
-        let over = known.filter(|known| known.is_over(now));
-        let alive = known.filter(|known| !known.is_over(now));
+        let view = self.worker.as_ref();
+        let over = view.filter(|view| view.is_over(now));
+        let alive = view.filter(|view| !view.is_over(now));
         // Until it is sure that nothing of an earlier birth begins here late,
         // that one is not told to be over: its runs would begin elsewhere.
-        let alive = alive.filter(|known| known.late.is_empty());
-        let sure = known.is_none() || over.is_some() || alive.is_some();
-        let told = self.before.as_ref().filter(|(_, until)| now < *until);
-        let told = told.filter(|_| sure).map(|(before, _)| before.clone());
+        let alive = alive.filter(|view| view.late_runs.is_empty());
+        let all_barred = view.is_none() || over.is_some() || alive.is_some();
+        let before = self.previous.as_ref().filter(|(_, until)| now < *until);
+        let before = before
+            .filter(|_| all_barred)
+            .map(|(before, _)| before.clone());
         let before = match over {
-            Some(known) if known.seen => Some(known.before()),
-            Some(known) => told.map(|before| Before {
+            Some(view) if view.has_listed => Some(view.before()),
+            Some(view) => before.map(|before| Before {
                 // Its leases have run out with those of its successor.
-                over: known.lapsed,
+                over: view.lapsed,
                 ..before
             }),
-            None => told,
+            None => before,
         };
         Report {
             agent: config.agent.clone(),
             process: self.process.clone(),
             sequence: self.sequence,
-            gone: over.map(|known| known.beat.life.clone()),
+            gone: over.map(|view| view.heartbeat.life.clone()),
             before,
-            silent: over.is_some_and(|known| known.lapsed && !known.down),
-            worker: alive.and_then(|known| known.report(now)),
+            silent: over.is_some_and(|view| view.lapsed && !view.down),
+            worker: alive.and_then(|view| view.report(now)),
         }
     }
 
     /// Takes orders in; returns what is to be started and stopped now.
-    pub fn orders(
+    pub fn take_orders(
         &mut self,
         token: Revision,
         granted: Option<Stamp>,
@@ -213,116 +226,127 @@
             return Vec::new();
         }
         self.token = token;
-        self.answered = Stamp::now();
-        self.granted = self.granted.max(granted);
-        let Some(known) = &mut self.worker else {
+        self.last_planner_answer = Stamp::now();
+        self.granted_until = self.granted_until.max(granted);
+        let Some(view) = &mut self.worker else {
             return Vec::new();
         };
         match orders.life {
-            Some(_) if known.is_over(Instant::now()) => return Vec::new(),
-            Some(life) if life == known.beat.life => {}
+            Some(_) if view.is_over(Instant::now()) => return Vec::new(),
+            Some(life) if life == view.heartbeat.life => {}
             _ => return Vec::new(),
         }
-        known.noted = known.noted.max(orders.noted);
+        view.acknowledged = view.acknowledged.max(orders.noted);
         let key = |stop: &Stop| (stop.task.clone(), stop.run);
-        known.stops = orders.stops.iter().map(key).collect();
+        view.stops = orders.stops.iter().map(key).collect();
         let starts = orders.starts.into_iter();
-        known.starts = starts.map(|s| ((s.task.clone(), s.run), s)).collect();
-        known.due()
+        view.starts = starts.map(|s| ((s.task.clone(), s.run), s)).collect();
+        view.take_due()
     }
 
     /// Returns until when a lease may go now, if it may go at all: to a
     /// worker that says nothing none is given, or it could never be known
     /// that what runs there has lapsed.
     pub fn target(&self, lease: Duration, now: Instant) -> Option<Instant> {
-        let granted = self.granted?;
+        let granted = self.granted_until?;
         let silent = self.worker.as_ref().is_some_and(|w| w.is_silent(now));
         let left = granted.left();
-        let may = left > LEAST_LEASE && !silent;
+        let may = left > MIN_LEASE && !silent;
         may.then(|| now + left.min(lease))
     }
 
     /// Returns the next look.
-    pub fn plan(&mut self, lease: Duration, now: Instant) -> Option<Plan> {
+    pub fn next_poll(
+        &mut self,
+        lease: Duration,
+        now: Instant,
+    ) -> Option<Poll> {
         let target = self.target(lease, now);
         let token = self.token;
         // Ends are acknowledged only while they are listed: a look that comes
         // late to a later birth must not let that forget its own.
-        let is_noted = self.is_noted(0);
-        let known = self.worker.as_mut()?;
-        known.looks += 1;
+        let has_unacknowledged = self.has_unacknowledged_end(0);
+        let view = self.worker.as_mut()?;
+        view.polls += 1;
         // And only right after this birth has answered: a later one may be
         // there already, while a look that went to the earlier one has had
         // no answer yet or was broken off.
-        let just = known.shown.take().is_some_and(|at| now < at + JUST);
-        let noted = match is_noted && just {
-            true => known.noted,
+        let is_recent = view
+            .last_poll_answer
+            .take()
+            .is_some_and(|at| now < at + ACKNOWLEDGE_WITHIN);
+        let acknowledged = match has_unacknowledged && is_recent {
+            true => view.acknowledged,
             false => 0,
         };
-        let expires = target.and_then(|target| known.time_at(target));
-        Some(Plan {
-            number: known.looks,
+        let expires = target.and_then(|target| view.worker_time_at(target));
+        Some(Poll {
+            number: view.polls,
             call: Call {
-                life: known.beat.life.clone(),
+                life: view.heartbeat.life.clone(),
                 token,
             },
-            noted,
+            acknowledged,
             expires,
             target: target.filter(|_| expires.is_some()),
         })
     }
 
     /// Takes a look's answer in; returns whether there is news in it.
-    pub fn looked(&mut self, plan: &Plan, look: Look, now: Instant) -> bool {
-        let Some(known) = &mut self.worker else {
+    pub fn poll_answered(
+        &mut self,
+        poll: &Poll,
+        snapshot: Snapshot,
+        now: Instant,
+    ) -> bool {
+        let Some(view) = &mut self.worker else {
             return false;
         };
-        if known.beat.life != plan.call.life {
+        if view.heartbeat.life != poll.call.life {
             return false;
         }
-        if known.beat.life.is_other(look.born) {
+        if view.heartbeat.life.is_other(snapshot.born) {
             // Its successor is taken in with its own heartbeat, which is
             // news now that this one answers no more.
-            known.is_replaced();
+            view.mark_replaced();
             return false;
         }
-        known.shows_life(now);
-        let heard = known.is_deaf();
-        known.unanswered = 0;
+        view.mark_alive(now);
+        let recovered = view.is_unresponsive();
+        view.failed_polls = 0;
         // It has not ended as long as it answers, whoever said that it has:
         // a call that names the worker may mean an earlier birth.
-        known.over = known.over.map(|over| over.max(now + LEAVES));
-        known.clock = Some((look.time, now));
-        known.shown = Some(now);
-        known.doubted = false;
-        if plan.number <= known.since {
+        view.over_at = view.over_at.map(|over| over.max(now + LEAVE_PERIOD));
+        view.clock = Some((snapshot.time, now));
+        view.last_poll_answer = Some(now);
+        view.start_unanswered = false;
+        if poll.number <= view.ignored_polls {
             return false;
         }
-        let new = heard
-            || known
-                .lists
-                .as_ref()
-                .is_none_or(|lists| runs(lists) != runs(&look.lists));
+        let new = recovered
+            || view.lists.as_ref().is_none_or(|lists| {
+                identifiers(lists) != identifiers(&snapshot.lists)
+            });
         let ended = |key: &Key| {
-            let mut ended = look.lists.ended.iter();
+            let mut ended = snapshot.lists.ended.iter();
             ended.any(|end| (&end.task, end.run) == (&key.0, key.1))
         };
-        known.begun.retain(|key, _| !ended(key));
+        view.begun.retain(|key, _| !ended(key));
         // Also what an earlier process of this agent has started.
-        for running in &look.lists.running {
+        for running in &snapshot.lists.running {
             let key = (running.task.clone(), running.run);
-            known.begun.entry(key).or_default();
+            view.begun.entry(key).or_default();
         }
-        known.seen = true;
-        known.lists = Some(look.lists);
-        known.confirm(plan.number) || new
+        view.has_listed = true;
+        view.lists = Some(snapshot.lists);
+        view.confirm_refusals(poll.number) || new
     }
 
     /// Takes in that a run has begun in a life, or may have.
-    pub fn begun(&mut self, life: &Life, key: &Key, charge: Resources) {
-        match (&mut self.worker, &mut self.before) {
-            (Some(known), _) if known.beat.life == *life => {
-                known.begun.insert(key.clone(), charge);
+    pub fn mark_begun(&mut self, life: &Life, key: &Key, charge: Resources) {
+        match (&mut self.worker, &mut self.previous) {
+            (Some(view), _) if view.heartbeat.life == *life => {
+                view.begun.insert(key.clone(), charge);
             }
             (_, Some((before, _))) if before.life == *life => {
                 before.begun.push(key.clone());
@@ -332,19 +356,19 @@
     }
 
     /// Takes in that a start in a life had no answer.
-    pub fn doubt(&mut self, life: &Life) {
-        let known = self.worker.as_mut();
-        if let Some(known) = known.filter(|k| k.beat.life == *life) {
-            known.doubted = true;
+    pub fn mark_start_unanswered(&mut self, life: &Life) {
+        let view = self.worker.as_mut();
+        if let Some(view) = view.filter(|k| k.heartbeat.life == *life) {
+            view.start_unanswered = true;
         }
     }
 
     /// Returns whether an end is listed that may be acknowledged, beyond
     /// those up to a number that have been.
-    pub fn is_noted(&self, beyond: u64) -> bool {
-        self.worker.as_ref().is_some_and(|known| {
-            let may = beyond + 1..=known.noted;
-            let mut ended = known.lists.iter().flat_map(|l| &l.ended);
+    pub fn has_unacknowledged_end(&self, beyond: u64) -> bool {
+        self.worker.as_ref().is_some_and(|view| {
+            let may = beyond + 1..=view.acknowledged;
+            let mut ended = view.lists.iter().flat_map(|l| &l.ended);
             ended.any(|end| may.contains(&end.number))
         })
     }
@@ -352,54 +376,54 @@
     /// Takes in that a look had no answer, and whether that was for the
     /// worker's process being down; returns whether that is news: the
     /// worker now counts as deaf, or its life has come to its end.
-    pub fn unanswered(&mut self, down: bool, now: Instant) -> bool {
-        let Some(known) = &mut self.worker else {
+    pub fn poll_failed(&mut self, down: bool, now: Instant) -> bool {
+        let Some(view) = &mut self.worker else {
             return false;
         };
-        known.down |= down;
-        known.unanswered = known.unanswered.saturating_add(1);
-        let deaf = known.unanswered == DEAF;
-        let lapsed = known.leased.is_none_or(|l| now > l + LEASE_SLACK);
-        let over = known.over.is_none() && lapsed && known.is_silent(now);
+        view.down |= down;
+        view.failed_polls = view.failed_polls.saturating_add(1);
+        let unresponsive = view.failed_polls == UNRESPONSIVE_POLLS;
+        let lapsed = view.leased_until.is_none_or(|l| now > l + LEASE_SLACK);
+        let over = view.over_at.is_none() && lapsed && view.is_silent(now);
         if over {
-            known.over = Some(now);
-            known.lapsed = true;
+            view.over_at = Some(now);
+            view.lapsed = true;
         }
-        over || deaf
+        over || unresponsive
     }
 
     /// Returns a run of an earlier birth that a late order could still begin
     /// in this life, and the call to bar it by.
-    pub fn late(&self, life: &Life) -> Option<(Call, Key)> {
-        let known = self.worker.as_ref()?;
-        let key = known.late.first().cloned()?;
+    pub fn next_late_run(&self, life: &Life) -> Option<(Call, Key)> {
+        let view = self.worker.as_ref()?;
+        let key = view.late_runs.first().cloned()?;
         let call = Call {
             life: life.clone(),
             token: self.token,
         };
-        (known.beat.life == *life).then_some((call, key))
+        (view.heartbeat.life == *life).then_some((call, key))
     }
 
     /// Takes in that such a run is barred; returns whether it was the last.
-    pub fn barred(&mut self, life: &Life, key: &Key) -> bool {
-        let known = self.worker.as_mut();
-        let known = known.filter(|known| known.beat.life == *life);
-        known.is_some_and(|known| {
-            let last = known.late.remove(key) && known.late.is_empty();
+    pub fn mark_barred(&mut self, life: &Life, key: &Key) -> bool {
+        let view = self.worker.as_mut();
+        let view = view.filter(|view| view.heartbeat.life == *life);
+        view.is_some_and(|view| {
+            let last = view.late_runs.remove(key) && view.late_runs.is_empty();
             if last {
                 // What did begin late is listed only by later looks, as
                 // ended or being stopped.
-                known.since = known.looks;
-                known.lists = None;
+                view.ignored_polls = view.polls;
+                view.lists = None;
             }
             last
         })
     }
 }
 
-type Listed<'a> = (Vec<(&'a Task, Run)>, Vec<u64>);
+type Identifiers<'a> = (Vec<(&'a Task, Run)>, Vec<u64>);
 
-fn runs(lists: &Lists) -> Listed<'_> {
+fn identifiers(lists: &Lists) -> Identifiers<'_> {
     let running = lists.running.iter().map(|r| (&r.task, r.run));
     let ended = lists.ended.iter().map(|e| e.number);
     (running.collect(), ended.collect())
--- a/src/cell/member/known.rs
+++ b/src/cell/member/view.rs
@@ -21,20 +21,20 @@
 use crate::graph::WorkerReport;
 
 /// For how long a worker must not answer before its life is taken for over.
-const SILENT: Duration = Duration::from_millis(1500);
+const SILENCE_LIMIT: Duration = Duration::from_millis(1500);
 /// For how long a look's answer shows which life is here: until the next
 /// has had its answer, or none.
-const CONFIRMED: Duration = Duration::from_millis(1700);
+const CONFIRMATION_LIFETIME: Duration = Duration::from_millis(1700);
 /// How many looks in a row must have no answer before a worker counts as
 /// deaf: one may be lost with its connection.
-pub(super) const DEAF: u32 = 2;
+pub(super) const UNRESPONSIVE_POLLS: u32 = 2;
 
 /// A run of a task.
 pub type Key = (Task, Run);
 
 /// How far an order has come.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Progress {
+pub enum Phase {
     /// It is being started; an order to stop it waits for nothing.
     Starting,
     /// The worker has started it.
@@ -47,108 +47,107 @@
         /// Why.
         why: Refusal,
         /// The first look that counts.
-        look: u64,
+        poll: u64,
         /// Whether such a look has come.
-        sure: bool,
+        confirmed: bool,
     },
 }
 
 /// What is known of the worker.
 #[derive(Clone, Debug)]
-pub struct Known {
-    pub beat: Heartbeat,
+pub struct View {
+    pub heartbeat: Heartbeat,
     /// Until when it stays at least, while it is leaving.
-    pub stays: Option<Instant>,
+    pub stays_until: Option<Instant>,
     /// Its time, and when we had it: it was then no earlier.
     pub clock: Option<(WorkerTime, Instant)>,
     pub lists: Option<Lists>,
     /// The ends that it has listed last, once its lists count no more.
-    pub read: Vec<Ended>,
+    pub last_ended: Vec<Ended>,
     /// Counts the looks.
-    pub looks: u64,
-    pub noted: u64,
+    pub polls: u64,
+    pub acknowledged: u64,
     pub starts: BTreeMap<Key, Start>,
     pub stops: BTreeSet<Key>,
-    pub progress: BTreeMap<Key, Progress>,
+    pub phases: BTreeMap<Key, Phase>,
     /// The runs that have begun, or may have, and whose end is not listed;
     /// what each takes.
     pub begun: BTreeMap<Key, Resources>,
     /// Whether a look has shown what it lists.
-    pub seen: bool,
+    pub has_listed: bool,
     /// Whether it has had more room in this life than it has now.
     pub shrunk: bool,
-    pub answered: Instant,
+    pub last_contact: Instant,
     /// When the last look was answered by this birth, until another is made.
-    pub shown: Option<Instant>,
+    pub last_poll_answer: Option<Instant>,
     /// Whether a start has had no answer since the last look that had one:
     /// the worker may be down, and be back as another birth.
-    pub doubted: bool,
+    pub start_unanswered: bool,
     /// How many looks in a row had no answer, whatever its heartbeats say.
-    pub unanswered: u32,
+    pub failed_polls: u32,
     /// Until when, at most, what runs may go on.
-    pub leased: Option<Instant>,
+    pub leased_until: Option<Instant>,
     /// When its life is taken for over.
-    pub over: Option<Instant>,
+    pub over_at: Option<Instant>,
     /// Whether that is because its leases have run out in silence.
     pub lapsed: bool,
     /// Whether its process was seen to be down.
     pub down: bool,
     /// Whether it is leaving only because it was said to have left.
-    pub left: bool,
+    pub reported_left: bool,
     /// The runs of earlier births under its name that may begin here: a
     /// call names the worker alone, and may be carried out seconds later.
-    pub late: BTreeSet<Key>,
+    pub late_runs: BTreeSet<Key>,
     /// The last look that does not show them.
-    pub since: u64,
+    pub ignored_polls: u64,
 }
 
-impl Known {
+impl View {
     pub(super) fn new(
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
         lease: Duration,
         now: Instant,
-    ) -> Known {
-        Known {
-            stays: beat.remaining.map(|remaining| now + remaining),
-            clock: beat.time.map(|time| (time, now)),
-            beat,
+    ) -> View {
+        View {
+            stays_until: heartbeat.remaining.map(|remaining| now + remaining),
+            clock: heartbeat.time.map(|time| (time, now)),
+            heartbeat,
             lists: None,
-            read: Vec::new(),
-            looks: 0,
-            noted: 0,
+            last_ended: Vec::new(),
+            polls: 0,
+            acknowledged: 0,
             starts: BTreeMap::new(),
             stops: BTreeSet::new(),
-            progress: BTreeMap::new(),
+            phases: BTreeMap::new(),
             begun: BTreeMap::new(),
-            seen: false,
+            has_listed: false,
             shrunk: false,
-            answered: now,
-            shown: None,
-            doubted: false,
-            unanswered: 0,
+            last_contact: now,
+            last_poll_answer: None,
+            start_unanswered: false,
+            failed_polls: 0,
             // An earlier life of this process may have leased so long.
-            leased: Some(now + lease),
-            over: None,
-            left: false,
+            leased_until: Some(now + lease),
+            over_at: None,
+            reported_left: false,
             lapsed: false,
             down: false,
-            late: BTreeSet::new(),
-            since: 0,
+            late_runs: BTreeSet::new(),
+            ignored_polls: 0,
         }
     }
 
     /// Returns the runs whose orders may be carried out in a later life.
-    pub(super) fn late_in(self, later: &Life) -> BTreeSet<Key> {
-        if self.beat.life.name() != later.name() {
+    pub(super) fn late_runs(self, later: &Life) -> BTreeSet<Key> {
+        if self.heartbeat.life.name() != later.name() {
             // Calls are refused there: they name this one.
             return BTreeSet::new();
         }
-        let under_way = |progress: &Progress| {
-            matches!(progress, Progress::Starting | Progress::Started)
-        };
-        let orders = self.progress.iter();
-        let orders = orders.filter(|(_, progress)| under_way(progress));
-        let mut late = self.late;
+        let under_way =
+            |phase: &Phase| matches!(phase, Phase::Starting | Phase::Started);
+        let orders = self.phases.iter();
+        let orders = orders.filter(|(_, phase)| under_way(phase));
+        let mut late = self.late_runs;
         late.extend(orders.map(|(key, _)| key.clone()));
         late.extend(self.begun.into_keys());
         late
@@ -158,14 +157,14 @@
     /// has shrunk since orders were given: a worker that does not guard its
     /// room would begin it all the same.
     pub fn has_room(&self, key: &Key, start: &Start) -> bool {
-        if !self.shrunk || self.lists(key) {
+        if !self.shrunk || self.is_listed(key) {
             return true;
         }
         // Its own start without answer may not have been carried out.
         let others = self.begun.iter().filter(|(other, _)| *other != key);
         let taken =
             others.fold(start.charge, |sum, (_, charge)| sum.plus(charge));
-        self.beat.capacity.holds(&taken)
+        self.heartbeat.capacity.holds(&taken)
     }
 
     /// Returns whether a run has begun, or may have: its start may have had
@@ -175,73 +174,76 @@
     }
 
     /// Takes in that another birth answers: these lists are of before.
-    pub(super) fn is_replaced(&mut self) {
+    pub(super) fn mark_replaced(&mut self) {
         if let Some(lists) = self.lists.take() {
-            self.read = lists.ended;
+            self.last_ended = lists.ended;
         }
     }
 
     /// Returns what is told of this life once it is over.
     pub(super) fn before(&self) -> Before {
         // What it has done and was read is not done again for its end.
-        let ended = self.lists.as_ref().map_or(&self.read, |l| &l.ended);
-        let untold = ended.iter().filter(|end| end.number > self.noted);
+        let ended = self.lists.as_ref().map_or(&self.last_ended, |l| &l.ended);
+        let unacknowledged =
+            ended.iter().filter(|end| end.number > self.acknowledged);
         Before {
-            ended: untold.cloned().collect(),
-            life: self.beat.life.clone(),
+            ended: unacknowledged.cloned().collect(),
+            life: self.heartbeat.life.clone(),
             begun: self.begun.keys().cloned().collect(),
-            unseen: !self.seen,
+            unseen: !self.has_listed,
             over: false,
         }
     }
 
     /// Takes in that the worker lives.
-    pub fn shows_life(&mut self, now: Instant) {
-        self.answered = now;
-        self.over = self.over.filter(|_| self.beat.leaving);
+    pub fn mark_alive(&mut self, now: Instant) {
+        self.last_contact = now;
+        self.over_at = self.over_at.filter(|_| self.heartbeat.leaving);
     }
 
     /// Returns whether the worker answers no calls, though it may well send
     /// heartbeats: what is ordered there would not begin.
-    pub fn is_deaf(&self) -> bool {
-        self.unanswered >= DEAF
+    pub fn is_unresponsive(&self) -> bool {
+        self.failed_polls >= UNRESPONSIVE_POLLS
     }
 
     /// Returns whether this life answers calls: another one that is named
     /// meanwhile is gone already, and its heartbeat late, or it is none.
     pub(super) fn is_confirmed(&self, now: Instant) -> bool {
-        self.answers(now) && self.over.is_none()
+        self.is_responding(now) && self.over_at.is_none()
     }
 
     /// Returns whether its last look was answered by this very birth.
-    pub fn is_known(&self) -> bool {
-        self.lists.is_some() && self.unanswered == 0
+    pub fn is_current(&self) -> bool {
+        self.lists.is_some() && self.failed_polls == 0
     }
 
     /// Returns whether its last look was answered, and lately.
-    pub(super) fn answers(&self, now: Instant) -> bool {
-        let lately = self.clock.is_some_and(|(_, at)| now < at + CONFIRMED);
-        lately && self.is_known()
+    pub(super) fn is_responding(&self, now: Instant) -> bool {
+        let lately = self
+            .clock
+            .is_some_and(|(_, at)| now < at + CONFIRMATION_LIFETIME);
+        lately && self.is_current()
     }
 
     /// Returns whether the worker has not answered for long.
     pub fn is_silent(&self, now: Instant) -> bool {
-        now > self.answered + SILENT
+        now > self.last_contact + SILENCE_LIMIT
     }
 
     pub fn is_over(&self, now: Instant) -> bool {
-        self.over.is_some_and(|over| now >= over)
+        self.over_at.is_some_and(|over| now >= over)
     }
 
     /// Returns the worker's time at an instant, or a little before it.
-    pub fn time_at(&self, target: Instant) -> Option<WorkerTime> {
+    pub fn worker_time_at(&self, target: Instant) -> Option<WorkerTime> {
         let (time, at) = self.clock?;
         let ahead = target.saturating_duration_since(at);
         Some(time + ahead.as_millis() as u64)
     }
 
     /// Returns whether a run is listed.
-    pub(super) fn lists(&self, key: &Key) -> bool {
+    pub(super) fn is_listed(&self, key: &Key) -> bool {
         self.lists.as_ref().is_some_and(|lists| {
             let running = lists.running.iter().map(|r| (&r.task, r.run));
             let ended = lists.ended.iter().map(|e| (&e.task, e.run));
@@ -253,57 +255,59 @@
 
     /// Takes for sure what a look with this number does not contradict;
     /// returns whether there was any.
-    pub(super) fn confirm(&mut self, number: u64) -> bool {
+    pub(super) fn confirm_refusals(&mut self, number: u64) -> bool {
         let listed: BTreeSet<Key> = self
-            .progress
+            .phases
             .keys()
-            .filter(|key| self.lists(key))
+            .filter(|key| self.is_listed(key))
             .cloned()
             .collect();
         let mut any = false;
-        for (key, progress) in &mut self.progress {
-            if let Progress::Refused { look, sure, .. } = progress {
-                let now_sure = *look <= number && !listed.contains(key);
-                any |= now_sure && !*sure;
-                *sure |= now_sure;
+        for (key, phase) in &mut self.phases {
+            if let Phase::Refused {
+                poll, confirmed, ..
+            } = phase
+            {
+                let now_sure = *poll <= number && !listed.contains(key);
+                any |= now_sure && !*confirmed;
+                *confirmed |= now_sure;
             }
         }
         any
     }
 
     /// Returns the orders that nothing is being done about yet.
-    pub(super) fn due(&mut self) -> Vec<Key> {
+    pub(super) fn take_due(&mut self) -> Vec<Key> {
         let wanted = |key: &Key| {
             self.starts.contains_key(key) || self.stops.contains(key)
         };
-        self.progress.retain(|key, progress| {
-            wanted(key)
-                || matches!(progress, Progress::Starting | Progress::Stopping)
+        self.phases.retain(|key, phase| {
+            wanted(key) || matches!(phase, Phase::Starting | Phase::Stopping)
         });
         let mut due = Vec::new();
         for key in self.starts.keys() {
-            if !self.progress.contains_key(key) {
+            if !self.phases.contains_key(key) {
                 due.push(key.clone());
             }
         }
         for key in &self.stops {
-            let idle = match self.progress.get(key) {
-                None | Some(Progress::Starting | Progress::Started) => true,
-                Some(Progress::Stopping) => false,
+            let idle = match self.phases.get(key) {
+                None | Some(Phase::Starting | Phase::Started) => true,
+                Some(Phase::Stopping) => false,
                 // What the worker refused to start may still come late,
                 // unless it is barred.
-                Some(Progress::Refused { why, .. }) => *why != Refusal::Barred,
+                Some(Phase::Refused { why, .. }) => *why != Refusal::Barred,
             };
             if idle {
                 due.push(key.clone());
             }
         }
         for key in &due {
-            let progress = match self.stops.contains(key) {
-                true => Progress::Stopping,
-                false => Progress::Starting,
+            let phase = match self.stops.contains(key) {
+                true => Phase::Stopping,
+                false => Phase::Starting,
             };
-            self.progress.insert(key.clone(), progress);
+            self.phases.insert(key.clone(), phase);
         }
         due
     }
@@ -311,31 +315,31 @@
     pub(super) fn report(&self, now: Instant) -> Option<WorkerReport> {
         let lists = self.lists.clone()?;
         let refused =
-            self.progress.iter().filter_map(
-                |(key, progress)| match progress {
-                    Progress::Refused {
-                        why, sure: true, ..
-                    } => Some(Refused {
-                        task: key.0.clone(),
-                        run: key.1,
-                        why: *why,
-                    }),
-                    _ => None,
-                },
-            );
+            self.phases.iter().filter_map(|(key, phase)| match phase {
+                Phase::Refused {
+                    why,
+                    confirmed: true,
+                    ..
+                } => Some(Refused {
+                    task: key.0.clone(),
+                    run: key.1,
+                    why: *why,
+                }),
+                _ => None,
+            });
         let remaining = self
-            .stays
+            .stays_until
             .map(|stays| stays.saturating_duration_since(now).as_millis());
         Some(WorkerReport {
-            life: self.beat.life.clone(),
-            pool: self.beat.pool.clone(),
-            machine: self.beat.machine.clone(),
-            hall: self.beat.hall.clone(),
-            rack: self.beat.rack.clone(),
-            labels: self.beat.labels.clone(),
-            capacity: self.beat.capacity,
-            leaving: self.beat.leaving,
-            silent: self.is_silent(now) || self.is_deaf(),
+            life: self.heartbeat.life.clone(),
+            pool: self.heartbeat.pool.clone(),
+            machine: self.heartbeat.machine.clone(),
+            hall: self.heartbeat.hall.clone(),
+            rack: self.heartbeat.rack.clone(),
+            labels: self.heartbeat.labels.clone(),
+            capacity: self.heartbeat.capacity,
+            leaving: self.heartbeat.leaving,
+            silent: self.is_silent(now) || self.is_unresponsive(),
             remaining_ms: remaining.map(|ms| ms as u64),
             lists,
             refused: refused.collect(),
--- a/src/cell/planner/calls.rs
+++ b/src/cell/planner/calls.rs
@@ -22,24 +22,26 @@
 use crate::store::Store;
 
 /// How long records of ended jobs are kept; callers may ask for 120 s.
-const KEPT: Duration = Duration::from_secs(600);
+const RECORD_RETENTION: Duration = Duration::from_secs(600);
 /// How many records are removed in one transaction of three entries each.
-const REMOVED: usize = 8;
+const MAX_REMOVED_JOBS: usize = 8;
 
 impl<S: Store> State<S> {
     /// Asks who may run a step, one question at a time.
-    pub(super) fn ask(&mut self, myself: &ActorRef<Message>) {
-        let Some(desk) = self.advice.clone().filter(|_| !self.asking) else {
+    pub(super) fn ask_advice(&mut self, myself: &ActorRef<Message>) {
+        let Some(advice) =
+            self.advice.clone().filter(|_| !self.advice_pending)
+        else {
             return;
         };
         let Some(question) = self.book.question(Moment::present()) else {
             return;
         };
-        self.asking = true;
+        self.advice_pending = true;
         let myself = myself.clone();
         tokio::spawn(async move {
             let sent = Instant::now();
-            let good = advice::ask(&desk, question.clone()).await;
+            let good = advice::ask(&advice, question.clone()).await;
             // A planner that has stopped needs no answer.
             let _ = myself.cast(Message::Advised(question, good, sent));
         });
@@ -88,30 +90,31 @@
         if self.writing {
             return;
         }
-        let batch = self.book.unwritten(writer::MOST);
+        let batch = self.book.unwritten(writer::MAX_BATCH_JOBS);
         if batch.is_empty() {
             return;
         }
         self.writing = true;
         let store = self.store.clone();
         let claim = self.claim.clone();
-        let known = self.known.of(&batch);
+        let records = self.records.subset(&batch);
         let myself = myself.clone();
         tokio::spawn(async move {
-            let written = writer::write(&store, &claim, &known, &batch).await;
+            let written =
+                writer::write(&store, &claim, &records, &batch).await;
             // A planner that has stopped needs no outcome.
             let _ = myself.cast(Message::Written(written));
         });
     }
 
     /// Removes the records of jobs that ended long ago.
-    pub(super) fn remove(&mut self, myself: &ActorRef<Message>) {
-        let before = clock::wall().checked_sub(KEPT);
+    pub(super) fn remove_ended(&mut self, myself: &ActorRef<Message>) {
+        let before = clock::wall().checked_sub(RECORD_RETENTION);
         let ids: Vec<Id> = match before {
             Some(before) if !self.removing => self.book.ended_before(before),
             _ => return,
         };
-        let ids: Vec<Id> = ids.into_iter().take(REMOVED).collect();
+        let ids: Vec<Id> = ids.into_iter().take(MAX_REMOVED_JOBS).collect();
         if ids.is_empty() {
             return;
         }
--- a/src/cell/planner/mod.rs
+++ b/src/cell/planner/mod.rs
@@ -13,15 +13,15 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::cell::advice::Desk;
+use crate::cell::advice;
 use crate::cell::claim::Claim;
 use crate::cell::configuration::Source;
+use crate::cell::decision_log::Recorder;
 use crate::cell::keys;
 use crate::cell::keys::Intake;
 use crate::cell::rpc::Answer;
-use crate::cell::teller::Teller;
 use crate::cell::writer;
-use crate::cell::writer::Known;
+use crate::cell::writer::Records;
 use crate::cell::writer::Written;
 use crate::graph::AgentId;
 use crate::graph::Book;
@@ -42,15 +42,15 @@
 use crate::telemetry::metrics;
 
 /// How long an agent's report waits for orders.
-pub const HOLD: Duration = Duration::from_millis(1000);
+pub const REPORT_HOLD: Duration = Duration::from_millis(1000);
 /// How often time-driven rules are looked at.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// How many times as long as a pass took the next one waits from its start:
 /// a planner on a thin machine then still answers agents in time, which
 /// would else give up waiting and connect anew, at a higher cost yet.
-const REST: u32 = 4;
+const REST_FACTOR: u32 = 4;
 /// The longest that a pass waits for that.
-const LONGEST_REST: Duration = Duration::from_millis(250);
+const MAX_REST: Duration = Duration::from_millis(250);
 
 /// What the planner is told.
 pub enum Message {
@@ -77,7 +77,7 @@
 }
 
 /// A report that waits for orders.
-struct Held {
+struct Waiting {
     process: String,
     sequence: u64,
     reply: RpcReplyPort<Answer>,
@@ -93,7 +93,7 @@
     /// The configuration, for the guarantees.
     pub source: Source,
     /// Where to ask who may run a step, if anybody says.
-    pub advice: Option<Desk>,
+    pub advice: Option<advice::Sender>,
     /// The times that decisions rest on.
     pub terms: Terms,
     /// What entries have told so far.
@@ -111,15 +111,15 @@
     store: S,
     claim: Claim,
     source: Source,
-    advice: Option<Desk>,
-    asking: bool,
+    advice: Option<advice::Sender>,
+    advice_pending: bool,
     book: Book,
-    known: Known,
+    records: Records,
     /// Progress of jobs whose acceptance was not listed yet.
-    kept: BTreeMap<String, Progress>,
+    unclaimed_progress: BTreeMap<String, Progress>,
     /// Jobs whose progress cannot be read: what they have done is not known,
     /// so that nothing of them may begin.
-    unread: BTreeSet<String>,
+    unreadable: BTreeSet<String>,
     writing: bool,
     removing: bool,
     deciding: bool,
@@ -129,12 +129,12 @@
     rests_until: Instant,
     /// Whether a pass waits for that.
     resting: bool,
-    held: BTreeMap<AgentId, Held>,
+    waiting: BTreeMap<AgentId, Waiting>,
     /// Agents whose orders have changed while they asked for none.
     due: BTreeSet<AgentId>,
     guarantees: BTreeMap<Text, i64>,
     lost: watch::Sender<bool>,
-    teller: Teller,
+    decision_log: Recorder,
     log: slog::Logger,
 }
 
@@ -157,7 +157,7 @@
         myself: ActorRef<Message>,
         start: Start<S>,
     ) -> Result<State<S>, ActorProcessingErr> {
-        myself.send_interval(TICK, || Message::Tick);
+        myself.send_interval(TICK_INTERVAL, || Message::Tick);
         Ok(State::new(start))
     }
 
@@ -177,7 +177,7 @@
                 state.inquired(&agents, kept, sent);
             }
             Message::Advised(question, good, sent) => {
-                state.asking = false;
+                state.advice_pending = false;
                 state.book.advised(&question, good, sent.into_std());
             }
             Message::Rested => state.resting = false,
@@ -203,46 +203,46 @@
             claim: start.claim,
             source: start.source,
             advice: start.advice,
-            asking: false,
+            advice_pending: false,
             book: Book::new(start.terms, Moment::present()),
-            known: Known::default(),
-            kept: BTreeMap::new(),
-            unread: BTreeSet::new(),
+            records: Records::default(),
+            unclaimed_progress: BTreeMap::new(),
+            unreadable: BTreeSet::new(),
             writing: false,
             removing: false,
             deciding: false,
             ticked: true,
             rests_until: Instant::now(),
             resting: false,
-            held: BTreeMap::new(),
+            waiting: BTreeMap::new(),
             due: BTreeSet::new(),
             guarantees: BTreeMap::new(),
             lost: start.lost,
-            teller: Teller::new(start.log.clone()),
+            decision_log: Recorder::new(start.log.clone()),
             log: start.log,
         };
         for item in start.progress.items {
-            state.take_progress(item);
+            state.load_progress(item);
         }
         state.listing(start.intake);
         state
     }
 
-    fn take_progress(&mut self, item: Item) {
+    fn load_progress(&mut self, item: Item) {
         let Some(id) = item.key.strip_prefix(keys::PROGRESS) else {
             return;
         };
         match serde_json::from_slice::<Progress>(&item.value) {
             Ok(progress) => {
-                self.known.revisions.insert(id.into(), item.modified);
-                self.known.begun.insert(id.into());
-                self.kept.insert(id.to_owned(), progress);
+                self.records.revisions.insert(id.into(), item.modified);
+                self.records.begun.insert(id.into());
+                self.unclaimed_progress.insert(id.to_owned(), progress);
             }
             Err(error) => {
                 slog::error!(self.log,
                     "planner: progress cannot be read"; "key" => &item.key,
                     "error" => %error);
-                self.unread.insert(id.to_owned());
+                self.unreadable.insert(id.to_owned());
             }
         }
     }
@@ -260,7 +260,7 @@
                 continue;
             };
             match keys::intake(&item.key) {
-                Some(Intake::Job(id)) if self.unread.contains(id) => {}
+                Some(Intake::Job(id)) if self.unreadable.contains(id) => {}
                 Some(Intake::Job(id)) if !self.book.knows(id) => {
                     self.accept(id, &item.value, now);
                 }
@@ -277,14 +277,14 @@
     fn accept(&mut self, id: &str, value: &[u8], now: Moment) {
         match serde_json::from_slice::<Job>(value) {
             Ok(job) => {
-                let progress = self.kept.remove(id);
+                let progress = self.unclaimed_progress.remove(id);
                 let age = now.wall.duration_since(job.accepted);
                 slog::info!(self.log, "planner: a job is taken in";
                     "job" => id, "account" => &*job.account,
                     "queue" => &*job.queue, "priority" => job.priority,
                     "known" => progress.is_some(),
                     "age_ms" => age.unwrap_or_default().as_millis() as u64,
-                    "steps" => steps(&job), "times" => job.times(),
+                    "steps" => describe_steps(&job), "times" => job.times(),
                     "token" => self.claim.token);
                 self.book.accept(job, progress, now);
             }
@@ -297,26 +297,27 @@
     fn sync(&mut self, report: Report, reply: RpcReplyPort<Answer>) {
         let agent = report.agent.clone();
         if !self.claim.holds() {
-            send(&self.log, reply, Answer::NotPlanner);
+            send_answer(&self.log, reply, Answer::NotPlanner);
             return;
         }
-        let held = Held {
+        let waiting = Waiting {
             process: report.process.clone(),
             sequence: report.sequence,
             reply,
             since: Instant::now(),
         };
-        let overtaken = self.held.get(&agent).is_some_and(|newer| {
-            newer.process == held.process && newer.sequence > held.sequence
+        let overtaken = self.waiting.get(&agent).is_some_and(|newer| {
+            newer.process == waiting.process
+                && newer.sequence > waiting.sequence
         });
         if overtaken {
-            send(&self.log, held.reply, Answer::NotPlanner);
+            send_answer(&self.log, waiting.reply, Answer::NotPlanner);
             return;
         }
         self.book.report(report, Moment::present());
-        if let Some(earlier) = self.held.insert(agent, held) {
+        if let Some(earlier) = self.waiting.insert(agent, waiting) {
             // Its agent has given it up for the one just come.
-            send(&self.log, earlier.reply, Answer::NotPlanner);
+            send_answer(&self.log, earlier.reply, Answer::NotPlanner);
         }
     }
 
@@ -333,8 +334,8 @@
             }
         };
         for (id, version, revision) in written.jobs {
-            self.known.revisions.insert(id.clone(), revision);
-            self.known.begun.insert(id.clone());
+            self.records.revisions.insert(id.clone(), revision);
+            self.records.begun.insert(id.clone());
             self.book.written(&id, version);
         }
     }
@@ -343,8 +344,8 @@
         self.removing = false;
         for id in ids {
             self.book.forget(id);
-            self.known.revisions.remove(id);
-            self.known.begun.remove(id);
+            self.records.revisions.remove(id);
+            self.records.begun.remove(id);
         }
     }
 
@@ -353,7 +354,10 @@
         self.is_pass_due()
             || self.book.is_stirred()
             || !self.writing && self.book.is_dirty()
-            || self.due.iter().any(|agent| self.held.contains_key(agent))
+            || self
+                .due
+                .iter()
+                .any(|agent| self.waiting.contains_key(agent))
     }
 
     fn is_pass_due(&self) -> bool {
@@ -373,7 +377,7 @@
         let due: Vec<AgentId> = self
             .due
             .iter()
-            .filter(|agent| self.held.contains_key(*agent))
+            .filter(|agent| self.waiting.contains_key(*agent))
             .cloned()
             .collect();
         self.answer(&due);
@@ -400,13 +404,13 @@
         self.book.step(Moment::present());
         let token = self.claim.token;
         for decision in self.book.take_decisions() {
-            self.teller.tell(&decision, token);
+            self.decision_log.record(&decision, token);
         }
-        self.ask(myself);
+        self.ask_advice(myself);
         self.inquire(myself);
         let took = began.elapsed();
         metrics::get().step.record(took.as_secs_f64(), &[]);
-        self.rests_until = began + (took * REST).min(LONGEST_REST);
+        self.rests_until = began + (took * REST_FACTOR).min(MAX_REST);
     }
 
     /// Answers agents whose reports wait.
@@ -417,7 +421,7 @@
         let holds = self.claim.holds();
         let mut orders = self.book.orders_of(agents);
         for agent in agents {
-            let Some(held) = self.held.remove(agent) else {
+            let Some(waiting) = self.waiting.remove(agent) else {
                 continue;
             };
             self.due.remove(agent);
@@ -429,7 +433,7 @@
                 },
                 false => Answer::NotPlanner,
             };
-            send(&self.log, held.reply, answer);
+            send_answer(&self.log, waiting.reply, answer);
         }
     }
 
@@ -437,19 +441,19 @@
         self.ticked = !self.book.is_idle();
         let now = Instant::now();
         let old: Vec<AgentId> = self
-            .held
+            .waiting
             .iter()
-            .filter(|(_, held)| now >= held.since + HOLD)
+            .filter(|(_, waiting)| now >= waiting.since + REPORT_HOLD)
             .map(|(agent, _)| agent.clone())
             .collect();
         self.answer(&old);
-        self.remove(myself);
+        self.remove_ended(myself);
     }
 }
 
 /// Returns the shape of a job in short: of each step its tasks, what each
 /// takes in accelerators and cores, and how long it was said to take.
-fn steps(job: &Job) -> String {
+fn describe_steps(job: &Job) -> String {
     let step = |step: &Step| {
         let kind = match (step.gang, step.same_rack) {
             (true, true) => " in a rack",
@@ -468,7 +472,11 @@
     steps.join(", ")
 }
 
-fn send(log: &slog::Logger, reply: RpcReplyPort<Answer>, answer: Answer) {
+fn send_answer(
+    log: &slog::Logger,
+    reply: RpcReplyPort<Answer>,
+    answer: Answer,
+) {
     if reply.send(answer).is_err() {
         slog::debug!(log, "planner: an agent no longer waits");
     }
--- a/src/cell/reach.rs
+++ b/src/cell/reachability.rs
@@ -12,9 +12,9 @@
 
 /// How long a look may take: twice the slowest answers seen of a store that
 /// serves. A look into silence ends by then, so that a return is noticed.
-const LOOK: Duration = Duration::from_millis(700);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long is waited between two looks, with jitter.
-const AGAIN: Duration = Duration::from_millis(60);
+const PROBE_INTERVAL: Duration = Duration::from_millis(60);
 
 /// What is known of the way to the store.
 ///
@@ -22,33 +22,33 @@
 /// caller can no longer be told that it was not. What waits for the store
 /// therefore looks first, by a read, and one look serves all that wait.
 #[derive(Clone, Debug)]
-pub struct Reach {
+pub struct Reachability {
     reached: watch::Sender<bool>,
     /// Held by whoever looks: before when there is nothing to see yet.
-    looking: Arc<Mutex<Instant>>,
+    next_probe: Arc<Mutex<Instant>>,
 }
 
-impl Default for Reach {
-    fn default() -> Reach {
-        Reach::new()
+impl Default for Reachability {
+    fn default() -> Reachability {
+        Reachability::new()
     }
 }
 
-impl Reach {
+impl Reachability {
     /// Returns a reach that nothing speaks against yet.
-    pub fn new() -> Reach {
-        Reach {
+    pub fn new() -> Reachability {
+        Reachability {
             reached: watch::Sender::new(true),
-            looking: Arc::new(Mutex::new(Instant::now())),
+            next_probe: Arc::new(Mutex::new(Instant::now())),
         }
     }
 
     /// Takes in whether a call was answered.
     pub fn set(&self, reached: bool) {
-        self.reached.send_if_modified(|known| {
-            let news = *known != reached;
-            *known = reached;
-            news
+        self.reached.send_if_modified(|current| {
+            let changed = *current != reached;
+            *current = reached;
+            changed
         });
     }
 
@@ -62,15 +62,18 @@
             if *reached.borrow_and_update() {
                 return true;
             }
-            let turn = async {
+            let change_or_probe = async {
                 tokio::select! {
                     biased;
                     // Whoever sends is this value, which is alive.
                     _ = reached.changed() => {}
-                    () = self.look(store) => {}
+                    () = self.probe(store) => {}
                 }
             };
-            if tokio::time::timeout_at(until, turn).await.is_err() {
+            if tokio::time::timeout_at(until, change_or_probe)
+                .await
+                .is_err()
+            {
                 return false;
             }
         }
@@ -78,15 +81,18 @@
 
     /// Looks once it is this caller's turn, and the last look is a while
     /// ago.
-    async fn look(&self, store: &impl Store) {
-        let mut before = self.looking.lock().await;
-        tokio::time::sleep_until(*before).await;
+    async fn probe(&self, store: &impl Store) {
+        let mut due = self.next_probe.lock().await;
+        tokio::time::sleep_until(*due).await;
         if *self.reached.borrow() {
             return;
         }
-        *before = Instant::now() + AGAIN + AGAIN.mul_f64(fastrand::f64());
-        let look = tokio::time::timeout(LOOK, store.get(keys::PLANNER));
-        if let Ok(Ok(_)) = look.await {
+        *due = Instant::now()
+            + PROBE_INTERVAL
+            + PROBE_INTERVAL.mul_f64(fastrand::f64());
+        let probe =
+            tokio::time::timeout(PROBE_TIMEOUT, store.get(keys::PLANNER));
+        if let Ok(Ok(_)) = probe.await {
             self.set(true);
         }
     }
--- a/src/cell/relay/call.rs
+++ b/src/cell/relay/call.rs
@@ -43,7 +43,7 @@
 impl Call {
     /// Returns whether it may be made twice: a lease that is prolonged
     /// twice is as long.
-    pub fn is_read(&self) -> bool {
+    pub fn is_repeatable(&self) -> bool {
         match self {
             Call::Get(_)
             | Call::List(_)
@@ -95,7 +95,7 @@
 }
 
 /// Returns what an answer holds, or that it is not one to the call made.
-macro_rules! holds {
+macro_rules! extract {
     ($(#[$doc:meta])* $name:ident, $variant:ident, $type:ty) => {
         $(#[$doc])*
         pub(super) fn $name(self) -> Result<$type, Error> {
@@ -108,12 +108,12 @@
 }
 
 impl Answer {
-    holds!(item, Item, Option<Item>);
-    holds!(listing, Listing, Listing);
-    holds!(swap, Swap, Swap);
-    holds!(lease, Lease, LeaseId);
-    holds!(kept, Kept, bool);
-    holds!(changes, Changes, Changes);
+    extract!(item, Item, Option<Item>);
+    extract!(listing, Listing, Listing);
+    extract!(swap, Swap, Swap);
+    extract!(lease, Lease, LeaseId);
+    extract!(kept, Kept, bool);
+    extract!(changes, Changes, Changes);
 }
 
 /// What another process answers that was asked to make a call.
@@ -143,7 +143,7 @@
 }
 
 /// Makes a call.
-pub(super) async fn carry_out(
+pub(super) async fn execute(
     store: &impl Store,
     call: Call,
 ) -> Result<Answer, Error> {
--- a/src/cell/relay/mod.rs
+++ b/src/cell/relay/mod.rs
@@ -16,18 +16,18 @@
 //! goes no second way: one that had no answer is lost, whichever way it went.
 
 pub mod call;
+mod direct;
 mod peers;
-mod way;
 
 use std::time::Duration;
 
 use jsonrpsee::core::async_trait;
 
-use crate::cell::relay::call::carry_out;
+use crate::cell::relay::call::execute;
 use crate::cell::relay::call::Answer;
 use crate::cell::relay::call::Call;
 use crate::cell::relay::call::Reply;
-use crate::cell::relay::way::Way;
+use crate::cell::relay::direct::Path;
 use crate::store::Changes;
 use crate::store::Compare;
 use crate::store::Error;
@@ -44,11 +44,11 @@
 /// How long the store may say nothing, beyond what it is asked to wait,
 /// before other ways are tried: a store that is 60 times as slow as usual
 /// answers within 240 ms, and would get every call twice.
-const DOUBT: Duration = Duration::from_millis(250);
+const DIRECT_ANSWER_SLACK: Duration = Duration::from_millis(250);
 
 /// Carries calls of the store out for another process.
 #[async_trait]
-pub trait Carrier: Send + Sync {
+pub trait Proxy: Send + Sync {
     /// Carries a call out, if the store is in direct reach.
     async fn serve(&self, call: Call) -> Reply;
 }
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug)]
 pub struct Relay<S> {
     direct: S,
-    way: Way,
+    path: Path,
     peers: Peers,
 }
 
@@ -66,15 +66,15 @@
     pub fn new(direct: S, peers: Peers, log: slog::Logger) -> Relay<S> {
         Relay {
             direct,
-            way: Way::new(log),
+            path: Path::new(log),
             peers,
         }
     }
 
     async fn call(&self, call: Call) -> Result<Answer, Error> {
-        let failed = match self.way.is_open() {
-            true => match self.go_direct(&call).await {
-                Err(error) if self.may_repeat(&call, &error) => Some(error),
+        let failed = match self.path.is_usable() {
+            true => match self.call_direct(&call).await {
+                Err(error) if self.may_reroute(&call, &error) => Some(error),
                 answer => return answer,
             },
             false => None,
@@ -83,20 +83,20 @@
             (Some(answer), _) => answer,
             (None, Some(error)) => Err(error),
             // Nobody is in touch: what waits for the store waits there.
-            (None, None) => self.learn(carry_out(&self.direct, call).await),
+            (None, None) => self.observe(execute(&self.direct, call).await),
         }
     }
 
     /// Calls directly; a read that is not answered soon goes both ways.
-    async fn go_direct(&self, call: &Call) -> Result<Answer, Error> {
-        let mut direct = std::pin::pin!(carry_out(&self.direct, call.clone()));
+    async fn call_direct(&self, call: &Call) -> Result<Answer, Error> {
+        let mut direct = std::pin::pin!(execute(&self.direct, call.clone()));
         tokio::select! {
             biased;
-            answer = &mut direct => return self.learn(answer),
-            () = tokio::time::sleep(call.wait() + DOUBT) => {}
+            answer = &mut direct => return self.observe(answer),
+            () = tokio::time::sleep(call.wait() + DIRECT_ANSWER_SLACK) => {}
         }
-        self.close("no answer yet");
-        if !call.is_read() {
+        self.mark_unusable("no answer yet");
+        if !call.is_repeatable() {
             return direct.await;
         }
         tokio::select! {
@@ -110,47 +110,47 @@
     /// Returns whether a call that failed may be made another way: a write
     /// only if it surely had no effect, and nothing in place of one that the
     /// store's rate has refused.
-    fn may_repeat(&self, call: &Call, error: &Error) -> bool {
+    fn may_reroute(&self, call: &Call, error: &Error) -> bool {
         match error {
             Error::Forgotten(_) => false,
-            Error::Lost(_) => call.is_read(),
-            Error::Unreached(_) => !self.way.is_open(),
+            Error::Lost(_) => call.is_repeatable(),
+            Error::Unreached(_) => !self.path.is_usable(),
         }
     }
 
     /// Takes in what a direct call shows of its way.
-    fn learn(&self, answer: Result<Answer, Error>) -> Result<Answer, Error> {
+    fn observe(&self, answer: Result<Answer, Error>) -> Result<Answer, Error> {
         match &answer {
-            Ok(_) | Err(Error::Forgotten(_)) => self.way.answered(),
+            Ok(_) | Err(Error::Forgotten(_)) => self.path.on_answer(),
             Err(error) if error.is_throttled() => {
-                if self.way.throttled() {
-                    self.close("turned away again");
+                if self.path.on_throttled() {
+                    self.mark_unusable("turned away again");
                 }
             }
-            Err(error) => self.close(&error.to_string()),
+            Err(error) => self.mark_unusable(&error.to_string()),
         }
         answer
     }
 
-    fn close(&self, why: &str) {
-        self.way.close(&self.direct, why);
+    fn mark_unusable(&self, why: &str) {
+        self.path.mark_unusable(&self.direct, why);
     }
 }
 
 #[async_trait]
-impl<S: Store> Carrier for Relay<S> {
+impl<S: Store> Proxy for Relay<S> {
     async fn serve(&self, call: Call) -> Reply {
-        if !self.way.is_open() {
+        if !self.path.is_usable() {
             return Reply::Away;
         }
-        let answer = carry_out(&self.direct, call).await;
-        Reply::from(self.learn(answer))
+        let answer = execute(&self.direct, call).await;
+        Reply::from(self.observe(answer))
     }
 }
 
 impl<S: Store> Store for Relay<S> {
     fn is_direct(&self) -> bool {
-        self.way.is_open()
+        self.path.is_usable()
     }
 
     async fn get(&self, key: &str) -> Result<Option<Item>, Error> {
--- a/src/cell/relay/peers.rs
+++ b/src/cell/relay/peers.rs
@@ -12,8 +12,8 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-use crate::cell::dial::Dial;
-use crate::cell::dial::Peer;
+use crate::cell::connector::Connector;
+use crate::cell::connector::Peer;
 use crate::cell::keys;
 use crate::cell::pause;
 use crate::cell::relay::call::unanswered;
@@ -29,25 +29,25 @@
 
 /// How many entries are asked for one call: where a third of them is away
 /// as well, three are enough for all but one call in 27.
-const MOST: usize = 3;
+const MAX_ASKED: usize = 3;
 /// How long a connection to one of them may take.
-const CONNECT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long its answer may take, beyond what the store is asked to wait: a
 /// slow store's, and the way there.
-const ANSWER: Duration = Duration::from_millis(500);
+const ANSWER_SLACK: Duration = Duration::from_millis(500);
 /// For how long nobody is asked after all were found to be away: while the
 /// store is down for all, every call of every process would ask three.
-const ALONE: Duration = Duration::from_millis(400);
+const NO_PEER_PAUSE: Duration = Duration::from_millis(400);
 /// How long an entry that is gone is still named at most, and the longest
 /// that one waits before it says again that it is there: two calls every 5
 /// to 9 s for each process, one of them at a tenth of the price.
-const NAMED: Duration = Duration::from_secs(30);
-const RENEW: Duration = Duration::from_secs(9);
+const ENTRY_TTL: Duration = Duration::from_secs(30);
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(9);
 /// How soon after the first time the others are read again: all processes
 /// of a site may have started together.
-const SOON: Duration = Duration::from_millis(1500);
+const FIRST_READ_DELAY: Duration = Duration::from_millis(1500);
 /// How long is waited after a call that failed.
-const AGAIN: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// What an entry says of itself.
 #[derive(Debug, Serialize, Deserialize)]
@@ -57,26 +57,26 @@
 }
 
 #[derive(Default)]
-struct Known {
+struct State {
     /// Where entries take calls, but for this process.
     addresses: Vec<String>,
-    links: BTreeMap<String, Arc<dyn Peer>>,
+    connections: BTreeMap<String, Arc<dyn Peer>>,
     /// Who has answered last.
-    last: Option<String>,
+    last_answered: Option<String>,
     /// Until when nobody is asked.
-    alone: Option<Instant>,
+    paused_until: Option<Instant>,
 }
 
-struct Shared {
+struct Inner {
     process: String,
-    dial: Arc<dyn Dial>,
-    known: Mutex<Known>,
+    connector: Arc<dyn Connector>,
+    state: Mutex<State>,
     log: slog::Logger,
 }
 
 /// The entries of a site, as the store last told.
 #[derive(Clone)]
-pub struct Peers(Arc<Shared>);
+pub struct Peers(Arc<Inner>);
 
 impl fmt::Debug for Peers {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -92,13 +92,13 @@
     /// yet.
     pub fn new(
         process: &str,
-        dial: Arc<dyn Dial>,
+        connector: Arc<dyn Connector>,
         log: slog::Logger,
     ) -> Peers {
-        Peers(Arc::new(Shared {
+        Peers(Arc::new(Inner {
             process: process.to_owned(),
-            dial,
-            known: Mutex::default(),
+            connector,
+            state: Mutex::default(),
             log,
         }))
     }
@@ -107,26 +107,26 @@
     /// ever.
     pub async fn follow(self, store: impl Store, address: String) {
         let mut lease = None;
-        let mut wait = SOON;
+        let mut wait = FIRST_READ_DELAY;
         loop {
-            match self.say(&store, &address, lease).await {
-                Ok(said) => {
-                    lease = Some(said);
+            match self.register(&store, &address, lease).await {
+                Ok(registered) => {
+                    lease = Some(registered);
                     pause(wait / 2).await;
-                    self.read(&store).await;
-                    wait = RENEW;
+                    self.refresh(&store).await;
+                    wait = RENEWAL_INTERVAL;
                 }
                 Err(error) => {
                     slog::debug!(self.0.log,
                         "entry: it is not named"; "error" => %error);
-                    pause(AGAIN).await;
+                    pause(RETRY_DELAY).await;
                 }
             }
         }
     }
 
     /// Says that this entry is there; returns the lease that it hangs on.
-    async fn say(
+    async fn register(
         &self,
         store: &impl Store,
         address: &str,
@@ -136,7 +136,7 @@
             Some(lease) if store.keep_alive(lease).await? => return Ok(lease),
             _ => {}
         }
-        let lease = store.grant(NAMED).await?;
+        let lease = store.grant(ENTRY_TTL).await?;
         let entry = Entry {
             address: address.to_owned(),
         };
@@ -146,7 +146,7 @@
         Ok(lease)
     }
 
-    async fn read(&self, store: &impl Store) {
+    async fn refresh(&self, store: &impl Store) {
         let listing = match store.list(keys::ENTRIES).await {
             Ok(listing) => listing,
             Err(error) => {
@@ -161,9 +161,11 @@
         let entries = entries.filter_map(Result::ok);
         let addresses: Vec<String> =
             entries.map(|entry: Entry| entry.address).collect();
-        let mut known = self.lock();
-        known.links.retain(|address, _| addresses.contains(address));
-        known.addresses = addresses;
+        let mut state = self.lock();
+        state
+            .connections
+            .retain(|address, _| addresses.contains(address));
+        state.addresses = addresses;
     }
 
     /// Asks others to make a call; returns nothing if none of them could.
@@ -171,7 +173,7 @@
         &self,
         call: &Call,
     ) -> Option<Result<Answer, Error>> {
-        for address in self.order() {
+        for address in self.candidates() {
             let asked = self.ask_one(&address, call).await;
             let outcome = match &asked {
                 Ok(Reply::Done(_)) => "done",
@@ -179,8 +181,8 @@
                 Ok(Reply::NotDone) => "not done",
                 Ok(Reply::Unsure) => "unsure",
                 Ok(Reply::Away) => "away",
-                Err(Missed::NotAsked) => "not reached",
-                Err(Missed::Silent) => "no answer",
+                Err(Failure::NotAsked) => "not reached",
+                Err(Failure::NoAnswer) => "no answer",
             };
             metrics::get().relayed.add(1, &[label("outcome", outcome)]);
             slog::debug!(self.0.log, "store: a call goes by another entry";
@@ -189,33 +191,35 @@
             let answer = match asked {
                 Ok(Reply::Done(answer)) => Ok(answer),
                 Ok(Reply::Forgotten(after)) => Err(Error::Forgotten(after)),
-                Ok(Reply::Unsure) | Err(Missed::Silent) if !call.is_read() => {
+                Ok(Reply::Unsure) | Err(Failure::NoAnswer)
+                    if !call.is_repeatable() =>
+                {
                     Err(unanswered(&address))
                 }
                 _ => continue,
             };
-            self.lock().last = Some(address);
+            self.lock().last_answered = Some(address);
             return Some(answer);
         }
-        let mut known = self.lock();
-        known.last = None;
-        known.alone = Some(Instant::now() + ALONE);
+        let mut state = self.lock();
+        state.last_answered = None;
+        state.paused_until = Some(Instant::now() + NO_PEER_PAUSE);
         None
     }
 
     /// Returns whom to ask in turn: who has answered last, then any.
-    fn order(&self) -> Vec<String> {
-        let known = self.lock();
+    fn candidates(&self) -> Vec<String> {
+        let state = self.lock();
         let now = Instant::now();
-        if known.alone.is_some_and(|until| now < until) {
+        if state.paused_until.is_some_and(|until| now < until) {
             return Vec::new();
         }
-        let mut others = known.addresses.clone();
+        let mut others = state.addresses.clone();
         fastrand::shuffle(&mut others);
-        if let Some(last) = &known.last {
+        if let Some(last) = &state.last_answered {
             others.sort_by_key(|address| address != last);
         }
-        others.truncate(MOST);
+        others.truncate(MAX_ASKED);
         others
     }
 
@@ -223,39 +227,46 @@
         &self,
         address: &str,
         call: &Call,
-    ) -> Result<Reply, Missed> {
-        let link = self.link(address).await.ok_or(Missed::NotAsked)?;
-        let limit = call.wait() + ANSWER;
-        let asked = tokio::time::timeout(limit, link.store(call.clone()));
+    ) -> Result<Reply, Failure> {
+        let connection =
+            self.connection(address).await.ok_or(Failure::NotAsked)?;
+        let limit = call.wait() + ANSWER_SLACK;
+        let asked =
+            tokio::time::timeout(limit, connection.store(call.clone()));
         match asked.await {
             Ok(Ok(reply)) => Ok(reply),
             Ok(Err(_)) | Err(_) => {
-                self.lock().links.remove(address);
-                Err(Missed::Silent)
+                self.lock().connections.remove(address);
+                Err(Failure::NoAnswer)
             }
         }
     }
 
-    async fn link(&self, address: &str) -> Option<Arc<dyn Peer>> {
-        if let Some(link) = self.lock().links.get(address) {
-            return Some(link.clone());
+    async fn connection(&self, address: &str) -> Option<Arc<dyn Peer>> {
+        if let Some(connection) = self.lock().connections.get(address) {
+            return Some(connection.clone());
         }
-        let dial = tokio::time::timeout(CONNECT, self.0.dial.dial(address));
-        let link = dial.await.ok()?.ok()?;
-        let mut known = self.lock();
-        known.links.insert(address.to_owned(), link.clone());
-        Some(link)
+        let connector = tokio::time::timeout(
+            CONNECT_TIMEOUT,
+            self.0.connector.connect(address),
+        );
+        let connection = connector.await.ok()?.ok()?;
+        let mut state = self.lock();
+        state
+            .connections
+            .insert(address.to_owned(), connection.clone());
+        Some(connection)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.0.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Why another process has not replied.
-enum Missed {
+enum Failure {
     /// It was not asked.
     NotAsked,
     /// It may have made the call.
-    Silent,
+    NoAnswer,
 }
--- a/src/cell/server.rs
+++ b/src/cell/server.rs
@@ -19,11 +19,11 @@
 use crate::wire::link;
 
 /// How often the limit is told of while it is met.
-const TELL: Duration = Duration::from_secs(1);
+const WARNING_INTERVAL: Duration = Duration::from_secs(1);
 /// How often an agent's connection is tried: one that has gone silent for
 /// good would else hold its descriptor until the process ends. Seldom, as
 /// agents that are alive report more often than that.
-const PING: Duration = Duration::from_secs(10);
+const PING_INTERVAL: Duration = Duration::from_secs(10);
 
 /// What a planner's server takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,10 +36,10 @@
 
 /// How many connections an agent may have at once: the one it has just made,
 /// and one that was cut and that nobody has noticed yet.
-const PER_AGENT: u32 = 2;
+const CONNECTIONS_PER_AGENT: u32 = 2;
 /// The most agents unless told otherwise: four times what the largest site
 /// played has, so that what binds is the machine and not this number.
-pub const AGENTS: u32 = 1000;
+pub const DEFAULT_AGENTS: u32 = 1000;
 
 impl Limits {
     /// Returns what a planner takes on so many connections.
@@ -52,13 +52,13 @@
 
     /// Returns what a planner of so many agents takes.
     pub fn of_agents(agents: u32) -> Limits {
-        Limits::of_connections(agents.saturating_mul(PER_AGENT))
+        Limits::of_connections(agents.saturating_mul(CONNECTIONS_PER_AGENT))
     }
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits::of_agents(AGENTS)
+        Limits::of_agents(DEFAULT_AGENTS)
     }
 }
 
@@ -83,8 +83,8 @@
         log: slog::Logger,
     ) -> std::io::Result<Server> {
         let ping = PingConfig::new()
-            .ping_interval(PING)
-            .inactive_limit(PING)
+            .ping_interval(PING_INTERVAL)
+            .inactive_limit(PING_INTERVAL)
             .max_failures(1);
         let config = ServerConfig::builder()
             .max_connections(limits.connections)
@@ -92,10 +92,10 @@
             .max_response_body_size(link::MAX_MESSAGE)
             .enable_ws_ping(ping)
             .build();
-        let full = Arc::new(Full::new(limits, log));
+        let rejections = Arc::new(Rejections::new(limits, log));
         let watch = tower::ServiceBuilder::new().map_response(
             move |response: jsonrpsee::server::HttpResponse| {
-                full.see(response.status());
+                rejections.observe(response.status());
                 response
             },
         );
@@ -118,37 +118,40 @@
 
 /// Tells that the limit of connections is met: agents are turned away then,
 /// and their workers get no work.
-struct Full {
+struct Rejections {
     limits: Limits,
     /// When it was told last, and how many were turned away since.
-    told: Mutex<(Option<Instant>, u64)>,
+    unreported: Mutex<(Option<Instant>, u64)>,
     log: slog::Logger,
 }
 
-impl Full {
-    fn new(limits: Limits, log: slog::Logger) -> Full {
-        Full {
+impl Rejections {
+    fn new(limits: Limits, log: slog::Logger) -> Rejections {
+        Rejections {
             limits,
-            told: Mutex::new((None, 0)),
+            unreported: Mutex::new((None, 0)),
             log,
         }
     }
 
-    fn see(&self, status: StatusCode) {
+    fn observe(&self, status: StatusCode) {
         if status != StatusCode::TOO_MANY_REQUESTS {
             return;
         }
         let labels = [label("limit", "agents")];
         metrics::get().limited.add(1, &labels);
-        let mut told =
-            self.told.lock().unwrap_or_else(PoisonError::into_inner);
-        told.1 += 1;
+        let mut unreported = self
+            .unreported
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        unreported.1 += 1;
         let now = Instant::now();
-        if told.0.is_some_and(|at| now < at + TELL) {
+        if unreported.0.is_some_and(|at| now < at + WARNING_INTERVAL) {
             return;
         }
         slog::warn!(self.log, "planner: agents are turned away";
-            "connections" => self.limits.connections, "agents" => told.1);
-        *told = (Some(now), 0);
+            "connections" => self.limits.connections,
+            "agents" => unreported.1);
+        *unreported = (Some(now), 0);
     }
 }
--- a/src/cell/session.rs
+++ b/src/cell/session.rs
@@ -11,11 +11,11 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::cell::advice::Desk;
+use crate::cell::advice;
 use crate::cell::claim;
+use crate::cell::claim::Attempt;
 use crate::cell::claim::Claim;
 use crate::cell::claim::Holder;
-use crate::cell::claim::Tried;
 use crate::cell::configuration::Source;
 use crate::cell::cursor::Cursor;
 use crate::cell::keys;
@@ -23,10 +23,10 @@
 use crate::cell::planner::Message;
 use crate::cell::planner::Planner;
 use crate::cell::planner::Start;
-use crate::cell::planner::HOLD;
+use crate::cell::planner::REPORT_HOLD;
 use crate::cell::relay::call::Call;
 use crate::cell::relay::call::Reply;
-use crate::cell::relay::Carrier;
+use crate::cell::relay::Proxy;
 use crate::cell::rpc::Answer;
 use crate::cell::rpc::CellServer;
 use crate::graph::Report;
@@ -40,23 +40,23 @@
 use crate::telemetry::metrics::label;
 
 /// How long one call for changes waits; a lost one is noticed by then.
-const WATCH: Duration = Duration::from_millis(2000);
+const WATCH_WAIT: Duration = Duration::from_millis(2000);
 /// How long is waited after a call that failed.
-const AGAIN: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// How long a call that does not wait may take.
-const CALL: Duration = Duration::from_millis(1200);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
 /// The code of an error that says that the planner has gone.
-const STOPPED: i32 = -32000;
+const PLANNER_STOPPED: i32 = -32000;
 
 /// How long a report waits for a planner that has claimed and still reads.
-const STARTING: Duration = Duration::from_millis(600);
+const STARTUP_WAIT: Duration = Duration::from_millis(600);
 
 /// The planner of this process, while it hosts one.
 #[derive(Clone)]
 pub struct Host {
     current: watch::Sender<Option<ActorRef<Message>>>,
     /// Who makes calls of the store for other processes, if anybody does.
-    carrier: Option<Arc<dyn Carrier>>,
+    proxy: Option<Arc<dyn Proxy>>,
 }
 
 impl Default for Host {
@@ -70,15 +70,15 @@
     pub fn new() -> Host {
         Host {
             current: watch::Sender::new(None),
-            carrier: None,
+            proxy: None,
         }
     }
 
     /// Lets `carrier` make calls of the store for other processes.
     #[must_use]
-    pub fn with_carrier(self, carrier: Arc<dyn Carrier>) -> Host {
+    pub fn with_proxy(self, proxy: Arc<dyn Proxy>) -> Host {
         Host {
-            carrier: Some(carrier),
+            proxy: Some(proxy),
             ..self
         }
     }
@@ -87,11 +87,11 @@
         self.current.send_replace(planner);
     }
 
-    async fn get(&self) -> Option<ActorRef<Message>> {
+    async fn wait_for_planner(&self) -> Option<ActorRef<Message>> {
         let mut current = self.current.subscribe();
         let hosted = current.wait_for(Option::is_some);
         // Whether it came in time or not: what is hosted now counts.
-        let _ = tokio::time::timeout(STARTING, hosted).await;
+        let _ = tokio::time::timeout(STARTUP_WAIT, hosted).await;
         let planner = current.borrow();
         planner.clone()
     }
@@ -100,15 +100,15 @@
 #[async_trait]
 impl CellServer for Host {
     async fn sync(&self, report: Report) -> RpcResult<Answer> {
-        let Some(planner) = self.get().await else {
+        let Some(planner) = self.wait_for_planner().await else {
             return Ok(Answer::NotPlanner);
         };
         let message = |reply| Message::Sync(Box::new(report), reply);
-        let limit = Some(HOLD * 4);
+        let limit = Some(REPORT_HOLD * 4);
         match planner.call(message, limit).await {
             Ok(ractor::rpc::CallResult::Success(answer)) => Ok(answer),
             _ => Err(ErrorObjectOwned::owned(
-                STOPPED,
+                PLANNER_STOPPED,
                 "the planner has stopped",
                 None::<()>,
             )),
@@ -116,8 +116,8 @@
     }
 
     async fn store(&self, call: Call) -> RpcResult<Reply> {
-        Ok(match &self.carrier {
-            Some(carrier) => carrier.serve(call).await,
+        Ok(match &self.proxy {
+            Some(proxy) => proxy.serve(call).await,
             None => Reply::Away,
         })
     }
@@ -135,7 +135,7 @@
     /// The configuration.
     pub source: Source,
     /// Where to ask who may run a step, if anybody says.
-    pub advice: Option<Desk>,
+    pub advice: Option<advice::Sender>,
     /// The times that decisions rest on.
     pub terms: Terms,
     /// Where logs go.
@@ -149,16 +149,16 @@
         while !*stop.borrow() {
             // Whoever plans by way of others is the first to be left alone.
             match self.store.is_direct() {
-                true => self.turn(stop.clone()).await,
-                false => pause(AGAIN).await,
+                true => self.try_once(stop.clone()).await,
+                false => pause(RETRY_DELAY).await,
             }
         }
     }
 
-    async fn turn(&self, mut stop: watch::Receiver<bool>) {
+    async fn try_once(&self, mut stop: watch::Receiver<bool>) {
         let tried = claim::try_claim(&self.store, &self.holder);
-        match tokio::time::timeout(CALL * 2, tried).await {
-            Ok(Ok(Tried::Held(claim))) => {
+        match tokio::time::timeout(CALL_TIMEOUT * 2, tried).await {
+            Ok(Ok(Attempt::Held(claim))) => {
                 count_claim("made");
                 slog::info!(self.log, "planner: has claimed";
                     "token" => claim.token);
@@ -170,25 +170,26 @@
                 // The process may claim anew once its claim is over.
                 if claim.holds() {
                     let revoked = self.store.revoke(claim.lease);
-                    let revoked = tokio::time::timeout(CALL, revoked).await;
+                    let revoked =
+                        tokio::time::timeout(CALL_TIMEOUT, revoked).await;
                     slog::info!(self.log, "planner: gives the claim back";
                         "outcome" => ?revoked);
                 }
             }
-            Ok(Ok(Tried::Other(revision))) => tokio::select! {
+            Ok(Ok(Attempt::Other(revision))) => tokio::select! {
                 biased;
-                () = self.wait(revision) => {}
+                () = self.wait_until_free(revision) => {}
                 _ = stop.changed() => {}
             },
-            Ok(Err(_)) | Err(_) => pause(AGAIN * 2).await,
+            Ok(Err(_)) | Err(_) => pause(RETRY_DELAY * 2).await,
         }
     }
 
     /// Waits until the claim may be free.
-    async fn wait(&self, revision: Revision) {
-        let changes = self.store.changes(keys::PLANNER, revision, WATCH);
+    async fn wait_until_free(&self, revision: Revision) {
+        let changes = self.store.changes(keys::PLANNER, revision, WATCH_WAIT);
         if changes.await.is_err() {
-            pause(AGAIN).await;
+            pause(RETRY_DELAY).await;
         }
     }
 
@@ -200,12 +201,12 @@
         let claimed = Instant::now();
         let (progress, intake) = tokio::select! {
             biased;
-            read = self.read(claim) => read?,
+            read = self.read_records(claim) => read?,
             () = self.renew(claim) => return Ok(()),
             _ = stop.changed() => return Ok(()),
         };
         let after = intake.revision;
-        let (lost, mut is_lost) = watch::channel(false);
+        let (lost, mut lost_signal) = watch::channel(false);
         let start = Start {
             store: self.store.clone(),
             claim: claim.clone(),
@@ -232,8 +233,8 @@
         tokio::select! {
             biased;
             () = self.renew(claim) => {}
-            () = self.follow(&planner, after) => {}
-            _ = is_lost.changed() => {}
+            () = self.follow_intake(&planner, after) => {}
+            _ = lost_signal.changed() => {}
             _ = stop.changed() => {}
         }
         self.host.set(None);
@@ -242,7 +243,10 @@
     }
 
     /// Reads what earlier planners and all entries have left.
-    async fn read(&self, claim: &Claim) -> Result<(Listing, Listing), Error> {
+    async fn read_records(
+        &self,
+        claim: &Claim,
+    ) -> Result<(Listing, Listing), Error> {
         loop {
             // Acceptances last: whatever comes after them is watched.
             let progress = self.list(keys::PROGRESS).await;
@@ -252,7 +256,7 @@
                     return Ok((progress, intake));
                 }
                 _ if !claim.holds() => return Ok(Default::default()),
-                _ => pause(AGAIN).await,
+                _ => pause(RETRY_DELAY).await,
             }
         }
     }
@@ -273,21 +277,25 @@
     /// Renews the claim until it is lost.
     async fn renew(&self, claim: &Claim) {
         while claim.renew(&self.store).await && claim.holds() {
-            tokio::time::sleep(claim::RENEW).await;
+            tokio::time::sleep(claim::RENEWAL_INTERVAL).await;
         }
     }
 
     /// Tells the planner what entries tell it.
-    async fn follow(&self, planner: &ActorRef<Message>, after: Revision) {
+    async fn follow_intake(
+        &self,
+        planner: &ActorRef<Message>,
+        after: Revision,
+    ) {
         let mut cursor = Cursor::new(after);
         loop {
             let after = cursor.after();
-            let changes = self.store.changes(keys::INTAKE, after, WATCH);
+            let changes = self.store.changes(keys::INTAKE, after, WATCH_WAIT);
             let message = match changes.await {
                 Ok(Changes { revision, changes }) => {
                     match changes.is_empty() {
-                        true => cursor.passed(revision),
-                        false => cursor.told(revision),
+                        true => cursor.advance_empty(revision),
+                        false => cursor.advance(revision),
                     }
                     Message::Changes(changes)
                 }
@@ -297,17 +305,17 @@
                             slog::warn!(self.log,
                                 "planner: changes were missed, all is read";
                                 "from" => after, "to" => listing.revision);
-                            cursor.told(listing.revision);
+                            cursor.advance(listing.revision);
                             Message::Listing(listing)
                         }
                         None => {
-                            pause(AGAIN).await;
+                            pause(RETRY_DELAY).await;
                             continue;
                         }
                     }
                 }
                 Err(_) => {
-                    pause(AGAIN).await;
+                    pause(RETRY_DELAY).await;
                     continue;
                 }
             };
--- a/src/cell/watch.rs
+++ b/src/cell/watch.rs
@@ -13,10 +13,10 @@
 
 /// How long one call waits for a change: how often the keys are shown to be
 /// as they were while nothing changes.
-const EVERY: Duration = Duration::from_millis(500);
+const POLL_WAIT: Duration = Duration::from_millis(500);
 /// How much longer than it waits a call takes if it is late: the slowest of
 /// the store's answers seen.
-const LATE: Duration = Duration::from_millis(250);
+const LATE_ANSWER: Duration = Duration::from_millis(250);
 
 /// A watch of the keys that begin alike: they are read once, and then told of
 /// when they change, so that a value that stays is not sent again and again.
@@ -31,9 +31,9 @@
 
 /// What a call has shown.
 #[derive(Debug)]
-pub(super) struct News {
+pub(super) struct Batch {
     /// Whether it is all that there is, and not just what has changed.
-    pub whole: bool,
+    pub is_listing: bool,
     /// What is there, or has changed, in order.
     pub changes: Vec<Change>,
 }
@@ -54,7 +54,7 @@
     ///
     /// If the store does not answer, or has dropped the history that was
     /// asked for: the next call then does not wait, or reads all.
-    pub async fn next(&mut self, store: &impl Store) -> Result<News, Error> {
+    pub async fn next(&mut self, store: &impl Store) -> Result<Batch, Error> {
         let wait = std::mem::take(&mut self.wait);
         match self.cursor.as_ref().map(Cursor::after) {
             Some(after) => {
@@ -63,9 +63,9 @@
                 if let Err(Error::Forgotten(_)) = changes {
                     self.cursor = None;
                 }
-                let changes = self.told(changes?, sent);
-                Ok(News {
-                    whole: false,
+                let changes = self.record(changes?, sent);
+                Ok(Batch {
+                    is_listing: false,
                     changes,
                 })
             }
@@ -73,27 +73,27 @@
                 let listing = store.list(self.prefix).await?;
                 let Listing { revision, items } = listing;
                 self.cursor = Some(Cursor::new(revision));
-                Ok(News {
-                    whole: true,
+                Ok(Batch {
+                    is_listing: true,
                     changes: items.into_iter().map(Change::Put).collect(),
                 })
             }
         }
     }
 
-    fn told(&mut self, changes: Changes, sent: Instant) -> Vec<Change> {
+    fn record(&mut self, changes: Changes, sent: Instant) -> Vec<Change> {
         let Changes { revision, changes } = changes;
         if let Some(cursor) = &mut self.cursor {
             match changes.is_empty() {
-                true => cursor.passed(revision),
-                false => cursor.told(revision),
+                true => cursor.advance_empty(revision),
+                false => cursor.advance(revision),
             }
         }
         // What was told, or came late, says little of now: a process that
         // stood still knows at once what it may do.
-        let late = sent.elapsed() > EVERY + LATE;
+        let late = sent.elapsed() > POLL_WAIT + LATE_ANSWER;
         if changes.is_empty() && !late {
-            self.wait = EVERY;
+            self.wait = POLL_WAIT;
         }
         changes
     }
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -52,7 +52,7 @@
 
 /// What a look at a worker shows.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Look {
+pub struct Snapshot {
     /// The worker's birth, if it tells that.
     pub born: Option<Birth>,
     /// The worker's time.
@@ -90,11 +90,11 @@
     /// Acknowledges ends up to `noted`, prolongs the lease of all that runs
     /// if a time is given, and lists what runs and what has ended, after up
     /// to `wait` if nothing ends before.
-    fn look(
+    fn poll(
         &self,
         call: &Call,
-        noted: u64,
+        acknowledged: u64,
         expires: Option<WorkerTime>,
         wait: Duration,
-    ) -> impl Future<Output = Result<Look, Error>> + Send;
+    ) -> impl Future<Output = Result<Snapshot, Error>> + Send;
 }
--- a/src/cell/writer.rs
+++ b/src/cell/writer.rs
@@ -20,26 +20,26 @@
 
 /// How many jobs one transaction holds: with the claim's condition, a
 /// condition, a put and a removal each, the platform's 32 entries.
-pub const MOST: usize = 10;
+pub const MAX_BATCH_JOBS: usize = 10;
 /// How long an answer is waited for, beyond what the bytes take.
-const CALL: Duration = Duration::from_millis(700);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long is waited before a batch is tried again.
-const AGAIN: Duration = Duration::from_millis(60);
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
 /// What the writer knows of the store.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
+pub struct Records {
     /// The revision of each job's progress.
     pub revisions: BTreeMap<Id, Revision>,
     /// The jobs that no longer count as waiting.
     pub begun: BTreeSet<Id>,
 }
 
-impl Known {
+impl Records {
     /// Returns what is known of the jobs of a batch.
-    pub fn of(&self, batch: &[Unwritten]) -> Known {
+    pub fn subset(&self, batch: &[Unwritten]) -> Records {
         let ids = || batch.iter().map(|job| &job.id);
-        Known {
+        Records {
             revisions: ids()
                 .filter_map(|id| Some((id.clone(), *self.revisions.get(id)?)))
                 .collect(),
@@ -75,31 +75,31 @@
 pub async fn write(
     store: &impl Store,
     claim: &Claim,
-    known: &Known,
+    records: &Records,
     batch: &[Unwritten],
 ) -> Result<Written, Lost> {
     let mut conditions = vec![claim.condition()];
     let mut puts = Vec::new();
     for job in batch {
         let key = keys::progress(&job.id);
-        let before = known.revisions.get(&job.id).copied().unwrap_or(0);
+        let before = records.revisions.get(&job.id).copied().unwrap_or(0);
         conditions.push(Compare::Modified(key.clone(), before));
         let value = serde_json::to_vec(&job.progress)
             .map_err(|error| Lost(error.to_string()))?;
         puts.push(Put::Value(key, value, 0));
-        if !known.begun.contains(&job.id) {
-            puts.push(Put::Delete(keys::waits(&job.queue, &job.id)));
+        if !records.begun.contains(&job.id) {
+            puts.push(Put::Delete(keys::waiting_job(&job.queue, &job.id)));
         }
     }
-    let limit = CALL + carriage(puts.iter().map(Put::bytes).sum());
+    let limit = ANSWER_TIMEOUT + carriage(puts.iter().map(Put::bytes).sum());
     loop {
         let swap = store.swap(&conditions, puts.clone());
         match tokio::time::timeout(limit, swap).await {
             Ok(Ok(Swap::Written(revision))) => {
-                return Ok(all(batch, |_| Some(revision)));
+                return Ok(written(batch, |_| Some(revision)));
             }
             Ok(Ok(Swap::Refused(items))) => {
-                return landed(batch, &puts, &items);
+                return resolve_refusal(batch, &puts, &items);
             }
             Ok(Err(Error::Unreached(_) | Error::Lost(_)))
             | Ok(Err(Error::Forgotten(_)))
@@ -108,11 +108,11 @@
         if !claim.holds() {
             return Err(Lost("its lease has run out".to_owned()));
         }
-        pause(AGAIN).await;
+        pause(RETRY_DELAY).await;
     }
 }
 
-fn all(
+fn written(
     batch: &[Unwritten],
     revision: impl Fn(&Id) -> Option<Revision>,
 ) -> Written {
@@ -126,7 +126,7 @@
 
 /// Tells an earlier try of ours that has taken effect from a write of
 /// somebody else.
-fn landed(
+fn resolve_refusal(
     batch: &[Unwritten],
     puts: &[Put],
     items: &[Item],
@@ -144,5 +144,5 @@
         let key = keys::progress(id);
         items.iter().find(|i| i.key == key).map(|i| i.modified)
     };
-    Ok(all(batch, revision))
+    Ok(written(batch, revision))
 }
--- a/tests/it/births.rs
+++ b/tests/it/births.rs
@@ -246,7 +246,7 @@
     admission.submit(&job("a"), soon()).await;
     runs(&worker, 2).await;
     // It names the worker, and that still answers.
-    member.left("life");
+    member.worker_left("life");
     let second = agent_of("second", Duration::from_secs(6), &store, &other);
     passes(Duration::from_millis(2500)).await;
     assert_eq!(other.began(), Vec::<String>::new(), "begun twice");
--- a/tests/it/cell.rs
+++ b/tests/it/cell.rs
@@ -13,7 +13,7 @@
 use landingvalve::cell::claim::Holder;
 use landingvalve::cell::configuration::Keys;
 use landingvalve::cell::configuration::Source;
-use landingvalve::cell::dial::Network;
+use landingvalve::cell::connector::Network;
 use landingvalve::cell::keys;
 use landingvalve::cell::member::Config;
 use landingvalve::cell::member::Heartbeat;
@@ -24,7 +24,7 @@
 use landingvalve::cell::session::Session;
 use landingvalve::cell::worker;
 use landingvalve::cell::worker::Call;
-use landingvalve::cell::worker::Look;
+use landingvalve::cell::worker::Snapshot;
 use landingvalve::cell::worker::Worker;
 use landingvalve::cell::worker::WorkerTime;
 use landingvalve::cell::Admission;
@@ -693,13 +693,13 @@
         Ok(tasks.time(self.started))
     }
 
-    async fn look(
+    async fn poll(
         &self,
         call: &Call,
         noted: u64,
         expires: Option<WorkerTime>,
         wait: Duration,
-    ) -> Result<Look, worker::Error> {
+    ) -> Result<Snapshot, worker::Error> {
         {
             let mut tasks = self.lock();
             tasks.prolonged = expires.is_some();
@@ -726,7 +726,7 @@
                     tasks.hides |= tasks.shows_once && !tasks.ended.is_empty();
                     let shown = !tasks.ended.is_empty();
                     tasks.mute |= tasks.mutes_once_shown && shown;
-                    return Ok(Look {
+                    return Ok(Snapshot {
                         born: tasks.birth(),
                         time: tasks.time(self.started),
                         lists: Lists {
@@ -869,7 +869,7 @@
         agent: name.into(),
         survival,
         lease,
-        dial: Arc::new(Network),
+        connector: Arc::new(Network),
         log: log::none(),
     };
     let member = Member::new(config, worker.clone(), store.clone());
@@ -900,7 +900,7 @@
         agent: name.into(),
         survival: Terms::default().survival,
         lease: Duration::from_secs(6),
-        dial: Arc::new(Network),
+        connector: Arc::new(Network),
         log: log::none(),
     };
     Member::new(config, worker.clone(), store.clone())
--- a/tests/it/closed.rs
+++ b/tests/it/closed.rs
@@ -7,7 +7,7 @@
 
 use landingvalve::cell::configuration::Configuration;
 use landingvalve::cell::configuration::Source;
-use landingvalve::cell::reach::Reach;
+use landingvalve::cell::reachability::Reachability;
 use landingvalve::graph::How;
 use landingvalve::graph::Text;
 use landingvalve::log;
@@ -103,7 +103,7 @@
         store.clone(),
         KEYS,
         decode,
-        Reach::new(),
+        Reachability::new(),
         log::none(),
     );
     let follow = tokio::spawn(follow);
--- a/tests/it/in_touch.rs
+++ b/tests/it/in_touch.rs
@@ -4,7 +4,7 @@
 
 use landingvalve::cell::configuration::Configuration;
 use landingvalve::cell::configuration::Source;
-use landingvalve::cell::reach::Reach;
+use landingvalve::cell::reachability::Reachability;
 use landingvalve::log;
 use landingvalve::store::Put;
 use landingvalve::store::Store;
@@ -24,7 +24,7 @@
         store.clone(),
         KEYS,
         decode,
-        Reach::new(),
+        Reachability::new(),
         log::none(),
     );
     let follow = tokio::spawn(follow);
--- a/tests/it/ordered.rs
+++ b/tests/it/ordered.rs
@@ -9,8 +9,8 @@
 
 use jsonrpsee::core::async_trait;
 use landingvalve::cell::claim::Holder;
-use landingvalve::cell::dial::Dial;
-use landingvalve::cell::dial::Peer;
+use landingvalve::cell::connector::Connector;
+use landingvalve::cell::connector::Peer;
 use landingvalve::cell::keys;
 use landingvalve::cell::member::Config;
 use landingvalve::cell::member::Heartbeat;
@@ -81,7 +81,7 @@
             agent: "agent".into(),
             survival: Terms::default().survival,
             lease: Duration::from_secs(6),
-            dial: Arc::new(self.clone()),
+            connector: Arc::new(self.clone()),
             log: log::none(),
         };
         let member = Member::new(config, worker.clone(), store.clone());
@@ -132,8 +132,8 @@
 }
 
 #[async_trait]
-impl Dial for Planner {
-    async fn dial(&self, _address: &str) -> Result<Arc<dyn Peer>, Error> {
+impl Connector for Planner {
+    async fn connect(&self, _address: &str) -> Result<Arc<dyn Peer>, Error> {
         Ok(Arc::new(self.clone()))
     }
 }
--- a/tests/it/relay.rs
+++ b/tests/it/relay.rs
@@ -15,12 +15,12 @@
 use std::time::Duration;
 
 use jsonrpsee::core::async_trait;
-use landingvalve::cell::dial::Dial;
-use landingvalve::cell::dial::Peer;
+use landingvalve::cell::connector::Connector;
+use landingvalve::cell::connector::Peer;
 use landingvalve::cell::relay::call::Call;
 use landingvalve::cell::relay::call::Reply;
-use landingvalve::cell::relay::Carrier;
 use landingvalve::cell::relay::Peers;
+use landingvalve::cell::relay::Proxy;
 use landingvalve::cell::relay::Relay;
 use landingvalve::cell::rpc::Answer;
 use landingvalve::cell::Admission;
@@ -151,7 +151,7 @@
 
 /// The entries of a site, by their addresses.
 #[derive(Clone, Default)]
-struct Wires(Arc<Mutex<BTreeMap<String, Arc<dyn Carrier>>>>);
+struct Wires(Arc<Mutex<BTreeMap<String, Arc<dyn Proxy>>>>);
 
 impl fmt::Debug for Wires {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -160,8 +160,11 @@
 }
 
 #[async_trait]
-impl Dial for Wires {
-    async fn dial(&self, address: &str) -> Result<Arc<dyn Peer>, link::Error> {
+impl Connector for Wires {
+    async fn connect(
+        &self,
+        address: &str,
+    ) -> Result<Arc<dyn Peer>, link::Error> {
         let wires = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         match wires.get(address) {
             Some(carrier) => Ok(Arc::new(Wire(carrier.clone()))),
@@ -170,7 +173,7 @@
     }
 }
 
-struct Wire(Arc<dyn Carrier>);
+struct Wire(Arc<dyn Proxy>);
 
 #[async_trait]
 impl Peer for Wire {
--- a/tests/it/suspended.rs
+++ b/tests/it/suspended.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use landingvalve::cell::claim;
+use landingvalve::cell::claim::Attempt;
 use landingvalve::cell::claim::Holder;
-use landingvalve::cell::claim::Tried;
 use landingvalve::cell::configuration::Configuration;
 use landingvalve::cell::configuration::Source;
-use landingvalve::cell::reach::Reach;
+use landingvalve::cell::reachability::Reachability;
 use landingvalve::cell::Admission;
 use landingvalve::clock;
 use landingvalve::clock::Stamp;
@@ -54,7 +54,7 @@
             cores: 1.0,
         };
         let tried = claim::try_claim(&store, &holder).await;
-        let Ok(Tried::Held(claim)) = tried else {
+        let Ok(Attempt::Held(claim)) = tried else {
             panic!("nobody else claims: {tried:?}");
         };
         assert!(claim.holds());
@@ -100,7 +100,7 @@
         store.clone(),
         KEYS,
         decode,
-        Reach::new(),
+        Reachability::new(),
         log::none(),
     );
     let follow = tokio::spawn(follow);
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -21,11 +21,11 @@
 # What is changed, where, from what to what.
 MUTATIONS = [
     ("births are not compared in looks", STATE,
-     "if known.beat.life.is_other(look.born) {", "if false {"),
+     "if view.heartbeat.life.is_other(snapshot.born) {", "if false {"),
     ("late starts are not barred in a new birth", STATE,
-     "known.late = earlier.late_in(&known.beat.life);", ""),
+     "view.late_runs = earlier.late_runs(&view.heartbeat.life);", ""),
     ("orders outlive what is told to be gone", STATE,
-     "known.starts.clear();", ""),
+     "view.starts.clear();", ""),
     ("a start is tried again while looks fail", ACT,
      ".filter(|_| known.is_known())", ""),
     ("ends are acknowledged before they are written", ORDERS,
