--- a/src/cell/configuration.rs
+++ b/src/cell/configuration.rs
@@ -154,7 +154,7 @@
 
     /// Returns the configuration if it was current at most `age` ago,
     /// waiting for that if need be.
-    pub async fn fresh_by(
+    pub async fn wait_fresh(
         &self,
         age: Duration,
         until: Instant,
@@ -170,7 +170,7 @@
 
     /// Returns whether the store was reached lately: without it nothing can
     /// be accepted here, and callers are better off elsewhere.
-    pub fn in_touch(&self) -> bool {
+    pub fn is_in_contact(&self) -> bool {
         let known = self.lock();
         let in_contact = known
             .last_answer
--- a/src/cell/planner/calls.rs
+++ b/src/cell/planner/calls.rs
@@ -41,15 +41,15 @@
         let myself = myself.clone();
         tokio::spawn(async move {
             let sent = Instant::now();
-            let good = advice::ask(&advice, question.clone()).await;
+            let tickets = advice::ask(&advice, question.clone()).await;
             // A planner that has stopped needs no answer.
-            let _ = myself.cast(Message::Advised(question, good, sent));
+            let _ = myself.cast(Message::Advice(question, tickets, sent));
         });
     }
 
     /// Reads what silent agents have kept, before what runs there is taken
     /// for gone.
-    pub(super) fn inquire(&mut self, myself: &ActorRef<Message>) {
+    pub(super) fn read_saved_reports(&mut self, myself: &ActorRef<Message>) {
         let agents = self.book.take_inquiries();
         if agents.is_empty() {
             return;
@@ -59,26 +59,27 @@
         let log = self.log.clone();
         let myself = myself.clone();
         tokio::spawn(async move {
-            let Some((kept, sent)) = inquiry::read(&store, &claim, &log).await
+            let Some((saved, sent)) =
+                inquiry::read(&store, &claim, &log).await
             else {
                 return;
             };
             // A planner that has stopped needs no answer.
-            let _ = myself.cast(Message::Inquired(agents, kept, sent));
+            let _ = myself.cast(Message::SavedReports(agents, saved, sent));
         });
     }
 
-    pub(super) fn inquired(
+    pub(super) fn apply_saved_reports(
         &mut self,
         agents: &[AgentId],
-        kept: Vec<Report>,
+        saved: Vec<Report>,
         sent: Instant,
     ) {
         let now = Moment::present();
-        let mut kept: BTreeMap<AgentId, Report> =
-            kept.into_iter().map(|r| (r.agent.clone(), r)).collect();
+        let mut saved: BTreeMap<AgentId, Report> =
+            saved.into_iter().map(|r| (r.agent.clone(), r)).collect();
         for agent in agents {
-            let report = kept.remove(agent);
+            let report = saved.remove(agent);
             slog::info!(self.log, "planner: an agent is silent";
                 "agent" => &**agent, "kept" => report.is_some(),
                 "token" => self.claim.token);
--- a/src/cell/planner/mod.rs
+++ b/src/cell/planner/mod.rs
@@ -65,13 +65,13 @@
     /// Records were removed, or not.
     Removed(Vec<Id>),
     /// What silent agents have kept was read, by a call sent at that time.
-    Inquired(Vec<AgentId>, Vec<Report>, Instant),
+    SavedReports(Vec<AgentId>, Vec<Report>, Instant),
     /// A question was answered, or not, that was put at that time.
-    Advised(Question, Option<Vec<Ticket>>, Instant),
+    Advice(Question, Option<Vec<Ticket>>, Instant),
     /// Something was taken in: decide.
     Decide,
     /// A pass that was put off may begin.
-    Rested,
+    RestEnded,
     /// Time has passed.
     Tick,
 }
@@ -85,7 +85,7 @@
 }
 
 /// Everything that a planner starts with.
-pub struct Start<S> {
+pub struct Arguments<S> {
     /// The store.
     pub store: S,
     /// The claim that it plans under.
@@ -101,7 +101,7 @@
     /// What earlier planners have kept.
     pub progress: Listing,
     /// Told once the claim is lost.
-    pub lost: watch::Sender<bool>,
+    pub claim_lost: watch::Sender<bool>,
     /// Where logs go.
     pub log: slog::Logger,
 }
@@ -124,16 +124,16 @@
     removing: bool,
     deciding: bool,
     /// Whether time-driven rules are to be looked at.
-    ticked: bool,
+    tick_due: bool,
     /// Before which no pass begins.
-    rests_until: Instant,
+    rest_until: Instant,
     /// Whether a pass waits for that.
     resting: bool,
     waiting: BTreeMap<AgentId, Waiting>,
     /// Agents whose orders have changed while they asked for none.
     due: BTreeSet<AgentId>,
     guarantees: BTreeMap<Text, i64>,
-    lost: watch::Sender<bool>,
+    claim_lost: watch::Sender<bool>,
     decision_log: Recorder,
     log: slog::Logger,
 }
@@ -150,12 +150,12 @@
 impl<S: Store> Actor for Planner<S> {
     type Msg = Message;
     type State = State<S>;
-    type Arguments = Start<S>;
+    type Arguments = Arguments<S>;
 
     async fn pre_start(
         &self,
         myself: ActorRef<Message>,
-        start: Start<S>,
+        start: Arguments<S>,
     ) -> Result<State<S>, ActorProcessingErr> {
         myself.send_interval(TICK_INTERVAL, || Message::Tick);
         Ok(State::new(start))
@@ -173,14 +173,14 @@
             Message::Listing(listing) => state.listing(listing),
             Message::Written(written) => state.written(written),
             Message::Removed(ids) => state.removed(&ids),
-            Message::Inquired(agents, kept, sent) => {
-                state.inquired(&agents, kept, sent);
+            Message::SavedReports(agents, saved, sent) => {
+                state.apply_saved_reports(&agents, saved, sent);
             }
-            Message::Advised(question, good, sent) => {
+            Message::Advice(question, tickets, sent) => {
                 state.advice_pending = false;
-                state.book.advised(&question, good, sent.into_std());
+                state.book.advised(&question, tickets, sent.into_std());
             }
-            Message::Rested => state.resting = false,
+            Message::RestEnded => state.resting = false,
             Message::Tick => state.tick(&myself),
             Message::Decide => {
                 state.decide(&myself);
@@ -197,7 +197,7 @@
 }
 
 impl<S: Store> State<S> {
-    fn new(start: Start<S>) -> State<S> {
+    fn new(start: Arguments<S>) -> State<S> {
         let mut state = State {
             store: start.store,
             claim: start.claim,
@@ -211,13 +211,13 @@
             writing: false,
             removing: false,
             deciding: false,
-            ticked: true,
-            rests_until: Instant::now(),
+            tick_due: true,
+            rest_until: Instant::now(),
             resting: false,
             waiting: BTreeMap::new(),
             due: BTreeSet::new(),
             guarantees: BTreeMap::new(),
-            lost: start.lost,
+            claim_lost: start.claim_lost,
             decision_log: Recorder::new(start.log.clone()),
             log: start.log,
         };
@@ -329,7 +329,7 @@
                 slog::warn!(self.log, "planner: gives up";
                     "token" => self.claim.token, "error" => %error);
                 // The session that reads this may be over already.
-                let _ = self.lost.send(true);
+                let _ = self.claim_lost.send(true);
                 return;
             }
         };
@@ -361,16 +361,16 @@
     }
 
     fn is_pass_due(&self) -> bool {
-        !self.resting && (self.ticked || self.book.is_changed())
+        !self.resting && (self.tick_due || self.book.is_changed())
     }
 
     fn decide(&mut self, myself: &ActorRef<Message>) {
         self.deciding = false;
-        if *self.lost.borrow() {
+        if *self.claim_lost.borrow() {
             return;
         }
         if self.is_pass_due() {
-            self.pass(myself);
+            self.run_pass(myself);
         }
         self.write(myself);
         self.due.extend(self.book.take_stirred());
@@ -380,20 +380,20 @@
             .filter(|agent| self.waiting.contains_key(*agent))
             .cloned()
             .collect();
-        self.answer(&due);
+        self.answer_waiting(&due);
     }
 
     /// Decides anew what is started and stopped, or has that done later if
     /// the last pass was long and lately.
-    fn pass(&mut self, myself: &ActorRef<Message>) {
+    fn run_pass(&mut self, myself: &ActorRef<Message>) {
         let began = Instant::now();
-        if began < self.rests_until {
+        if began < self.rest_until {
             self.resting = true;
-            let left = self.rests_until - began;
-            myself.send_after(left, || Message::Rested);
+            let left = self.rest_until - began;
+            myself.send_after(left, || Message::RestEnded);
             return;
         }
-        self.ticked = false;
+        self.tick_due = false;
         if let Some(configuration) = self.source.current() {
             if configuration.guarantees != self.guarantees {
                 self.guarantees = configuration.guarantees.clone();
@@ -407,14 +407,14 @@
             self.decision_log.record(&decision, token);
         }
         self.ask_advice(myself);
-        self.inquire(myself);
+        self.read_saved_reports(myself);
         let took = began.elapsed();
         metrics::get().step.record(took.as_secs_f64(), &[]);
-        self.rests_until = began + (took * REST_FACTOR).min(MAX_REST);
+        self.rest_until = began + (took * REST_FACTOR).min(MAX_REST);
     }
 
     /// Answers agents whose reports wait.
-    fn answer(&mut self, agents: &[AgentId]) {
+    fn answer_waiting(&mut self, agents: &[AgentId]) {
         if agents.is_empty() {
             return;
         }
@@ -438,15 +438,15 @@
     }
 
     fn tick(&mut self, myself: &ActorRef<Message>) {
-        self.ticked = !self.book.is_idle();
+        self.tick_due = !self.book.is_idle();
         let now = Instant::now();
-        let old: Vec<AgentId> = self
+        let expired: Vec<AgentId> = self
             .waiting
             .iter()
             .filter(|(_, waiting)| now >= waiting.since + REPORT_HOLD)
             .map(|(agent, _)| agent.clone())
             .collect();
-        self.answer(&old);
+        self.answer_waiting(&expired);
         self.remove_ended(myself);
     }
 }
--- a/src/cell/session.rs
+++ b/src/cell/session.rs
@@ -20,9 +20,9 @@
 use crate::cell::cursor::Cursor;
 use crate::cell::keys;
 use crate::cell::pause;
+use crate::cell::planner::Arguments;
 use crate::cell::planner::Message;
 use crate::cell::planner::Planner;
-use crate::cell::planner::Start;
 use crate::cell::planner::REPORT_HOLD;
 use crate::cell::relay::call::Call;
 use crate::cell::relay::call::Reply;
@@ -206,8 +206,8 @@
             _ = stop.changed() => return Ok(()),
         };
         let after = intake.revision;
-        let (lost, mut lost_signal) = watch::channel(false);
-        let start = Start {
+        let (claim_lost, mut lost_signal) = watch::channel(false);
+        let start = Arguments {
             store: self.store.clone(),
             claim: claim.clone(),
             source: self.source.clone(),
@@ -215,7 +215,7 @@
             terms: self.terms,
             intake,
             progress,
-            lost,
+            claim_lost,
             log: self.log.clone(),
         };
         let spawned = Actor::spawn(None, Planner::default(), start).await;
--- a/tests/it/in_touch.rs
+++ b/tests/it/in_touch.rs
@@ -18,7 +18,7 @@
     let put = Put::Value("key".to_owned(), b"7".to_vec(), 0);
     store.swap(&[], vec![put]).await.expect("is written");
     let source = Source::new();
-    assert!(!source.in_touch(), "nothing is known");
+    assert!(!source.is_in_contact(), "nothing is known");
     let decode = |_: &[u8]| Ok::<_, String>(Configuration::default());
     let follow = source.clone().follow(
         store.clone(),
@@ -30,13 +30,13 @@
     let follow = tokio::spawn(follow);
     let pass = |ms| tokio::time::sleep(Duration::from_millis(ms));
     pass(3000).await;
-    assert!(source.in_touch());
+    assert!(source.is_in_contact());
     store.refuse(u32::MAX);
     pass(1300).await;
-    assert!(!source.in_touch());
+    assert!(!source.is_in_contact());
     assert!(source.current().is_some(), "what is known stays");
     store.refuse(0);
     pass(300).await;
-    assert!(source.in_touch());
+    assert!(source.is_in_contact());
     follow.abort();
 }
--- a/tests/it/suspended.rs
+++ b/tests/it/suspended.rs
@@ -110,7 +110,7 @@
     store.refuse(u32::MAX);
     clock::suspend(Duration::from_secs(3));
     assert!(source.fresh(age).is_none(), "it is 3 s old");
-    assert!(!source.in_touch(), "the store was not heard for 3 s");
+    assert!(!source.is_in_contact(), "the store was not heard for 3 s");
     store.refuse(0);
     until("it is known anew", known).await;
     follow.abort();
