--- a/src/cell/admission.rs
+++ b/src/cell/admission.rs
@@ -1,4 +1,4 @@
-//! Taking jobs in, cancelling them, and saying how they stand.
+//! Accepts and cancels jobs, and reports how far they have come.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -26,61 +26,63 @@
 use crate::telemetry::metrics;
 use crate::telemetry::metrics::label;
 
-/// How long a store that turns calls away is asked again before a job is
-/// refused: the caller is told at once when to come back.
+/// How long a submission retries a store that rejects calls before the job is
+/// refused. The caller is then told when to come back.
 const DEFAULT_PATIENCE: Duration = Duration::from_millis(600);
-/// How long is waited before the store is asked again.
+/// The delay before a failed call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
-/// How long a write may have no answer before it is made again, for the
-/// first time; twice as long each further time. The slowest answers of a
-/// store that serves took 340 ms; a job that waits for one that does not
-/// come is late 1.5 s after it was sent.
+/// How long the first write waits for an answer before it is repeated; the
+/// wait doubles with each further write. The slowest answers of a store that
+/// serves took 340 ms, and a job whose write is never answered is late 1.5 s
+/// after it was sent.
 const FIRST_WRITE_TIMEOUT: Duration = Duration::from_millis(350);
-/// How long the end of a job that runs is waited for: what it takes from its
-/// worker through the planner into the store, with some to spare.
+/// How long a request for a running job's state waits for the job's end: the
+/// time that an end takes from the worker through the planner into the store,
+/// with a margin.
 const END_WAIT: Duration = Duration::from_millis(120);
-/// How much longer than it waits such a call may take.
+/// The time beyond its wait that such a call may take.
 const END_SLACK: Duration = Duration::from_millis(100);
-/// The least wait that is worth a call.
+/// The shortest wait that is worth a call.
 const MIN_WAIT: Duration = Duration::from_millis(10);
-/// How long an unanswered write is remembered: longer than a late write
-/// can take.
+/// How long an unanswered write is remembered: longer than a late write can
+/// take.
 const UNSURE_TTL: Duration = Duration::from_secs(60);
 
-/// What came of a submission.
+/// The outcome of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Submitted {
-    /// The job is kept, now or since an earlier submission.
+    /// The job is stored, by this submission or an earlier one.
     Accepted,
-    /// It is not kept, and this submission will not make it so.
+    /// The job is not stored, and this submission will not store it.
     Refused,
-    /// It may be kept: the caller must ask again under the same name.
+    /// The job may be stored. The caller must ask again under the same name.
     Unsure,
 }
 
 /// How far a job has come, for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// None of its tasks has begun.
+    /// No task of the job has begun.
     Queued,
-    /// A task has begun.
+    /// A task of the job has begun.
     Running,
-    /// It has ended.
+    /// The job has ended.
     Ended(Outcome),
 }
 
-/// The store does not answer in time.
+/// The store did not answer in time.
 #[derive(Debug, thiserror::Error)]
 #[error("the store does not answer: {0}")]
 pub struct Unavailable(String);
 
-/// Takes jobs in.
+/// Accepts and cancels jobs, and reads their state.
 #[derive(Clone, Debug)]
 pub struct Admission<S> {
     store: S,
     reachability: Reachability,
     patience: Duration,
-    /// Jobs whose write had no answer here, and when.
+    /// The jobs whose write by this process was not answered, and the time of
+    /// the write.
     unsure: Arc<Mutex<HashMap<Id, Instant>>>,
     log: slog::Logger,
 }
@@ -103,15 +105,15 @@
         Admission { patience, ..self }
     }
 
-    /// Returns what is known of the way to the store, to be told of other
-    /// calls as well.
+    /// Returns the shared reachability of the store, so that other calls can
+    /// update it.
     pub fn reachability(&self) -> Reachability {
         self.reachability.clone()
     }
 
-    /// Keeps a job, unless it is kept already. Half of the time until the
-    /// deadline is spent on it at most: the caller then still has time to
-    /// ask again under the same name, through another entry.
+    /// Stores a job, unless it is stored already. At most half of the time
+    /// until the deadline is used, so that the caller can still ask again
+    /// under the same name through another entry.
     pub async fn submit(&self, job: &Job, deadline: Instant) -> Submitted {
         let submitted = match serde_json::to_vec(job) {
             Ok(value) => self.create(job, value, deadline).await,
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Cancels a job; returns whether it is known.
+    /// Cancels a job. Returns whether the job exists.
     ///
     /// # Errors
     ///
@@ -208,8 +210,9 @@
         Ok(true)
     }
 
-    /// Returns how far a job has come, if it is known. Of one that runs it
-    /// is waited a moment for news: callers often ask just as it ends.
+    /// Returns how far a job has come, or `None` if there is no such job. For
+    /// a running job the call waits briefly for its end, because callers often
+    /// ask just as it ends.
     ///
     /// # Errors
     ///
@@ -224,8 +227,9 @@
         if let Some(outcome) = ended {
             return Ok(Some(Stage::Ended(outcome)));
         }
-        // A cancel that is kept may yet come after the job's end: only the
-        // planner can tell, and what was told is never taken back.
+        // A stored cancellation does not make the job count as cancelled here:
+        // the job may have ended before, which only the planner knows, and a
+        // reported state must never be taken back.
         if let Some(progress) = progress {
             let ended = self.wait_for_end(&progress, deadline).await;
             return Ok(Some(ended.map_or(Stage::Running, Stage::Ended)));
@@ -234,7 +238,7 @@
         Ok(job.map(|_| Stage::Queued))
     }
 
-    /// Waits a moment for a job's end.
+    /// Waits briefly for a job's end.
     async fn wait_for_end(
         &self,
         progress: &Item,
@@ -249,13 +253,13 @@
                 return None;
             }
             let changes = self.store.changes(&progress.key, after, wait);
-            // No answer is no news: the caller is told what is known.
+            // Without an answer the caller gets the state read before.
             let limit = (until + END_SLACK).min(deadline);
             let changes = tokio::time::timeout_at(limit, changes).await;
             let changes = changes.ok()?.ok()?;
             after = after.max(changes.revision);
-            // A store tells of all keys that begin so: a job whose name is
-            // longer is another one.
+            // The store reports all keys with this prefix, and so also those
+            // of jobs with a longer name.
             let told = changes.changes.into_iter().rev();
             let mut told = told.filter(|c| c.key() == progress.key);
             let item = match told.next() {
@@ -275,7 +279,7 @@
         }
     }
 
-    /// Returns how many jobs of a queue have not begun.
+    /// Returns the number of jobs in a queue that have not begun.
     ///
     /// # Errors
     ///
@@ -326,14 +330,14 @@
     }
 }
 
-/// Returns how the job of a kept progress has ended, if it has.
+/// Returns the outcome in a stored progress, if the job has ended.
 fn outcome(progress: &Item) -> Result<Option<Outcome>, Unavailable> {
     serde_json::from_slice::<Progress>(&progress.value)
         .map(|progress| progress.outcome)
         .map_err(|error| Unavailable(error.to_string()))
 }
 
-/// Waits before a call is made again, if there is time for it.
+/// Pauses before a call is retried, or fails if the deadline is too close.
 async fn pause_before_retry(
     error: Error,
     deadline: Instant,
--- a/src/cell/advice.rs
+++ b/src/cell/advice.rs
@@ -1,4 +1,4 @@
-//! Asking which workers may run a step.
+//! The channel on which the planner asks which workers may run a step.
 
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
@@ -6,28 +6,29 @@
 use crate::graph::Question;
 use crate::graph::Ticket;
 
-/// How many questions wait at most; the planner asks one at a time.
+/// The most questions that wait in the channel; the planner asks one at a
+/// time.
 const MAX_QUEUED: usize = 4;
 
-/// A question of the planner, and where its answer goes. Dropped, it counts
-/// as not answered.
+/// A question of the planner, and the channel for its answer. Dropping a
+/// request counts as no answer.
 #[derive(Debug)]
 pub struct Request {
     /// The question.
     pub question: Question,
-    /// Takes the tickets for those of the workers that may run the step.
+    /// Receives the tickets of the workers that may run the step.
     pub reply: oneshot::Sender<Vec<Ticket>>,
 }
 
-/// Where the planner puts its questions.
+/// The planner's end of the channel.
 pub type Sender = mpsc::Sender<Request>;
 
-/// Returns a desk, and what is put there.
+/// Returns the two ends of a channel for questions.
 pub fn channel() -> (Sender, mpsc::Receiver<Request>) {
     mpsc::channel(MAX_QUEUED)
 }
 
-/// Puts a question; returns the answer, if one comes.
+/// Sends a question and returns the answer, if one comes.
 pub(crate) async fn ask(
     sender: &Sender,
     question: Question,
--- a/src/cell/claim.rs
+++ b/src/cell/claim.rs
@@ -1,4 +1,5 @@
-//! Who plans: a key under a lease, whose revision is the fencing token.
+//! The planner's claim: a key under a lease, whose revision is the fencing
+//! token.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -19,21 +20,23 @@
 use crate::store::Store;
 use crate::store::Swap;
 
-/// How long a claim holds without renewal. Short, since nothing new starts
-/// until another may claim; long against the store's slowest answers.
+/// How long a claim holds without renewal. Short, because nothing new starts
+/// until another process may claim; long compared to the store's slowest
+/// answers.
 pub const TTL: Duration = Duration::from_millis(2000);
-/// How often it is renewed.
+/// The time between two renewals.
 pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
-/// How long at most a process leaves a free claim to stronger ones: a call of
-/// the store takes 340 ms where it is 84 times as slow as usual, the slowest
-/// seen.
+/// The longest time for which a process leaves a free claim to stronger ones.
+/// A store call takes 340 ms when the store is 84 times slower than usual, the
+/// slowest observed.
 const MAX_DEFERRAL: Duration = Duration::from_millis(400);
-/// The cores that a planner of 240 workers took at its busiest: what a
-/// process is measured by while nobody has claimed yet.
+/// The cores that a planner of 240 workers used at its busiest: the reference
+/// while no process has claimed yet.
 const PLANNER_CORES: f64 = 0.45;
-/// The share of the strongest one's cores that counts as being as strong.
+/// The share of the strongest process's cores from which a process counts as
+/// equally strong.
 const EQUAL_CORES_SHARE: f64 = 0.9;
-/// How long a call for a renewal may take.
+/// The longest that a renewal call may take.
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// The value of the claim's key.
@@ -41,28 +44,29 @@
 pub struct Holder {
     /// The process's name.
     pub process: String,
-    /// Where agents reach its planner.
+    /// The address at which agents reach the process's planner.
     pub address: String,
-    /// The life of the process, drawn anew at each start.
+    /// The process's life, drawn at random at each start.
     pub life: String,
-    /// How many cores it may use.
+    /// The number of cores that the process may use.
     #[serde(default)]
     pub cores: f64,
 }
 
-/// A claim that this process holds.
+/// A claim held by this process.
 #[derive(Clone, Debug)]
 pub struct Claim {
-    /// The revision at which it was made: the key is written only then.
+    /// The fencing token: the revision at which the claim was made. The key is
+    /// not written again afterwards.
     pub token: Revision,
-    /// The lease it hangs on.
+    /// The lease of the claim's key.
     pub lease: LeaseId,
-    /// Until when it surely holds.
+    /// The time until which the claim certainly holds.
     valid_until: Arc<Mutex<Stamp>>,
 }
 
 impl Claim {
-    /// Returns a claim that holds until `valid`.
+    /// Returns a claim that holds until `valid_until`.
     pub fn new(token: Revision, lease: LeaseId, valid_until: Stamp) -> Claim {
         Claim {
             token,
@@ -71,12 +75,12 @@
         }
     }
 
-    /// Returns whether it surely holds now.
+    /// Returns whether the claim certainly holds now.
     pub fn holds(&self) -> bool {
         self.valid_until().is_ahead()
     }
 
-    /// Returns until when it surely holds.
+    /// Returns the time until which the claim certainly holds.
     pub fn valid_until(&self) -> Stamp {
         *self
             .valid_until
@@ -84,14 +88,15 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the condition that it is still held, for writes.
+    /// Returns the condition, for writes, that the claim is still held.
     pub fn condition(&self) -> Compare {
         Compare::Modified(keys::PLANNER.to_owned(), self.token)
     }
 
-    /// Renews it once; returns whether it may still be held.
+    /// Renews the claim once. Returns whether the claim may still be held.
     pub async fn renew(&self, store: &impl Store) -> bool {
-        // Counted from before the call: the lease began later.
+        // The lease is counted from before the call, since it began no
+        // earlier.
         let sent = Stamp::now();
         let call = tokio::time::timeout(
             RENEWAL_TIMEOUT,
@@ -112,12 +117,12 @@
     }
 }
 
-/// What a try to claim has shown.
+/// The outcome of a try to claim.
 #[derive(Clone, Debug)]
 pub enum Attempt {
     /// This process holds the claim.
     Held(Claim),
-    /// Another does, or may; as of this revision.
+    /// Another process holds the claim, or may hold it, as of this revision.
     Other(Revision),
 }
 
@@ -133,7 +138,7 @@
     let current = store.get(keys::PLANNER).await?;
     let condition = match &current {
         None => Compare::Modified(keys::PLANNER.to_owned(), 0),
-        // An earlier life of this very process is over.
+        // The holder is an earlier run of this very process, which is over.
         Some(item) if is_earlier_run(item, holder) => {
             Compare::Modified(keys::PLANNER.to_owned(), item.modified)
         }
@@ -175,9 +180,9 @@
     Ok(text.and_then(|text| text.parse().ok()))
 }
 
-/// Returns how long a process of `cores` leaves a free claim to others, if
-/// there may be stronger ones. A planner that came to live on a thin machine
-/// lost a day: it could not answer 240 agents in time.
+/// Returns how long a process with `cores` leaves a free claim to others, if
+/// there may be stronger ones. A planner on a machine with too little CPU
+/// could not answer 240 agents in time, and a day's work was lost.
 fn deferral(cores: f64, strongest: Option<f64>) -> Option<Duration> {
     let most = strongest.unwrap_or(PLANNER_CORES);
     let weak = cores < most * EQUAL_CORES_SHARE;
--- a/src/cell/configuration.rs
+++ b/src/cell/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration, and how old our knowledge of it is.
+//! The operators' configuration, and how recently it was confirmed as current.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,58 +26,59 @@
 use crate::store::Store;
 use crate::telemetry::metrics;
 
-/// How long is waited after a call that failed.
+/// The delay before a failed call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
-/// How long the store may have said nothing for new callers to be taken: a
-/// call that waits, a lost one, and the slowest of its answers seen.
+/// The longest time since the store's last answer while new callers are still
+/// accepted: one waiting call, one lost call, and the slowest answer observed.
 const CONTACT_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// A queue that callers put jobs in.
+/// A queue to which callers submit jobs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Queue {
-    /// Its name.
+    /// The queue's name.
     pub name: Text,
-    /// The host that callers name.
+    /// The host name by which callers address the queue.
     pub host: Text,
-    /// What the paths of its jobs start with.
+    /// The path prefix of the queue's jobs.
     pub prefix: Text,
-    /// The pool whose workers run its jobs.
+    /// The pool whose workers run the queue's jobs.
     pub pool: Text,
-    /// Whether workers of the pool refuse what does not fit.
+    /// Whether workers of the pool refuse tasks that exceed their capacity.
     pub guarded: bool,
-    /// The lower, the sooner.
+    /// The priority; a lower number is scheduled first.
     pub priority: u32,
-    /// How many of a unit's runs may fail.
+    /// The number of a unit's runs that may fail.
     pub max_attempts: u32,
-    /// How many times its longest chain of work a job may take.
+    /// The factor applied to a job's longest chain of work in its time
+    /// objective.
     pub stretch: f64,
-    /// What it may take beyond that.
+    /// The time allowed beyond the stretched chain of work.
     pub target: Duration,
     /// The longest that a call may take.
     pub timeout: Duration,
     /// Whether callers need no key.
     pub anonymous: bool,
-    /// Whose leave starts need, if anybody's.
+    /// The approval that starts need from the advice service, if any.
     pub advice: Option<Advice>,
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Its version; it rises.
+    /// The version, which increases with each change.
     pub version: u64,
     /// The queues.
     pub queues: Vec<Arc<Queue>>,
     /// The client account of each key.
     pub keys: HashMap<String, Text>,
-    /// The accelerators that each client account is guaranteed.
+    /// The accelerators guaranteed to each client account.
     pub guarantees: BTreeMap<Text, i64>,
     /// The longest body of a request, in bytes.
     pub max_body: usize,
 }
 
 impl Configuration {
-    /// Returns the queue of a path: the longest prefix wins.
+    /// Returns the queue of a path. The longest matching prefix wins.
     pub fn queue(&self, host: &str, path: &str) -> Option<&Arc<Queue>> {
         self.queues
             .iter()
@@ -86,74 +87,75 @@
     }
 }
 
-/// Where operators write.
+/// The store keys that operators write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Keys {
-    /// What all of their keys begin with: they are watched together, which
-    /// costs no more calls than one of them.
+    /// The common prefix of all these keys. They are watched together, which
+    /// costs no more calls than watching one of them.
     pub prefix: &'static str,
-    /// The configuration.
+    /// The key of the configuration.
     pub configuration: &'static str,
-    /// Before the name of each hall that is to be given no new work.
+    /// The prefix of the keys of closed halls: halls that get no new work.
     pub closed: &'static str,
 }
 
-/// What is known of the configuration.
+/// What this process has read of the operators' keys.
 #[derive(Debug, Default)]
 struct State {
     current: Option<Arc<Configuration>>,
-    /// The halls that are to be given no new work.
+    /// The halls that get no new work.
     closed: BTreeSet<Text>,
     revision: Revision,
-    /// The last revision that was seen, whether it could be read or not.
+    /// The last revision read, whether or not it could be decoded.
     latest_revision: Revision,
-    /// When the last call that showed it to be current was sent.
+    /// When the last call that confirmed the configuration was sent.
     confirmed: Option<Stamp>,
-    /// When the store has answered last.
+    /// When the store last answered.
     last_answer: Option<Stamp>,
 }
 
-/// The configuration as this process knows it; it never goes back.
+/// The configuration as this process has read it. The version in use never
+/// decreases.
 #[derive(Clone, Debug, Default)]
 pub struct Source {
-    known: Arc<Mutex<State>>,
-    /// Told of each call that showed it to be current.
+    state: Arc<Mutex<State>>,
+    /// Notified after each call that confirmed the configuration.
     confirmations: Arc<Notify>,
 }
 
 impl Source {
-    /// Returns a source that knows nothing yet.
+    /// Returns a source that has read nothing yet.
     pub fn new() -> Source {
         Source::default()
     }
 
-    /// Returns the configuration, if one is known.
+    /// Returns the configuration, once one has been read.
     pub fn current(&self) -> Option<Arc<Configuration>> {
         self.lock().current.clone()
     }
 
-    /// Returns the halls that are to be given no new work.
+    /// Returns the halls that get no new work.
     pub fn closed(&self) -> BTreeSet<Text> {
         self.lock().closed.clone()
     }
 
-    /// Returns the configuration if it was current at most `age` ago.
+    /// Returns the configuration if it was confirmed at most `age` ago.
     pub fn fresh(&self, age: Duration) -> Option<Arc<Configuration>> {
-        let known = self.lock();
-        let confirmed = known.confirmed?;
+        let state = self.lock();
+        let confirmed = state.confirmed?;
         match confirmed.elapsed() <= age {
-            true => known.current.clone(),
+            true => state.current.clone(),
             false => None,
         }
     }
 
-    /// Returns how old our knowledge is, if there is any.
+    /// Returns the time since the last confirmation, if there was one.
     pub fn age(&self) -> Option<Duration> {
         self.lock().confirmed.map(|confirmed| confirmed.elapsed())
     }
 
-    /// Returns the configuration if it was current at most `age` ago,
-    /// waiting for that if need be.
+    /// Returns the configuration once it was confirmed at most `age` ago, or
+    /// `None` at `until`.
     pub async fn wait_fresh(
         &self,
         age: Duration,
@@ -168,26 +170,27 @@
         }
     }
 
-    /// Returns whether the store was reached lately: without it nothing can
-    /// be accepted here, and callers are better off elsewhere.
+    /// Returns whether the store has answered recently. Without the store
+    /// nothing can be accepted here, and callers are better served by another
+    /// entry.
     pub fn is_in_contact(&self) -> bool {
-        let known = self.lock();
-        let in_contact = known
+        let state = self.lock();
+        let in_contact = state
             .last_answer
             .is_some_and(|at| at.elapsed() <= CONTACT_TIMEOUT);
-        in_contact && known.confirmed.is_some() && known.current.is_some()
+        in_contact && state.confirmed.is_some() && state.current.is_some()
     }
 
-    /// Returns the age of our knowledge in ms, for log lines.
+    /// Returns the time since the last confirmation in ms, for log lines.
     pub fn age_ms(&self) -> Option<u64> {
         self.age().map(millis)
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner)
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Keeps the configuration up to date, for ever.
+    /// Follows the operators' keys. Never returns.
     pub async fn follow<E: std::fmt::Display>(
         self,
         store: impl Store,
@@ -222,7 +225,7 @@
         }
     }
 
-    /// Makes one call for what is new, and takes it in.
+    /// Makes one watch call and applies its changes.
     async fn poll<E: std::fmt::Display>(
         &self,
         store: &impl Store,
@@ -255,12 +258,12 @@
         Ok(())
     }
 
-    /// Takes in which halls are closed, and which are open again.
+    /// Updates the set of closed halls.
     fn update_closed(&self, batch: &Batch, keys: &Keys, log: &slog::Logger) {
-        let mut known = self.lock();
+        let mut state = self.lock();
         let mut closed = match batch.is_listing {
             true => BTreeSet::new(),
-            false => known.closed.clone(),
+            false => state.closed.clone(),
         };
         for change in &batch.changes {
             let (key, puts) = match change {
@@ -273,10 +276,10 @@
                 None => false,
             };
         }
-        if closed != known.closed {
+        if closed != state.closed {
             slog::info!(log, "configuration: other halls are closed";
-                "halls" => ?closed, "before" => ?known.closed);
-            known.closed = closed;
+                "halls" => ?closed, "before" => ?state.closed);
+            state.closed = closed;
         }
     }
 
@@ -287,11 +290,11 @@
         decode: &impl Fn(&[u8]) -> Result<Configuration, E>,
         log: &slog::Logger,
     ) {
-        let mut known = self.lock();
-        if item.modified <= known.latest_revision {
+        let mut state = self.lock();
+        if item.modified <= state.latest_revision {
             return;
         }
-        known.latest_revision = item.modified;
+        state.latest_revision = item.modified;
         match decode(&item.value) {
             Ok(configuration) => {
                 slog::info!(log, "configuration: a version is in force";
@@ -303,8 +306,8 @@
                 let metrics = metrics::get();
                 metrics.configuration.record(item.modified, &[]);
                 metrics.bytes.record(item.value.len() as u64, &[]);
-                known.current = Some(Arc::new(configuration));
-                known.revision = item.modified;
+                state.current = Some(Arc::new(configuration));
+                state.revision = item.modified;
             }
             Err(error) => slog::error!(log,
                 "configuration: a version cannot be read";
@@ -312,15 +315,15 @@
         }
     }
 
-    /// Takes in that all which was written before `sent` has been seen.
+    /// Records that everything written before `sent` has been read.
     fn confirm(&self, sent: Stamp) {
-        let mut known = self.lock();
-        known.last_answer = Some(Stamp::now());
-        // Of a version that cannot be read, only its being there is known.
-        if known.latest_revision == known.revision {
-            known.confirmed = Some(sent);
+        let mut state = self.lock();
+        state.last_answer = Some(Stamp::now());
+        // A version that cannot be decoded does not count as confirmed.
+        if state.latest_revision == state.revision {
+            state.confirmed = Some(sent);
         }
-        drop(known);
+        drop(state);
         self.confirmations.notify_waiters();
     }
 }
--- a/src/cell/connector.rs
+++ b/src/cell/connector.rs
@@ -1,6 +1,6 @@
-//! How entries are reached: the one that the claim names, and any other.
+//! Connections to entries: the one named by the claim, and any other.
 //!
-//! Programs use [`Network`]; a simulation brings connections of its own.
+//! Programs use [`Network`]; a simulation provides its own connections.
 
 use std::fmt::Debug;
 use std::sync::Arc;
@@ -16,32 +16,32 @@
 use crate::wire::link;
 use crate::wire::link::Error;
 
-/// An entry that is connected.
+/// A connection to an entry.
 #[async_trait]
 pub trait Peer: Send + Sync {
-    /// Reports, and returns what the planner answers.
+    /// Sends a report and returns the planner's answer.
     ///
     /// # Errors
     ///
-    /// If there is no answer: the report may have been heard.
+    /// If there is no answer. The report may have been received.
     async fn sync(&self, report: Report) -> Result<Answer, Error>;
 
-    /// Lets it make a call of the store.
+    /// Has the entry make a store call.
     ///
     /// # Errors
     ///
-    /// If there is no answer: the call may have been made.
+    /// If there is no answer. The call may have been made.
     async fn store(&self, call: Call) -> Result<Reply, Error>;
 }
 
-/// Makes connections to entries.
+/// Opens connections to entries.
 #[async_trait]
 pub trait Connector: Debug + Send + Sync {
-    /// Returns a connection of its own to `address`.
+    /// Opens a new connection to `address`.
     ///
     /// # Errors
     ///
-    /// If it cannot be made.
+    /// If no connection can be made.
     async fn connect(&self, address: &str) -> Result<Arc<dyn Peer>, Error>;
 }
 
--- a/src/cell/cursor.rs
+++ b/src/cell/cursor.rs
@@ -1,4 +1,4 @@
-//! How far a watch of the store has come.
+//! The position of a watch in the store's history.
 
 use std::time::Duration;
 
@@ -6,28 +6,30 @@
 
 use crate::store::Revision;
 
-/// After which time a store has told whatever a watch passed over: a store
-/// that drops its history is seen to be a second late before.
+/// The time after which a store has delivered every change that an earlier
+/// empty answer may have skipped. A store that is about to drop its history
+/// was seen to lag by one second.
 const HISTORY_DELAY: Duration = Duration::from_secs(4);
 
-/// After which revision to ask for more.
+/// The revision after which to request changes.
 ///
 /// An empty answer names the store's revision, but a store that is about to
-/// drop its history may pass over changes. The cursor follows empty answers
-/// some time later: whoever asks after a revision that was dropped meanwhile
-/// is told so, and reads all anew.
+/// drop its history may skip changes. The cursor therefore follows empty
+/// answers with a delay. If the history after the cursor is dropped meanwhile,
+/// the store reports that, and all keys are read again.
 #[derive(Clone, Debug)]
 pub struct Cursor {
-    /// Up to here, everything was told.
+    /// The revision up to which every change was delivered.
     delivered: Revision,
-    /// Up to here, nothing was told.
+    /// The revision named by an empty answer, not followed yet.
     pending: Revision,
-    /// When that will have been true of any store.
+    /// When the cursor may follow `pending`.
     settles_at: Instant,
 }
 
 impl Cursor {
-    /// Returns a cursor after a revision up to which all was told.
+    /// Returns a cursor after a revision up to which every change was
+    /// delivered.
     pub fn new(delivered: Revision) -> Cursor {
         Cursor {
             delivered,
@@ -36,17 +38,17 @@
         }
     }
 
-    /// Returns after which revision to ask.
+    /// Returns the revision after which to request changes.
     pub fn after(&self) -> Revision {
         self.delivered
     }
 
-    /// Takes in that everything was told up to a revision.
+    /// Records that every change up to a revision was delivered.
     pub fn advance(&mut self, revision: Revision) {
         *self = Cursor::new(self.delivered.max(revision));
     }
 
-    /// Takes in that nothing was told up to a revision.
+    /// Records an empty answer that named a revision.
     pub fn advance_empty(&mut self, revision: Revision) {
         if Instant::now() >= self.settles_at {
             *self = Cursor {
--- a/src/cell/decision_log.rs
+++ b/src/cell/decision_log.rs
@@ -1,4 +1,4 @@
-//! Telling decisions in the log, a line each, within a budget.
+//! Logs the planner's decisions, one line each, within a budget.
 
 use std::time::Duration;
 
@@ -14,32 +14,32 @@
 use crate::telemetry::metrics;
 use crate::telemetry::metrics::label;
 
-/// How many lines of one kind are written a second: a hundred jobs that come
-/// at once are told whole, and a storm costs no more than that.
+/// The most lines of one kind in a window: enough to log a hundred jobs that
+/// arrive at once completely, while a storm of decisions stays bounded.
 const MAX_LINES_PER_WINDOW: u32 = 400;
-/// The time that the budget is for.
+/// The length of a budget's window.
 const BUDGET_WINDOW: Duration = Duration::from_secs(1);
 
-/// A share of the log, for each kind of decision.
+/// The lines written and left out in a window, for one kind of decision.
 #[derive(Debug, Default)]
 struct Budget {
     lines: u32,
     left_out: u32,
 }
 
-/// Writes decisions to a log.
+/// Writes decisions to the log and counts them in metrics.
 pub(super) struct Recorder {
     log: slog::Logger,
     /// When the present window ends.
     window_ends: Instant,
-    /// What concerns workers.
+    /// The budget of decisions about workers.
     workers: Budget,
-    /// What concerns units and jobs.
+    /// The budget of decisions about units and jobs.
     units: Budget,
 }
 
 impl Recorder {
-    /// Returns a teller with a whole budget.
+    /// Returns a recorder with an unused budget.
     pub fn new(log: slog::Logger) -> Recorder {
         Recorder {
             log,
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Writes a decision, or counts it where the budget is spent. What a job
-    /// came to is always written.
+    /// Logs a decision, or counts it as left out once the budget is spent. A
+    /// job's outcome is always logged.
     pub fn record(&mut self, decision: &Decision, token: Revision) {
         count_decision(decision);
         self.renew_budgets();
@@ -71,7 +71,7 @@
         write_line(&self.log, decision, token);
     }
 
-    /// Begins another window once the present one is over.
+    /// Starts the next window once the present one has ended.
     fn renew_budgets(&mut self) {
         let now = Instant::now();
         if now < self.window_ends {
@@ -88,7 +88,7 @@
     }
 }
 
-/// Counts a decision, whether it is written or not.
+/// Counts a decision in the metrics, whether or not it is logged.
 fn count_decision(decision: &Decision) {
     let metrics = metrics::get();
     let kind = match decision {
@@ -259,7 +259,8 @@
     }
 }
 
-/// How a unit stands to what its account is guaranteed, if it is urgent.
+/// An urgent unit's position against its account's guarantee; empty for other
+/// units.
 struct Guarantee(Option<Standing>);
 
 impl slog::KV for Guarantee {
--- a/src/cell/inquiry.rs
+++ b/src/cell/inquiry.rs
@@ -1,4 +1,5 @@
-//! Reading what agents have kept that reach no planner.
+//! Reads the reports that agents saved in the store while they reached no
+//! planner.
 
 use std::time::Duration;
 
@@ -11,11 +12,11 @@
 use crate::store::Item;
 use crate::store::Store;
 
-/// How long is waited before the store is asked again.
+/// The delay before a failed read is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Returns what agents have kept, and when the call was sent that read it;
-/// nothing once the claim is over.
+/// Returns the saved reports and the time at which the read was sent, or
+/// `None` once the claim is over.
 pub(super) async fn read(
     store: &impl Store,
     claim: &Claim,
--- a/src/cell/keys.rs
+++ b/src/cell/keys.rs
@@ -2,36 +2,38 @@
 //!
 //! | key | written by | when |
 //! |---|---|---|
-//! | `lv/planner` | entries | a claim, under a lease |
-//! | `lv/strongest` | entries | with a claim by the strongest one so far |
+//! | `lv/planner` | entries | a claim is made, under a lease |
+//! | `lv/strongest` | entries | a claim is made by the strongest process so far |
 //! | `lv/in/ID/job` | entries | a job is accepted |
 //! | `lv/in/ID/cancel` | entries | a job is cancelled |
-//! | `lv/queue/QUEUE/ID` | entries, planner | accepted, until it begins |
-//! | `lv/progress/ID` | planner | a run is given out, or has ended |
-//! | `lv/entry/ENTRY` | entries | while they are there, under a lease |
+//! | `lv/queue/QUEUE/ID` | entries, planner | written on acceptance, removed when the job begins |
+//! | `lv/progress/ID` | planner | a run is ordered, or has ended |
+//! | `lv/entry/ENTRY` | entries | while the entry runs, under a lease |
 //! | `lv/report/AGENT` | agents | ends are listed and no planner is reached |
 
-/// The claim of the planner.
+/// The key of the planner's claim.
 pub const PLANNER: &str = "lv/planner";
-/// The cores of the strongest process that has ever claimed.
+/// The key that holds the cores of the strongest process that has ever
+/// claimed.
 pub const STRONGEST: &str = "lv/strongest";
-/// Everything that entries tell the planner.
+/// The prefix of the jobs and cancellations that entries write for the
+/// planner.
 pub const INTAKE: &str = "lv/in/";
-/// Everything that planners keep of jobs.
+/// The prefix of the jobs' progress, written by planners.
 pub const PROGRESS: &str = "lv/progress/";
 
-/// Everything that agents keep which reach no planner.
+/// The prefix of the reports that agents save while they reach no planner.
 pub const REPORTS: &str = "lv/report/";
 
-/// Everything that entries say of themselves.
+/// The prefix of the entries' registrations.
 pub const ENTRIES: &str = "lv/entry/";
 
-/// Returns the key of what an entry says of itself.
+/// Returns the key of an entry's registration.
 pub fn entry(process: &str) -> String {
     format!("{ENTRIES}{process}")
 }
 
-/// Returns the key of what an agent keeps while it reaches no planner.
+/// Returns the key of an agent's saved report.
 pub fn report(agent: &str) -> String {
     format!("{REPORTS}{agent}")
 }
@@ -51,26 +53,26 @@
     format!("{PROGRESS}{id}")
 }
 
-/// Returns what the keys of a queue's waiting jobs start with.
+/// Returns the key prefix of a queue's waiting jobs.
 pub fn waiting_prefix(queue: &str) -> String {
     format!("lv/queue/{queue}/")
 }
 
-/// Returns the key that says that a job waits.
+/// Returns the key that marks a job as waiting.
 pub fn waiting_job(queue: &str, id: &str) -> String {
     format!("lv/queue/{queue}/{id}")
 }
 
-/// What an entry tells the planner.
+/// A record that entries write for the planner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Intake<'a> {
-    /// A job is accepted.
+    /// An accepted job, by its name.
     Job(&'a str),
-    /// A job is cancelled.
+    /// The cancellation of a job, by the job's name.
     Cancel(&'a str),
 }
 
-/// Returns what a key below [`INTAKE`] is about.
+/// Parses a key below [`INTAKE`].
 pub fn intake(key: &str) -> Option<Intake<'_>> {
     let (id, what) = key.strip_prefix(INTAKE)?.split_once('/')?;
     match what {
--- a/src/cell/member/act.rs
+++ b/src/cell/member/act.rs
@@ -1,4 +1,4 @@
-//! Doing what is ordered.
+//! Carries out the planner's orders on the worker.
 
 use std::time::Duration;
 
@@ -23,34 +23,34 @@
 use crate::telemetry::metrics;
 use crate::telemetry::metrics::label;
 
-/// How long the answer to an order is waited for.
+/// The longest wait for the worker's answer to an order.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long is waited before an order without answer is given again.
+/// The delay before an order that failed is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// The next call for an order.
+/// The next action for an order.
 enum Action {
     Start(Call, Box<Start>, WorkerTime),
     Stop(Call),
-    /// There is no leave to start yet.
+    /// The start must wait.
     Wait(Wait),
-    /// The order was withdrawn, or is done.
+    /// The order was withdrawn or is carried out.
     Done,
 }
 
 /// Why a start waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Wait {
-    /// The last look at the worker had no answer, or there was none yet.
+    /// The last poll of the worker failed, or there was none yet.
     WorkerUnknown,
-    /// A start has had no answer, and no look since.
+    /// A start was not answered, and no poll has been answered since.
     StartUnanswered,
-    /// No planner lets the worker's tasks go on.
+    /// No planner's grant lets the worker's tasks run long enough.
     NoGrant,
 }
 
 impl Wait {
-    /// Returns the word for it in logs and metrics.
+    /// Returns the reason's name in logs and metrics.
     fn word(self) -> &'static str {
         match self {
             Wait::WorkerUnknown => "worker not known",
@@ -61,13 +61,13 @@
 }
 
 impl<W: Worker, S: Store> Member<W, S> {
-    /// Carries an order out until it is done or withdrawn.
+    /// Carries out an order until it is done or withdrawn.
     pub(super) fn carry_out(&self, key: Key) {
         let member = self.clone();
         tokio::spawn(async move { member.run_order(&key).await });
     }
 
-    /// Sets the pace of a run; if that fails, it is ordered again.
+    /// Sets the pace of a run. If that fails, the planner orders it again.
     pub(super) fn set_pace(&self, pace: Pace) {
         let call = {
             let state = self.lock();
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Returns the next call for an order.
+    /// Returns the next action for an order.
     fn next(&self, key: &Key) -> Action {
         let now = Instant::now();
         let mut state = self.lock();
@@ -135,16 +135,18 @@
             }
             Some(Phase::Starting) if view.starts.contains_key(key) => {}
             Some(Phase::Starting | Phase::Stopping) => {
-                // Withdrawn: if it is ordered again, it begins anew.
+                // The order was withdrawn. If it is ordered again, it starts
+                // from scratch.
                 view.phases.remove(key);
                 return Action::Done;
             }
             _ => return Action::Done,
         }
-        // While looks fail the worker may be down, and be back as another
-        // birth that would begin the same run again. Other runs have begun
-        // nowhere, and are not held back by a start without answer. Asked of
-        // the worker's state: the order may have been withdrawn since.
+        // While polls fail, the worker may be down, and may come back as
+        // another birth that would start the same run again. Runs that have
+        // not begun anywhere need not wait for another start's answer. The
+        // view is asked, rather than the order, because the order may have
+        // been withdrawn and given again.
         let doubted = view.start_unanswered && view.may_run(key);
         let expires = target.and_then(|target| view.worker_time_at(target));
         match (view.starts.get(key), expires) {
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Tells that a start waits, once for each reason in a row.
+    /// Logs that a start waits, once for each change of the reason.
     fn log_wait(&self, key: &Key, why: Wait, waited: &mut Option<Wait>) {
         if waited.replace(why) == Some(why) {
             return;
@@ -238,10 +240,11 @@
         self.bar_and_refuse(call, key, Refusal::Barred).await
     }
 
-    /// Tells that a run will not begin here, once it is barred: it is done
-    /// elsewhere then, and would be done twice by a start without answer,
-    /// also by one for an order of before or of an earlier agent, and by an
-    /// old order when room comes back.
+    /// Reports that a run will not begin here, once the run is barred. The
+    /// planner then starts the run elsewhere. Without the bar the run could
+    /// begin here as well: by a start that was not answered, including those
+    /// of earlier orders and of an earlier agent process, or by an old order
+    /// when room becomes available.
     async fn bar_and_refuse(
         &self,
         call: &Call,
@@ -251,8 +254,8 @@
         self.bar(call, key).await && self.mark_refused(call, key, why)
     }
 
-    /// Stops a run, or sees to it that it never begins; returns whether that
-    /// is sure.
+    /// Stops a run, or bars it from starting. Returns whether the worker has
+    /// confirmed that.
     async fn bar(&self, call: &Call, key: &Key) -> bool {
         let stop = Stop {
             task: key.0.clone(),
@@ -275,10 +278,11 @@
         }
     }
 
-    /// Bars what was ordered in earlier births under the worker's name, until
-    /// that is done or another life is there, however long this one says
-    /// nothing: nothing of it is shown before. A start without answer may
-    /// come to the later birth, which knows of no stop and no fencing token.
+    /// Bars the runs that were ordered in earlier births under the worker's
+    /// name, until all are barred or another life is here, however long this
+    /// one does not answer. Nothing of this birth is reported before. A start
+    /// without answer may still reach the later birth, which knows of no stop
+    /// and no fencing token.
     pub(super) async fn bar_late_runs(&self, life: &Life) {
         loop {
             let next = self.lock().next_late_run(life);
@@ -293,7 +297,8 @@
         }
     }
 
-    /// Notes that a token is too low: whoever holds it plans no more.
+    /// Records that the worker rejected a token as too low: its holder no
+    /// longer plans.
     pub(super) fn record_fenced(&self, token: Revision) {
         let mut state = self.lock();
         state.highest_fenced = state.highest_fenced.max(token);
@@ -314,7 +319,8 @@
         })
     }
 
-    /// Notes that a run will not begin here, once a look does not show it.
+    /// Records a refusal, which is reported once a later poll does not list
+    /// the run.
     fn mark_refused(&self, call: &Call, key: &Key, why: Refusal) -> bool {
         let mut state = self.lock();
         let view = state.worker.as_mut();
@@ -323,7 +329,7 @@
             return true;
         };
         if why != Refusal::Barred && view.stops.contains(key) {
-            // A stop was ordered meanwhile, and sees to it.
+            // A stop that was ordered meanwhile will bar the run.
             return true;
         }
         let poll = view.polls + 1;
--- a/src/cell/member/link.rs
+++ b/src/cell/member/link.rs
@@ -1,4 +1,4 @@
-//! Speaking with the planner.
+//! Reports to the planner and receives its orders.
 
 use std::time::Duration;
 
@@ -18,22 +18,22 @@
 use crate::store::Revision;
 use crate::store::Store;
 
-/// How much longer than a planner holds a report its answer may take.
+/// The time for a report's answer beyond the planner's own wait.
 const ANSWER_SLACK: Duration = Duration::from_millis(900);
-/// How long is waited before the claim is looked up again.
+/// The delay before the claim is looked up again.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
-/// How long a call of the store may take.
+/// The longest that a store call may take, beyond its requested wait.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1200);
-/// How long one call for a change of the claim waits.
+/// How long one watch call waits for a change of the claim.
 const WATCH_WAIT: Duration = Duration::from_millis(600);
-/// The longest that an agent waits that is turned away: several tries fall
-/// within the survival without a planner.
+/// The longest back-off of a rejected agent: several tries fit into the time
+/// that tasks survive without a planner.
 const MAX_BACK_OFF: Duration = Duration::from_secs(3);
-/// News that come this close together go in one report.
+/// The time for which changes are collected into one report.
 const REPORT_DELAY: Duration = Duration::from_millis(5);
 
 impl<W: Worker, S: Store> Member<W, S> {
-    /// Reports to whoever holds the claim, for ever.
+    /// Reports to the holder of the claim. Never returns.
     pub(super) async fn follow_planner(&self) {
         let mut failed = 0;
         let mut turned_away = 0;
@@ -67,13 +67,14 @@
                         "error" => %error, "turned_away" => turned_away);
                 }
             }
-            // Whoever claims next is waited for, for a while.
+            // Another claim is preferred for the next try; this one is retried
+            // only after a while.
             failed = revision;
             pause(RETRY_DELAY / 3).await;
         }
     }
 
-    /// Looks up who holds the claim, and the revision of that.
+    /// Looks up the holder of the claim, and the claim's revision.
     async fn holder(&self) -> (Option<Holder>, Revision) {
         loop {
             let get = self.0.store.get(keys::PLANNER);
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Waits for another claim than that of `revision`, for a while, and at
-    /// least until `until`.
+    /// Waits for a claim other than that of `revision`, for one watch call and
+    /// at least until `until`.
     async fn wait_for_claim(&self, revision: Revision, until: Instant) {
         if revision == 0 {
             pause(RETRY_DELAY).await;
@@ -118,8 +119,8 @@
         }
     }
 
-    /// Learns a claim's fencing token, without which a worker that has seen
-    /// one shows nothing: an agent that has just started knows none.
+    /// Records a claim's fencing token. An agent that has just started knows
+    /// none, and a worker that has seen a token shows nothing without one.
     fn learn_token(&self, token: Revision) {
         let mut state = self.lock();
         if token > state.token {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Reports until the planner does not answer or is none any more.
+    /// Reports until the planner does not answer, or no longer is the planner.
     async fn report_to(&self, client: &dyn Peer, token: Revision) {
         loop {
             let sent = Stamp::now();
@@ -194,8 +195,8 @@
     }
 }
 
-/// Returns how long a planner is left alone that has turned this agent away
-/// so many times in a row: longer each time, and not the same for all.
+/// Returns how long to wait before the next try after `turned_away` rejections
+/// in a row. The wait doubles each time, with jitter.
 fn back_off(turned_away: u32) -> Duration {
     let Some(doublings) = turned_away.checked_sub(1) else {
         return Duration::ZERO;
--- a/src/cell/member/mod.rs
+++ b/src/cell/member/mod.rs
@@ -1,9 +1,9 @@
-//! The agent beside a worker: it alone calls the worker, and does what the
-//! planner that holds the claim orders.
+//! The agent beside a worker. Only the agent calls the worker, and it carries
+//! out the orders of the planner that holds the claim.
 //!
-//! The planner's orders are complete each time: what is listed is to be
-//! done, once, however often it is listed. Reports are complete as well, so
-//! that neither side depends on a message that was lost.
+//! Orders and reports are always complete. An order is carried out once,
+//! however often it is listed, and neither side depends on a message that was
+//! lost.
 
 mod act;
 mod link;
@@ -33,49 +33,49 @@
 use crate::telemetry::metrics;
 use crate::telemetry::metrics::label;
 
-/// How long after a worker has said that it is leaving it is surely gone.
+/// The time after which a worker that announced its end is certainly gone.
 const LEAVE_PERIOD: Duration = Duration::from_millis(800);
 
-/// What a member is told of its terms.
+/// The configuration of a member.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The agent's name.
     pub agent: AgentId,
-    /// How long the worker's tasks go on after the planner last granted
-    /// that; the planner counts on it.
+    /// How long the worker's tasks continue after the planner's last grant.
+    /// The planner relies on this value.
     pub survival: Duration,
-    /// The longest lease that the worker takes.
+    /// The longest lease that the worker accepts.
     pub lease: Duration,
-    /// How planners are reached.
+    /// Opens connections to planners.
     pub connector: Arc<dyn Connector>,
-    /// Where logs go.
+    /// The log.
     pub log: slog::Logger,
 }
 
-/// What a worker says of itself.
+/// A worker's description of itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
-    /// Its life.
+    /// The worker's life.
     pub life: Life,
-    /// Rises with each heartbeat of this life.
+    /// Increases with each heartbeat of this life.
     pub sequence: u64,
-    /// The pool it belongs to.
+    /// The pool that the worker belongs to.
     pub pool: Text,
-    /// The machine it runs on, if it says.
+    /// The machine that the worker runs on, if reported.
     pub machine: Option<Text>,
-    /// Its hall.
+    /// The worker's hall.
     pub hall: Text,
-    /// Its rack.
+    /// The worker's rack.
     pub rack: Text,
-    /// Its labels.
+    /// The worker's labels.
     pub labels: Vec<Text>,
-    /// Its whole room.
+    /// The worker's total resources.
     pub capacity: Resources,
-    /// Whether it is leaving.
+    /// Whether the worker is leaving.
     pub leaving: bool,
-    /// How long at least it stays, while it is leaving.
+    /// How long a leaving worker stays at least.
     pub remaining: Option<Duration>,
-    /// Its time.
+    /// The worker's time.
     pub time: Option<WorkerTime>,
 }
 
@@ -84,13 +84,13 @@
     worker: W,
     store: S,
     state: Mutex<State>,
-    /// There is news for the planner.
+    /// Notified when there is something new to report.
     report_now: Notify,
-    /// The worker is to be looked at now.
+    /// Notified when the worker must be polled at once.
     poll_now: Notify,
 }
 
-/// An agent.
+/// An agent. Clones share their state.
 pub struct Member<W, S>(Arc<Inner<W, S>>);
 
 impl<W, S> Clone for Member<W, S> {
@@ -112,7 +112,7 @@
         }))
     }
 
-    /// Looks after the worker and speaks with the planner, for ever.
+    /// Polls the worker, reports to the planner and saves ends. Never returns.
     pub async fn run(&self) {
         tokio::join!(
             self.poll_worker(),
@@ -121,7 +121,7 @@
         );
     }
 
-    /// Takes in what the worker says of itself.
+    /// Applies a worker's heartbeat.
     pub fn heartbeat(&self, heartbeat: Heartbeat) {
         let now = Instant::now();
         let life = heartbeat.life.clone();
@@ -145,14 +145,14 @@
                 metrics::get().strange.add(1, &[label("what", "life")]);
                 slog::warn!(self.0.config.log,
                     "agent: another life answers here"; "life" => &*life);
-                // Whether it still does is asked at once.
+                // A poll shows whether the known life still answers.
                 self.0.poll_now.notify_one();
             }
             state::Update::None => {}
         }
     }
 
-    /// Takes in that a worker of that name ends.
+    /// Records that the worker with this name is about to end.
     pub fn worker_left(&self, name: &str) {
         self.life_ended(&Life::from(name), true);
     }
--- a/src/cell/member/poll.rs
+++ b/src/cell/member/poll.rs
@@ -1,4 +1,4 @@
-//! Looking after the worker: its lease, and what it lists.
+//! Polls the worker: extends its lease and reads which runs it lists.
 
 use std::time::Duration;
 
@@ -14,18 +14,18 @@
 use crate::telemetry::metrics;
 use crate::telemetry::metrics::label;
 
-/// How long a look waits for an end.
+/// How long a poll waits for a run to end.
 const POLL_WAIT: Duration = Duration::from_millis(1000);
-/// How much longer than that its answer may take.
+/// The time for a poll's answer beyond its wait.
 const ANSWER_SLACK: Duration = Duration::from_millis(600);
-/// How long is waited after a look that failed.
+/// The delay before a failed poll is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(120);
-/// How long is waited while ends are listed that are not acknowledged yet:
-/// until then a look returns at once.
+/// The delay between polls while unacknowledged ends are listed, because such
+/// a poll returns at once.
 const UNACKNOWLEDGED_DELAY: Duration = Duration::from_millis(100);
 
 impl<W: Worker, S: Store> Member<W, S> {
-    /// Looks at the worker, for ever.
+    /// Polls the worker. Never returns.
     pub(super) async fn poll_worker(&self) {
         let mut wait = Duration::ZERO;
         loop {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Returns how long the next look may wait.
+    /// Applies a poll's answer. Returns how long the next poll may wait.
     async fn poll_answered(
         &self,
         poll: &Poll,
@@ -91,7 +91,8 @@
             return POLL_WAIT;
         }
         if self.lock().has_unacknowledged_end(poll.acknowledged) {
-            // At once: it is only now known which birth would forget them.
+            // The next poll is sent at once, because only now is it known
+            // which birth will receive the acknowledgement.
             return Duration::ZERO;
         }
         tokio::select! {
@@ -120,7 +121,8 @@
         if matches!(error, Error::OtherLife) {
             self.life_ended(&poll.call.life, false);
         } else if !down && !unreached {
-            // Whatever it says, the worker lives.
+            // An error other than silence still shows that the worker is
+            // alive.
             let mut state = self.lock();
             if let Some(view) = &mut state.worker {
                 view.mark_alive(now);
--- a/src/cell/member/save.rs
+++ b/src/cell/member/save.rs
@@ -1,8 +1,8 @@
-//! Keeping what the worker lists where no planner is reached.
+//! Saves the listed ends in the store while no planner is reached.
 //!
-//! A planner that hears nothing of an agent for long begins its tasks
-//! elsewhere. What is done here meanwhile must not be done again, so it is
-//! kept in the store, where that planner looks first.
+//! A planner that has not heard from an agent for long starts the agent's runs
+//! elsewhere. Runs that ended here meanwhile must not be repeated, so their
+//! ends are saved in the store, which the planner reads first.
 
 use std::time::Duration;
 
@@ -20,31 +20,30 @@
 use crate::store::Store;
 use crate::store::Swap;
 
-/// How often, while no planner answers, it is looked whether something must
-/// be kept. Well below the time between the end of the last lease and the
-/// planner's look: 0.8 s.
+/// How often the agent checks for ends to save while no planner answers. Well
+/// below the 0.8 s between the end of the last lease and the planner's read.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// How long is waited at most before it is looked whether that is due.
+/// The longest sleep before the agent checks whether saving is due.
 const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// How long ends are kept: many times as long as a planner waits before it
-/// looks, and not for ever where an agent goes and none comes in its place.
+/// The lease of a saved report: many times as long as a planner waits before
+/// its read, but limited, for an agent that is removed without a successor.
 const SAVED_TTL: Duration = Duration::from_secs(120);
-/// The share of the survival without a planner after which ends are kept:
-/// longer than it takes another to claim.
+/// The share of the survival time without a planner after which ends are
+/// saved: longer than another process needs to claim.
 const UNREACHED_SHARE: f64 = 1.0 / 3.0;
 
-/// What was kept last.
+/// The report that was saved last.
 #[derive(Debug, Default)]
 struct Saved {
-    /// The lives that it is of, and the highest end of each; none if nothing
-    /// is kept.
+    /// The lives in the saved report, with the highest end of each; empty if
+    /// nothing is saved.
     ends: Vec<(Life, u64)>,
-    /// The revision of the key, as far as it is known.
+    /// The last known revision of the key.
     revision: Revision,
 }
 
 impl<W: Worker, S: Store> Member<W, S> {
-    /// Keeps ends in the store while no planner is reached, for ever.
+    /// Saves ends in the store while no planner is reached. Never returns.
     pub(super) async fn save_ends(&self) {
         let unreached = self.0.config.survival.mul_f64(UNREACHED_SHARE);
         let mut saved = Saved::default();
@@ -59,13 +58,14 @@
                 self.clear(&mut saved).await;
                 tokio::time::sleep(CHECK_INTERVAL).await;
             } else {
-                // A timer stands still while the machine is suspended.
+                // Timers stop while the machine is suspended, so the sleep is
+                // bounded.
                 tokio::time::sleep(due.left().min(MAX_CHECK_INTERVAL)).await;
             }
         }
     }
 
-    /// Keeps a report, if it lists an end that is not kept yet.
+    /// Saves a report, if it lists an end that is not saved yet.
     async fn save(&self, report: Report, saved: &mut Saved) {
         let ends = ends(&report);
         if ends.is_empty() || saved.ends == ends {
@@ -96,15 +96,16 @@
         }
     }
 
-    /// Removes what is kept, once a planner has heard it.
+    /// Removes the saved report, once a planner has received the ends.
     async fn clear(&self, saved: &mut Saved) {
         if self.swap(Put::Delete, saved).await {
             saved.ends.clear();
         }
     }
 
-    /// Changes the key; returns whether that was done. Each change names the
-    /// one before, so that a late one of an earlier call undoes nothing.
+    /// Changes the key, and returns whether that succeeded. Each change is
+    /// conditioned on the previous one, so that a delayed write of an earlier
+    /// call undoes nothing.
     async fn swap(
         &self,
         put: impl FnOnce(String) -> Put,
@@ -132,7 +133,7 @@
     }
 }
 
-/// Returns the highest end that a report tells of each life.
+/// Returns the highest end in a report for each life.
 fn ends(report: &Report) -> Vec<(Life, u64)> {
     let highest = |life: &Life, ended: &[Ended]| {
         let last = ended.iter().map(|end| end.number).max()?;
--- a/src/cell/member/state.rs
+++ b/src/cell/member/state.rs
@@ -1,4 +1,5 @@
-//! What an agent knows and has done.
+//! An agent's state, and the rules by which heartbeats, polls and orders
+//! change it.
 
 use std::time::Duration;
 
@@ -25,36 +26,37 @@
 use crate::graph::Task;
 use crate::store::Revision;
 
-/// How much longer than its lease a worker may run: its clock may be 2%
-/// slow over 6 s, and an end takes a moment.
+/// How much longer than its lease a run may last: the worker's clock may be 2%
+/// slow over 6 s, and ending the run takes a moment.
 const LEASE_SLACK: Duration = Duration::from_millis(400);
-/// For how long after a look's answer an acknowledgement may be sent: less
-/// than a process takes to crash and be back under its name.
+/// How long after a poll's answer an acknowledgement may be sent: less than a
+/// process takes to crash and restart under the same name.
 const ACKNOWLEDGE_WITHIN: Duration = Duration::from_millis(20);
-/// The least rest of a grant under which a task is still started.
+/// The shortest remaining grant under which a task is still started.
 const MIN_LEASE: Duration = Duration::from_millis(400);
 
-/// How often a heartbeat of another life makes a line and a look: whoever
-/// writes them must not keep the agent from its worker.
+/// The least time between two heartbeats of a conflicting life that are logged
+/// and cause a poll. Whoever sends such heartbeats must not keep the agent
+/// from its worker.
 const CONFLICT_INTERVAL: Duration = Duration::from_secs(1);
-/// For how long it is told what had begun in a life that is over: longer
-/// than it takes a planner to claim and hear its agents.
+/// How long the runs of a past life are reported: longer than a planner needs
+/// to claim and receive its agents' reports.
 const PREVIOUS_REPORTED_FOR: Duration = Duration::from_secs(20);
 
-/// What a heartbeat has brought.
+/// The effect of a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Update {
-    /// A new life.
+    /// A new life is here.
     Life,
-    /// Another state or room.
+    /// The worker's capacity, or whether it is leaving, has changed.
     Changed,
-    /// A life that cannot be the worker's: another one answers there.
+    /// The heartbeat names another life while the known one answers.
     Conflict,
-    /// Nothing.
+    /// Nothing has changed.
     None,
 }
 
-/// A look to be made.
+/// The parameters of a poll.
 #[derive(Clone, Debug)]
 pub struct Poll {
     pub number: u64,
@@ -64,24 +66,25 @@
     pub target: Option<Instant>,
 }
 
-/// All that an agent knows.
+/// The state of an agent.
 #[derive(Debug)]
 pub struct State {
-    /// The life of this process.
+    /// The life of this process, drawn at random.
     process: String,
     sequence: u64,
     /// The highest fencing token seen.
     pub token: Revision,
-    /// Until when the worker's tasks may go on.
+    /// The time until which the worker's tasks may run.
     pub granted_until: Option<Stamp>,
-    /// When a planner has answered last.
+    /// When a planner last answered.
     pub last_planner_answer: Stamp,
-    /// The highest token that the worker has called too low.
+    /// The highest token that the worker has rejected as too low.
     pub highest_fenced: Revision,
     pub worker: Option<View>,
-    /// Before when no heartbeat of another life is news.
+    /// The time before which further conflicting heartbeats are ignored.
     next_conflict: Option<Instant>,
-    /// What had begun in the life before, and until when that is told.
+    /// The previous life of the worker, and the time until which it is
+    /// reported.
     previous: Option<(Before, Instant)>,
 }
 
@@ -136,8 +139,9 @@
         let same = view.heartbeat.leaving == heartbeat.leaving
             && view.heartbeat.capacity == heartbeat.capacity;
         view.shrunk |= !heartbeat.capacity.holds(&view.heartbeat.capacity);
-        // A worker that has said so does not come back from leaving; one that
-        // only was said to have left may never have been meant.
+        // A worker that announced its end does not return from that. An end
+        // that was only reported under the worker's name may have been meant
+        // for another life.
         if view.reported_left && view.is_responding(now) && !heartbeat.leaving
         {
             view.reported_left = false;
@@ -155,8 +159,8 @@
         }
     }
 
-    /// Takes in that a life ends, as it was said or as another one that
-    /// answers shows; returns whether it is the one here.
+    /// Records that a life ends, either as reported or because another life
+    /// answers. Returns whether the known worker has this life.
     pub fn mark_leaving(
         &mut self,
         life: &Life,
@@ -174,21 +178,23 @@
         }
     }
 
-    /// Returns the report to be sent now.
+    /// Returns the next report.
     pub fn report(&mut self, config: &Config, now: Instant) -> Report {
         self.sequence += 1;
         if let Some(view) = &mut self.worker {
             if view.is_over(now) {
-                // Told to be gone, its tasks begin elsewhere: whatever it
-                // does when it speaks again, none of these orders.
+                // Once this life is reported as gone, its runs begin
+                // elsewhere. If the worker answers again, it must carry out
+                // none of these orders.
                 view.starts.clear();
             }
         }
         let view = self.worker.as_ref();
         let over = view.filter(|view| view.is_over(now));
         let alive = view.filter(|view| !view.is_over(now));
-        // Until it is sure that nothing of an earlier birth begins here late,
-        // that one is not told to be over: its runs would begin elsewhere.
+        // The earlier birth is not reported as over until nothing ordered for
+        // it can still begin in this one, because its runs would begin
+        // elsewhere.
         let alive = alive.filter(|view| view.late_runs.is_empty());
         let all_barred = view.is_none() || over.is_some() || alive.is_some();
         let before = self.previous.as_ref().filter(|(_, until)| now < *until);
@@ -198,7 +204,8 @@
         let before = match over {
             Some(view) if view.has_listed => Some(view.before()),
             Some(view) => before.map(|before| Before {
-                // Its leases have run out with those of its successor.
+                // The leases of this life have run out together with those of
+                // its successor.
                 over: view.lapsed,
                 ..before
             }),
@@ -215,7 +222,7 @@
         }
     }
 
-    /// Takes orders in; returns what is to be started and stopped now.
+    /// Applies a planner's orders. Returns the runs to start or stop now.
     pub fn take_orders(
         &mut self,
         token: Revision,
@@ -244,9 +251,9 @@
         view.take_due()
     }
 
-    /// Returns until when a lease may go now, if it may go at all: to a
-    /// worker that says nothing none is given, or it could never be known
-    /// that what runs there has lapsed.
+    /// Returns the time until which a lease may be given now, if any. An
+    /// unresponsive worker gets no lease, because the agent could then never
+    /// know that the leases of its runs have run out.
     pub fn target(&self, lease: Duration, now: Instant) -> Option<Instant> {
         let granted = self.granted_until?;
         let silent = self.worker.as_ref().is_some_and(|w| w.is_silent(now));
@@ -255,7 +262,7 @@
         may.then(|| now + left.min(lease))
     }
 
-    /// Returns the next look.
+    /// Returns the parameters of the next poll.
     pub fn next_poll(
         &mut self,
         lease: Duration,
@@ -263,14 +270,15 @@
     ) -> Option<Poll> {
         let target = self.target(lease, now);
         let token = self.token;
-        // Ends are acknowledged only while they are listed: a look that comes
-        // late to a later birth must not let that forget its own.
+        // Ends are acknowledged only while they are listed: a delayed poll
+        // that reaches a later birth must not make that birth forget its own
+        // ends.
         let has_unacknowledged = self.has_unacknowledged_end(0);
         let view = self.worker.as_mut()?;
         view.polls += 1;
-        // And only right after this birth has answered: a later one may be
-        // there already, while a look that went to the earlier one has had
-        // no answer yet or was broken off.
+        // Ends are acknowledged only right after this birth has answered. A
+        // later birth may already be there, after a poll of the earlier one
+        // that was not answered or was cancelled.
         let is_recent = view
             .last_poll_answer
             .take()
@@ -292,7 +300,8 @@
         })
     }
 
-    /// Takes a look's answer in; returns whether there is news in it.
+    /// Applies a poll's answer. Returns whether there is something new to
+    /// report.
     pub fn poll_answered(
         &mut self,
         poll: &Poll,
@@ -306,16 +315,16 @@
             return false;
         }
         if view.heartbeat.life.is_other(snapshot.born) {
-            // Its successor is taken in with its own heartbeat, which is
-            // news now that this one answers no more.
+            // The successor is added by its own heartbeat, which no longer
+            // conflicts now that this birth does not answer.
             view.mark_replaced();
             return false;
         }
         view.mark_alive(now);
         let recovered = view.is_unresponsive();
         view.failed_polls = 0;
-        // It has not ended as long as it answers, whoever said that it has:
-        // a call that names the worker may mean an earlier birth.
+        // A worker that answers has not ended, even if its end was reported: a
+        // call that names the worker may have been meant for an earlier birth.
         view.over_at = view.over_at.map(|over| over.max(now + LEAVE_PERIOD));
         view.clock = Some((snapshot.time, now));
         view.last_poll_answer = Some(now);
@@ -332,7 +341,8 @@
             ended.any(|end| (&end.task, end.run) == (&key.0, key.1))
         };
         view.begun.retain(|key, _| !ended(key));
-        // Also what an earlier process of this agent has started.
+        // The worker also lists runs that an earlier process of this agent has
+        // started.
         for running in &snapshot.lists.running {
             let key = (running.task.clone(), running.run);
             view.begun.entry(key).or_default();
@@ -342,7 +352,7 @@
         view.confirm_refusals(poll.number) || new
     }
 
-    /// Takes in that a run has begun in a life, or may have.
+    /// Records that a run has begun, or may have begun, in a life.
     pub fn mark_begun(&mut self, life: &Life, key: &Key, charge: Resources) {
         match (&mut self.worker, &mut self.previous) {
             (Some(view), _) if view.heartbeat.life == *life => {
@@ -355,7 +365,7 @@
         }
     }
 
-    /// Takes in that a start in a life had no answer.
+    /// Records that a start in a life was not answered.
     pub fn mark_start_unanswered(&mut self, life: &Life) {
         let view = self.worker.as_mut();
         if let Some(view) = view.filter(|k| k.heartbeat.life == *life) {
@@ -363,8 +373,8 @@
         }
     }
 
-    /// Returns whether an end is listed that may be acknowledged, beyond
-    /// those up to a number that have been.
+    /// Returns whether an end with a number above `beyond` is listed and may
+    /// be acknowledged.
     pub fn has_unacknowledged_end(&self, beyond: u64) -> bool {
         self.worker.as_ref().is_some_and(|view| {
             let may = beyond + 1..=view.acknowledged;
@@ -373,9 +383,9 @@
         })
     }
 
-    /// Takes in that a look had no answer, and whether that was for the
-    /// worker's process being down; returns whether that is news: the
-    /// worker now counts as deaf, or its life has come to its end.
+    /// Records that a poll was not answered, and whether the worker's process
+    /// was down. Returns whether there is something new to report: the worker
+    /// has become unresponsive, or its life is over.
     pub fn poll_failed(&mut self, down: bool, now: Instant) -> bool {
         let Some(view) = &mut self.worker else {
             return false;
@@ -392,8 +402,8 @@
         over || unresponsive
     }
 
-    /// Returns a run of an earlier birth that a late order could still begin
-    /// in this life, and the call to bar it by.
+    /// Returns a run of an earlier birth that a delayed order could still
+    /// start in this life, and the call with which to bar it.
     pub fn next_late_run(&self, life: &Life) -> Option<(Call, Key)> {
         let view = self.worker.as_ref()?;
         let key = view.late_runs.first().cloned()?;
@@ -404,15 +414,15 @@
         (view.heartbeat.life == *life).then_some((call, key))
     }
 
-    /// Takes in that such a run is barred; returns whether it was the last.
+    /// Records that such a run is barred. Returns whether it was the last one.
     pub fn mark_barred(&mut self, life: &Life, key: &Key) -> bool {
         let view = self.worker.as_mut();
         let view = view.filter(|view| view.heartbeat.life == *life);
         view.is_some_and(|view| {
             let last = view.late_runs.remove(key) && view.late_runs.is_empty();
             if last {
-                // What did begin late is listed only by later looks, as
-                // ended or being stopped.
+                // A run that did begin late is listed, as ended or being
+                // stopped, only by later polls.
                 view.ignored_polls = view.polls;
                 view.lists = None;
             }
--- a/src/cell/member/view.rs
+++ b/src/cell/member/view.rs
@@ -1,4 +1,4 @@
-//! What an agent knows of its worker.
+//! An agent's view of its worker.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -20,85 +20,92 @@
 use crate::graph::Task;
 use crate::graph::WorkerReport;
 
-/// For how long a worker must not answer before its life is taken for over.
+/// The time without any sign of the worker after which its life counts as
+/// over.
 const SILENCE_LIMIT: Duration = Duration::from_millis(1500);
-/// For how long a look's answer shows which life is here: until the next
-/// has had its answer, or none.
+/// How long a poll's answer confirms the worker's life: until the next poll is
+/// answered or has failed.
 const CONFIRMATION_LIFETIME: Duration = Duration::from_millis(1700);
-/// How many looks in a row must have no answer before a worker counts as
-/// deaf: one may be lost with its connection.
+/// The consecutive failed polls after which a worker counts as unresponsive. A
+/// single poll may be lost with its connection.
 pub(super) const UNRESPONSIVE_POLLS: u32 = 2;
 
 /// A run of a task.
 pub type Key = (Task, Run);
 
-/// How far an order has come.
+/// The state of an order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Phase {
-    /// It is being started; an order to stop it waits for nothing.
+    /// The run is being started. An order to stop it need not wait.
     Starting,
-    /// The worker has started it.
+    /// The worker has started the run.
     Started,
-    /// It is being stopped.
+    /// The run is being stopped.
     Stopping,
-    /// The worker has refused it, or barred it; true only once a look that
-    /// began later does not list it.
+    /// The worker has refused or barred the run. The refusal is certain only
+    /// once a poll that began later does not list the run.
     Refused {
-        /// Why.
+        /// The reason of the refusal.
         why: Refusal,
-        /// The first look that counts.
+        /// The number of the first poll that can confirm the refusal.
         poll: u64,
-        /// Whether such a look has come.
+        /// Whether such a poll has confirmed the refusal.
         confirmed: bool,
     },
 }
 
-/// What is known of the worker.
+/// An agent's view of one life of its worker.
 #[derive(Clone, Debug)]
 pub struct View {
     pub heartbeat: Heartbeat,
-    /// Until when it stays at least, while it is leaving.
+    /// The time until which a leaving worker stays at least.
     pub stays_until: Option<Instant>,
-    /// Its time, and when we had it: it was then no earlier.
+    /// The worker's time, and when it was received; the worker's clock showed
+    /// that time no later.
     pub clock: Option<(WorkerTime, Instant)>,
     pub lists: Option<Lists>,
-    /// The ends that it has listed last, once its lists count no more.
+    /// The ends listed last, kept after the lists became invalid.
     pub last_ended: Vec<Ended>,
-    /// Counts the looks.
+    /// The number of polls so far.
     pub polls: u64,
     pub acknowledged: u64,
     pub starts: BTreeMap<Key, Start>,
     pub stops: BTreeSet<Key>,
     pub phases: BTreeMap<Key, Phase>,
-    /// The runs that have begun, or may have, and whose end is not listed;
-    /// what each takes.
+    /// The resources of the runs that have begun, or may have begun, and whose
+    /// end is not listed.
     pub begun: BTreeMap<Key, Resources>,
-    /// Whether a look has shown what it lists.
+    /// Whether a poll of this life has been answered with lists.
     pub has_listed: bool,
-    /// Whether it has had more room in this life than it has now.
+    /// Whether the worker had more capacity earlier in this life.
     pub shrunk: bool,
     pub last_contact: Instant,
-    /// When the last look was answered by this birth, until another is made.
+    /// When this birth answered the last poll; cleared when another poll is
+    /// sent.
     pub last_poll_answer: Option<Instant>,
-    /// Whether a start has had no answer since the last look that had one:
-    /// the worker may be down, and be back as another birth.
+    /// Whether a start was not answered since the last answered poll. The
+    /// worker may be down, and may come back as another birth.
     pub start_unanswered: bool,
-    /// How many looks in a row had no answer, whatever its heartbeats say.
+    /// The number of consecutive polls without an answer, regardless of
+    /// heartbeats.
     pub failed_polls: u32,
-    /// Until when, at most, what runs may go on.
+    /// The latest time at which the leases of all runs have ended.
     pub leased_until: Option<Instant>,
-    /// When its life is taken for over.
+    /// When the life counts as over.
     pub over_at: Option<Instant>,
-    /// Whether that is because its leases have run out in silence.
+    /// Whether the life counts as over because its leases ran out in silence.
     pub lapsed: bool,
-    /// Whether its process was seen to be down.
+    /// Whether the worker's process was seen to be down.
     pub down: bool,
-    /// Whether it is leaving only because it was said to have left.
+    /// Whether the worker counts as leaving only because its end was reported
+    /// to the agent.
     pub reported_left: bool,
-    /// The runs of earlier births under its name that may begin here: a
-    /// call names the worker alone, and may be carried out seconds later.
+    /// The runs of earlier births under the same name that may still begin
+    /// here. A call names only the worker, and may be carried out seconds
+    /// later.
     pub late_runs: BTreeSet<Key>,
-    /// The last look that does not show them.
+    /// The number of the last poll whose answer may not show the late runs;
+    /// answers up to it are ignored.
     pub ignored_polls: u64,
 }
 
@@ -126,7 +133,8 @@
             last_poll_answer: None,
             start_unanswered: false,
             failed_polls: 0,
-            // An earlier life of this process may have leased so long.
+            // An earlier process of this agent may have given a lease of this
+            // length.
             leased_until: Some(now + lease),
             over_at: None,
             reported_left: false,
@@ -140,7 +148,8 @@
     /// Returns the runs whose orders may be carried out in a later life.
     pub(super) fn late_runs(self, later: &Life) -> BTreeSet<Key> {
         if self.heartbeat.life.name() != later.name() {
-            // Calls are refused there: they name this one.
+            // A life of another name refuses these calls, since they name this
+            // one.
             return BTreeSet::new();
         }
         let under_way =
@@ -153,36 +162,38 @@
         late
     }
 
-    /// Returns whether a start fits beside what has begun, where the room
-    /// has shrunk since orders were given: a worker that does not guard its
-    /// room would begin it all the same.
+    /// Returns whether a start fits beside the runs that have begun, if the
+    /// worker's capacity has shrunk since the order. A worker that does not
+    /// enforce its capacity would start the run regardless.
     pub fn has_room(&self, key: &Key, start: &Start) -> bool {
         if !self.shrunk || self.is_listed(key) {
             return true;
         }
-        // Its own start without answer may not have been carried out.
+        // The run's own unanswered start is not counted, as it may not have
+        // been carried out.
         let others = self.begun.iter().filter(|(other, _)| *other != key);
         let taken =
             others.fold(start.charge, |sum, (_, charge)| sum.plus(charge));
         self.heartbeat.capacity.holds(&taken)
     }
 
-    /// Returns whether a run has begun, or may have: its start may have had
-    /// no answer.
+    /// Returns whether a run has begun, or may have begun by a start that was
+    /// not answered.
     pub fn may_run(&self, key: &Key) -> bool {
         self.begun.contains_key(key)
     }
 
-    /// Takes in that another birth answers: these lists are of before.
+    /// Records that another birth answers. The lists belong to this one.
     pub(super) fn mark_replaced(&mut self) {
         if let Some(lists) = self.lists.take() {
             self.last_ended = lists.ended;
         }
     }
 
-    /// Returns what is told of this life once it is over.
+    /// Returns the report of this life for the time after its end.
     pub(super) fn before(&self) -> Before {
-        // What it has done and was read is not done again for its end.
+        // The ends read from this life are reported, so that these runs are
+        // not repeated.
         let ended = self.lists.as_ref().map_or(&self.last_ended, |l| &l.ended);
         let unacknowledged =
             ended.iter().filter(|end| end.number > self.acknowledged);
@@ -195,30 +206,30 @@
         }
     }
 
-    /// Takes in that the worker lives.
+    /// Records a sign of life from the worker.
     pub fn mark_alive(&mut self, now: Instant) {
         self.last_contact = now;
         self.over_at = self.over_at.filter(|_| self.heartbeat.leaving);
     }
 
-    /// Returns whether the worker answers no calls, though it may well send
-    /// heartbeats: what is ordered there would not begin.
+    /// Returns whether the worker answers no calls. It may still send
+    /// heartbeats, but orders would not be carried out.
     pub fn is_unresponsive(&self) -> bool {
         self.failed_polls >= UNRESPONSIVE_POLLS
     }
 
-    /// Returns whether this life answers calls: another one that is named
-    /// meanwhile is gone already, and its heartbeat late, or it is none.
+    /// Returns whether this life answers calls. A heartbeat of another life is
+    /// then either delayed, from a life that is gone, or false.
     pub(super) fn is_confirmed(&self, now: Instant) -> bool {
         self.is_responding(now) && self.over_at.is_none()
     }
 
-    /// Returns whether its last look was answered by this very birth.
+    /// Returns whether the last poll was answered by this birth.
     pub fn is_current(&self) -> bool {
         self.lists.is_some() && self.failed_polls == 0
     }
 
-    /// Returns whether its last look was answered, and lately.
+    /// Returns whether the last poll was answered, and recently.
     pub(super) fn is_responding(&self, now: Instant) -> bool {
         let lately = self
             .clock
@@ -226,7 +237,7 @@
         lately && self.is_current()
     }
 
-    /// Returns whether the worker has not answered for long.
+    /// Returns whether there has been no sign of the worker for long.
     pub fn is_silent(&self, now: Instant) -> bool {
         now > self.last_contact + SILENCE_LIMIT
     }
@@ -253,8 +264,8 @@
         })
     }
 
-    /// Takes for sure what a look with this number does not contradict;
-    /// returns whether there was any.
+    /// Confirms the refusals that a poll with this number does not contradict.
+    /// Returns whether there were any.
     pub(super) fn confirm_refusals(&mut self, number: u64) -> bool {
         let listed: BTreeSet<Key> = self
             .phases
@@ -276,7 +287,7 @@
         any
     }
 
-    /// Returns the orders that nothing is being done about yet.
+    /// Returns the orders to act on now, and marks them as being carried out.
     pub(super) fn take_due(&mut self) -> Vec<Key> {
         let wanted = |key: &Key| {
             self.starts.contains_key(key) || self.stops.contains(key)
@@ -294,8 +305,8 @@
             let idle = match self.phases.get(key) {
                 None | Some(Phase::Starting | Phase::Started) => true,
                 Some(Phase::Stopping) => false,
-                // What the worker refused to start may still come late,
-                // unless it is barred.
+                // A refused start may still arrive late, unless the run is
+                // barred.
                 Some(Phase::Refused { why, .. }) => *why != Refusal::Barred,
             };
             if idle {
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -1,16 +1,17 @@
-//! Jobs of steps on a platform's store: who accepts, who plans, who acts.
+//! The processes that schedule jobs of steps on a platform's store: entries
+//! accept, one of them plans, agents execute.
 //!
 //! * [`Admission`] writes accepted jobs and cancellations to the store.
 //! * One entry at a time holds the claim ([`claim`]) and hosts the planner
-//!   ([`planner`]), which drives [`crate::graph::Book`].
-//! * [`Member`](member::Member) is the agent beside a worker: it alone calls
-//!   the worker, and reports to the planner that the claim names.
-//! * [`relay`] reaches the store by way of other entries while there is no
-//!   direct way.
-//! * [`configuration`] keeps the operators' configuration up to date, and
-//!   knows how old that knowledge is.
+//!   ([`planner`]), which drives the decision core in [`crate::graph`].
+//! * [`Member`](member::Member) is the agent beside a worker. Only the agent
+//!   calls the worker, and it reports to the planner named by the claim.
+//! * [`relay`] sends store calls through other entries while the direct path
+//!   to the store is unusable.
+//! * [`configuration`] follows the operators' configuration and tracks how
+//!   recently it was confirmed.
 //!
-//! Everything that must last is in the store, under [`keys`].
+//! All durable state is in the store, under [`keys`].
 
 mod admission;
 pub mod advice;
@@ -39,8 +40,8 @@
 
 use std::time::Duration;
 
-/// Waits before another try of a call, with jitter so that many processes
-/// do not call at once.
+/// Sleeps between `least` and twice that before a call is retried. The jitter
+/// keeps many processes from calling at the same moment.
 pub(crate) async fn pause(least: Duration) {
     let jitter = least.mul_f64(fastrand::f64());
     tokio::time::sleep(least + jitter).await;
--- a/src/cell/planner/calls.rs
+++ b/src/cell/planner/calls.rs
@@ -1,5 +1,5 @@
-//! The calls that a planner makes beside deciding: it goes on meanwhile, and
-//! is told what came of each.
+//! The calls that a planner makes while it continues to decide. Each result
+//! comes back as a message.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,13 +21,15 @@
 use crate::store::Put;
 use crate::store::Store;
 
-/// How long records of ended jobs are kept; callers may ask for 120 s.
+/// How long records of ended jobs are kept; callers may ask for a job for 120
+/// s.
 const RECORD_RETENTION: Duration = Duration::from_secs(600);
-/// How many records are removed in one transaction of three entries each.
+/// The most jobs whose records are removed in one transaction, with three
+/// entries for each.
 const MAX_REMOVED_JOBS: usize = 8;
 
 impl<S: Store> State<S> {
-    /// Asks who may run a step, one question at a time.
+    /// Asks which workers may run a step, one question at a time.
     pub(super) fn ask_advice(&mut self, myself: &ActorRef<Message>) {
         let Some(advice) =
             self.advice.clone().filter(|_| !self.advice_pending)
@@ -42,13 +44,13 @@
         tokio::spawn(async move {
             let sent = Instant::now();
             let tickets = advice::ask(&advice, question.clone()).await;
-            // A planner that has stopped needs no answer.
+            // A stopped planner needs no answer.
             let _ = myself.cast(Message::Advice(question, tickets, sent));
         });
     }
 
-    /// Reads what silent agents have kept, before what runs there is taken
-    /// for gone.
+    /// Reads the saved reports of unresponsive agents, before their runs are
+    /// considered lost.
     pub(super) fn read_saved_reports(&mut self, myself: &ActorRef<Message>) {
         let agents = self.book.take_inquiries();
         if agents.is_empty() {
@@ -64,7 +66,7 @@
             else {
                 return;
             };
-            // A planner that has stopped needs no answer.
+            // A stopped planner needs no answer.
             let _ = myself.cast(Message::SavedReports(agents, saved, sent));
         });
     }
@@ -103,12 +105,12 @@
         tokio::spawn(async move {
             let written =
                 writer::write(&store, &claim, &records, &batch).await;
-            // A planner that has stopped needs no outcome.
+            // A stopped planner needs no outcome.
             let _ = myself.cast(Message::Written(written));
         });
     }
 
-    /// Removes the records of jobs that ended long ago.
+    /// Removes the records of jobs that ended long enough ago.
     pub(super) fn remove_ended(&mut self, myself: &ActorRef<Message>) {
         let before = clock::wall().checked_sub(RECORD_RETENTION);
         let ids: Vec<Id> = match before {
@@ -141,7 +143,7 @@
                     Vec::new()
                 }
             };
-            // A planner that has stopped needs no outcome.
+            // A stopped planner needs no outcome.
             let _ = myself.cast(Message::Removed(ids));
         });
     }
--- a/src/cell/planner/mod.rs
+++ b/src/cell/planner/mod.rs
@@ -1,4 +1,4 @@
-//! The planner: an actor that drives the books while the claim holds.
+//! The planner: an actor that drives the decision core while the claim holds.
 
 mod calls;
 
@@ -43,36 +43,39 @@
 
 /// How long an agent's report waits for orders.
 pub const REPORT_HOLD: Duration = Duration::from_millis(1000);
-/// How often time-driven rules are looked at.
+/// How often rules that depend on time are evaluated.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// How many times as long as a pass took the next one waits from its start:
-/// a planner on a thin machine then still answers agents in time, which
-/// would else give up waiting and connect anew, at a higher cost yet.
+/// The time from the start of a pass to the start of the next, as a multiple
+/// of the pass's duration. A planner on a machine with little CPU can then
+/// still answer agents in time; otherwise they would give up and reconnect, at
+/// an even higher cost.
 const REST_FACTOR: u32 = 4;
-/// The longest that a pass waits for that.
+/// The longest time from the start of a pass to the start of the next.
 const MAX_REST: Duration = Duration::from_millis(250);
 
-/// What the planner is told.
+/// A message to the planner.
 pub enum Message {
-    /// What an agent says.
+    /// An agent's report, and the port for its answer.
     Sync(Box<Report>, RpcReplyPort<Answer>),
-    /// What entries have told it.
+    /// Changes of the records that entries write.
     Changes(Vec<Change>),
-    /// All that entries have told it, after changes were missed.
+    /// All records that entries have written, read again after changes were
+    /// missed.
     Listing(Listing),
-    /// A batch is written, or the claim is lost.
+    /// The outcome of writing a batch: written, or the claim is lost.
     Written(Result<Written, writer::Lost>),
-    /// Records were removed, or not.
+    /// The jobs whose records were removed; empty if the removal failed.
     Removed(Vec<Id>),
-    /// What silent agents have kept was read, by a call sent at that time.
+    /// The saved reports that were read for unresponsive agents, and when the
+    /// read was sent.
     SavedReports(Vec<AgentId>, Vec<Report>, Instant),
-    /// A question was answered, or not, that was put at that time.
+    /// A question, the tickets if it was answered, and when it was asked.
     Advice(Question, Option<Vec<Ticket>>, Instant),
-    /// Something was taken in: decide.
+    /// Decide, write and answer, as far as each is due.
     Decide,
-    /// A pass that was put off may begin.
+    /// A postponed pass may begin.
     RestEnded,
-    /// Time has passed.
+    /// Rules that depend on time may be due.
     Tick,
 }
 
@@ -84,25 +87,25 @@
     since: Instant,
 }
 
-/// Everything that a planner starts with.
+/// What a planner starts with.
 pub struct Arguments<S> {
     /// The store.
     pub store: S,
-    /// The claim that it plans under.
+    /// The claim under which the planner writes.
     pub claim: Claim,
-    /// The configuration, for the guarantees.
+    /// The configuration, for guarantees and closed halls.
     pub source: Source,
-    /// Where to ask who may run a step, if anybody says.
+    /// The channel for questions to the advice service, if there is one.
     pub advice: Option<advice::Sender>,
-    /// The times that decisions rest on.
+    /// The times and the policy that decisions rest on.
     pub terms: Terms,
-    /// What entries have told so far.
+    /// The jobs and cancellations that entries have written so far.
     pub intake: Listing,
-    /// What earlier planners have kept.
+    /// The jobs' progress that earlier planners have written.
     pub progress: Listing,
-    /// Told once the claim is lost.
+    /// Set to `true` once the claim is lost.
     pub claim_lost: watch::Sender<bool>,
-    /// Where logs go.
+    /// The log.
     pub log: slog::Logger,
 }
 
@@ -115,22 +118,22 @@
     advice_pending: bool,
     book: Book,
     records: Records,
-    /// Progress of jobs whose acceptance was not listed yet.
+    /// The progress of jobs whose acceptance was not read yet.
     unclaimed_progress: BTreeMap<String, Progress>,
-    /// Jobs whose progress cannot be read: what they have done is not known,
-    /// so that nothing of them may begin.
+    /// The jobs whose progress cannot be decoded. Their past runs are unknown,
+    /// so nothing of them may begin.
     unreadable: BTreeSet<String>,
     writing: bool,
     removing: bool,
     deciding: bool,
-    /// Whether time-driven rules are to be looked at.
+    /// Whether rules that depend on time are due.
     tick_due: bool,
-    /// Before which no pass begins.
+    /// The time before which no pass begins.
     rest_until: Instant,
-    /// Whether a pass waits for that.
+    /// Whether a pass is postponed until then.
     resting: bool,
     waiting: BTreeMap<AgentId, Waiting>,
-    /// Agents whose orders have changed while they asked for none.
+    /// Agents whose orders have changed while no report of theirs was waiting.
     due: BTreeSet<AgentId>,
     guarantees: BTreeMap<Text, i64>,
     claim_lost: watch::Sender<bool>,
@@ -138,7 +141,7 @@
     log: slog::Logger,
 }
 
-/// The actor.
+/// The planner's actor.
 pub struct Planner<S>(std::marker::PhantomData<S>);
 
 impl<S> Default for Planner<S> {
@@ -187,7 +190,7 @@
                 return Ok(());
             }
         }
-        // Whatever else waits in the mailbox is taken in first.
+        // Queued messages are handled before the next decision.
         if !state.deciding && state.is_due() {
             state.deciding = true;
             myself.cast(Message::Decide)?;
@@ -268,7 +271,8 @@
                 _ => {}
             }
         }
-        // Listed by key, a cancellation comes before its job.
+        // In key order a cancellation precedes its job, so cancellations are
+        // applied last.
         for id in cancelled {
             self.book.cancel(&id, now);
         }
@@ -316,7 +320,7 @@
         }
         self.book.report(report, Moment::present());
         if let Some(earlier) = self.waiting.insert(agent, waiting) {
-            // Its agent has given it up for the one just come.
+            // The agent has given up the earlier report for the new one.
             send_answer(&self.log, earlier.reply, Answer::NotPlanner);
         }
     }
@@ -328,7 +332,7 @@
             Err(error) => {
                 slog::warn!(self.log, "planner: gives up";
                     "token" => self.claim.token, "error" => %error);
-                // The session that reads this may be over already.
+                // The session that receives this may be over already.
                 let _ = self.claim_lost.send(true);
                 return;
             }
@@ -383,8 +387,8 @@
         self.answer_waiting(&due);
     }
 
-    /// Decides anew what is started and stopped, or has that done later if
-    /// the last pass was long and lately.
+    /// Decides again which runs are started and stopped. The pass is postponed
+    /// if the last one was long and recent.
     fn run_pass(&mut self, myself: &ActorRef<Message>) {
         let began = Instant::now();
         if began < self.rest_until {
@@ -413,7 +417,7 @@
         self.rest_until = began + (took * REST_FACTOR).min(MAX_REST);
     }
 
-    /// Answers agents whose reports wait.
+    /// Answers the waiting reports of `agents`.
     fn answer_waiting(&mut self, agents: &[AgentId]) {
         if agents.is_empty() {
             return;
@@ -451,8 +455,8 @@
     }
 }
 
-/// Returns the shape of a job in short: of each step its tasks, what each
-/// takes in accelerators and cores, and how long it was said to take.
+/// Returns a short description of a job's steps for the log: the tasks of each
+/// step, the accelerators and cores of each task, and the declared run time.
 fn describe_steps(job: &Job) -> String {
     let step = |step: &Step| {
         let kind = match (step.gang, step.same_rack) {
--- a/src/cell/reachability.rs
+++ b/src/cell/reachability.rs
@@ -1,4 +1,4 @@
-//! Whether the store is in reach, as the calls of this process have shown.
+//! Whether the store is reachable, as the calls of this process have shown.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,21 +10,22 @@
 use crate::cell::keys;
 use crate::store::Store;
 
-/// How long a look may take: twice the slowest answers seen of a store that
-/// serves. A look into silence ends by then, so that a return is noticed.
+/// The longest that a probe may take: twice the slowest answer observed of a
+/// store that serves. A probe without answer ends by then, so that the store's
+/// return is noticed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long is waited between two looks, with jitter.
+/// The least delay between two probes; up to as much again is added as jitter.
 const PROBE_INTERVAL: Duration = Duration::from_millis(60);
 
-/// What is known of the way to the store.
+/// Tracks whether the store is reachable, shared by all writers of a process.
 ///
-/// A write that is sent into an outage may have been done, so that its
-/// caller can no longer be told that it was not. What waits for the store
-/// therefore looks first, by a read, and one look serves all that wait.
+/// A write that is sent during an outage may have taken effect, and its caller
+/// can then no longer be told that it had none. Writers therefore wait for a
+/// successful read first, and one probe serves all that wait.
 #[derive(Clone, Debug)]
 pub struct Reachability {
     reached: watch::Sender<bool>,
-    /// Held by whoever looks: before when there is nothing to see yet.
+    /// The earliest time of the next probe; locked by the task that probes.
     next_probe: Arc<Mutex<Instant>>,
 }
 
@@ -35,7 +36,7 @@
 }
 
 impl Reachability {
-    /// Returns a reach that nothing speaks against yet.
+    /// Returns a state that counts as reachable until a call fails.
     pub fn new() -> Reachability {
         Reachability {
             reached: watch::Sender::new(true),
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Takes in whether a call was answered.
+    /// Records whether a call was answered.
     pub fn set(&self, reached: bool) {
         self.reached.send_if_modified(|current| {
             let changed = *current != reached;
@@ -52,7 +53,8 @@
         });
     }
 
-    /// Waits until the store is in reach; returns whether it was in time.
+    /// Waits until the store is reachable. Returns `false` if `until` passes
+    /// first.
     pub async fn wait(&self, store: &impl Store, until: Instant) -> bool {
         let mut reached = self.reached.subscribe();
         loop {
@@ -65,7 +67,7 @@
             let change_or_probe = async {
                 tokio::select! {
                     biased;
-                    // Whoever sends is this value, which is alive.
+                    // The channel cannot close: this value holds its sender.
                     _ = reached.changed() => {}
                     () = self.probe(store) => {}
                 }
@@ -79,8 +81,8 @@
         }
     }
 
-    /// Looks once it is this caller's turn, and the last look is a while
-    /// ago.
+    /// Probes the store, after other tasks' probes and not before the next one
+    /// is due.
     async fn probe(&self, store: &impl Store) {
         let mut due = self.next_probe.lock().await;
         tokio::time::sleep_until(*due).await;
--- a/src/cell/relay/call.rs
+++ b/src/cell/relay/call.rs
@@ -1,4 +1,4 @@
-//! A call of the store, as one process passes it to another.
+//! Store calls, as one process passes them to another.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 use crate::store::Store;
 use crate::store::Swap;
 
-/// A call.
+/// A store call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Call {
     /// Reads a key.
@@ -26,13 +26,13 @@
     List(String),
     /// Writes under conditions.
     Swap(Vec<Compare>, Vec<Put>),
-    /// Takes a lease.
+    /// Requests a lease with the given TTL.
     Grant(#[serde(with = "crate::util::duration_ms")] Duration),
-    /// Prolongs a lease.
+    /// Extends a lease.
     KeepAlive(LeaseId),
-    /// Gives a lease up.
+    /// Ends a lease.
     Revoke(LeaseId),
-    /// Waits for changes below a prefix, after a revision.
+    /// Waits for changes below a prefix, after a revision, for the given time.
     Changes(
         String,
         Revision,
@@ -41,8 +41,8 @@
 }
 
 impl Call {
-    /// Returns whether it may be made twice: a lease that is prolonged
-    /// twice is as long.
+    /// Returns whether the call may be made twice. Extending a lease twice has
+    /// the same effect as once.
     pub fn is_repeatable(&self) -> bool {
         match self {
             Call::Get(_)
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Returns the word for it in logs.
+    /// Returns the call's name in logs.
     pub fn word(&self) -> &'static str {
         match self {
             Call::Get(_) => "get",
@@ -75,26 +75,27 @@
     }
 }
 
-/// What the store answers.
+/// The store's answer to a call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// A key, if it is there.
+    /// The item of a key, if there is one.
     Item(Option<Item>),
-    /// Keys.
+    /// The items below a prefix.
     Listing(Listing),
-    /// The outcome of writes.
+    /// The outcome of a conditional write.
     Swap(Swap),
     /// A new lease.
     Lease(LeaseId),
-    /// Whether a lease was still there.
+    /// Whether an extended lease still existed.
     Kept(bool),
-    /// A lease is given up.
+    /// A lease has ended.
     Revoked,
-    /// Changes.
+    /// Changes below a prefix.
     Changes(Changes),
 }
 
-/// Returns what an answer holds, or that it is not one to the call made.
+/// Defines a method that returns the value of one kind of answer, or an error
+/// if the answer is of another kind.
 macro_rules! extract {
     ($(#[$doc:meta])* $name:ident, $variant:ident, $type:ty) => {
         $(#[$doc])*
@@ -116,18 +117,20 @@
     extract!(changes, Changes, Changes);
 }
 
-/// What another process answers that was asked to make a call.
+/// The reply of a process that was asked to make a store call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
     /// The store has answered.
     Done(Answer),
-    /// The history asked for is gone.
+    /// The requested history was dropped.
     Forgotten(Revision),
-    /// The store has not carried it out.
+    /// The store has not carried out the call.
     NotDone,
-    /// The store has not answered: it may have been done, or be done yet.
+    /// The store has not answered. The call may have been carried out, or may
+    /// be later.
     Unsure,
-    /// It has no direct way to the store either; nothing was done.
+    /// The replying process has no direct path to the store either; nothing
+    /// was done.
     Away,
 }
 
@@ -142,7 +145,7 @@
     }
 }
 
-/// Makes a call.
+/// Makes a call on `store`.
 pub(super) async fn execute(
     store: &impl Store,
     call: Call,
@@ -165,7 +168,8 @@
     })
 }
 
-/// Returns the error of a call that had no answer, or none that fits.
+/// Returns the error for a call without an answer, or with an answer of the
+/// wrong kind.
 pub(super) fn unanswered(by: &str) -> Error {
     Error::Lost(http::Error::Lost {
         url: by.to_owned(),
--- a/src/cell/relay/direct.rs
+++ b/src/cell/relay/direct.rs
@@ -10,15 +10,16 @@
 use crate::cell::pause;
 use crate::store::Store;
 
-/// How long a look may take: twice the slowest answers seen.
+/// The longest that a probe may take: twice the slowest answers observed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long is waited between two looks, with jitter.
+/// The least delay between two probes; up to as much again is added as jitter.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
-/// How many calls in a row are refused for their rate before that is taken
-/// for a way that is closed: one may be, where all together call too often.
+/// The consecutive calls refused for the store's rate limit from which the
+/// direct path counts as unusable. A single refusal is expected when all
+/// processes together call too often.
 const MAX_THROTTLED_IN_A_ROW: u32 = 2;
 
-/// The direct way to the store.
+/// The state of the direct path to the store.
 #[derive(Clone, Debug)]
 pub(super) struct Path {
     usable: Arc<AtomicBool>,
@@ -27,7 +28,7 @@
 }
 
 impl Path {
-    /// Returns a way that nothing speaks against yet.
+    /// Returns a path that counts as usable until a call fails.
     pub fn new(log: slog::Logger) -> Path {
         Path {
             usable: Arc::new(AtomicBool::new(true)),
@@ -36,24 +37,24 @@
         }
     }
 
-    /// Returns whether it is open, as far as calls have shown.
+    /// Returns whether the path is usable, as far as calls have shown.
     pub fn is_usable(&self) -> bool {
         self.usable.load(Ordering::Relaxed)
     }
 
-    /// Takes in that a call was answered.
+    /// Records that a call was answered.
     pub fn on_answer(&self) {
         self.throttled.store(0, Ordering::Relaxed);
     }
 
-    /// Takes in that a call was refused for its rate; returns whether that
-    /// is so again and again.
+    /// Records that a call was refused for the store's rate limit. Returns
+    /// whether the limit of consecutive refusals is reached.
     pub fn on_throttled(&self) -> bool {
         self.throttled.fetch_add(1, Ordering::Relaxed) + 1
             >= MAX_THROTTLED_IN_A_ROW
     }
 
-    /// Closes it until a look is answered.
+    /// Marks the path as unusable until a probe is answered.
     pub fn mark_unusable(&self, store: &impl Store, why: &str) {
         if !self.usable.swap(false, Ordering::Relaxed) {
             return;
--- a/src/cell/relay/mod.rs
+++ b/src/cell/relay/mod.rs
@@ -1,19 +1,20 @@
-//! Calls of the store by way of another entry.
+//! Store calls by way of other entries.
 //!
-//! The store may turn single machines away, or a link to it may be cut,
-//! while it serves all others. A process that goes on by itself then refuses
-//! its callers, and one that plans loses its claim, although a neighbour
-//! would do the same call at once. So a [`Relay`] is a store that has two
-//! ways: its own, and while that is closed the entries that [`Peers`] knows.
-//! Whether one machine is away or the store itself, it finds out: where no
-//! other entry is in touch either, calls go their own way and wait as ever.
+//! The store may reject single machines, or the link of one machine to the
+//! store may be cut, while the store serves all others. A process in that
+//! position would refuse its callers, and a planner would lose its claim,
+//! although another entry could make the same call at once. A [`Relay`] is
+//! therefore a store with two paths: its own and, while that is unusable, the
+//! entries in [`Peers`]. If no other entry reaches the store either, the store
+//! itself is down, and calls are made directly and wait as usual.
 //!
-//! On a day on which three of nine entries were cut off, 8 of the 10 urgent
-//! jobs that were late by our own lines had been refused, or told nothing, by
-//! one of these.
+//! In a test in which three of nine entries were cut off from the store, 8 of
+//! the 10 late urgent jobs had been refused, or left without an answer, by one
+//! of these three.
 //!
-//! A call is passed on once at most, and a write that may have had its effect
-//! goes no second way: one that had no answer is lost, whichever way it went.
+//! A call is passed on at most once. A write that may have taken effect is not
+//! repeated on another path: without an answer, the write counts as lost on
+//! any path.
 
 pub mod call;
 mod direct;
@@ -41,19 +42,20 @@
 
 pub use crate::cell::relay::peers::Peers;
 
-/// How long the store may say nothing, beyond what it is asked to wait,
-/// before other ways are tried: a store that is 60 times as slow as usual
-/// answers within 240 ms, and would get every call twice.
+/// How long the store may stay silent, beyond the requested wait, before other
+/// paths are tried. A store that is 60 times slower than usual answers within
+/// 240 ms; with less time, such a store would get every call twice.
 const DIRECT_ANSWER_SLACK: Duration = Duration::from_millis(250);
 
-/// Carries calls of the store out for another process.
+/// Makes store calls for another process.
 #[async_trait]
 pub trait Proxy: Send + Sync {
-    /// Carries a call out, if the store is in direct reach.
+    /// Makes a call, if the direct path to the store is usable.
     async fn serve(&self, call: Call) -> Reply;
 }
 
-/// A store that is reached by other entries while there is no direct way.
+/// A store that is reached through other entries while the direct path is
+/// unusable.
 #[derive(Clone, Debug)]
 pub struct Relay<S> {
     direct: S,
@@ -62,7 +64,8 @@
 }
 
 impl<S: Store> Relay<S> {
-    /// Returns a store with the ways of `direct` and of `peers`.
+    /// Returns a store that uses `direct` and, while that is unusable,
+    /// `peers`.
     pub fn new(direct: S, peers: Peers, log: slog::Logger) -> Relay<S> {
         Relay {
             direct,
@@ -82,12 +85,14 @@
         match (self.peers.ask(&call).await, failed) {
             (Some(answer), _) => answer,
             (None, Some(error)) => Err(error),
-            // Nobody is in touch: what waits for the store waits there.
+            // No other entry reaches the store: the call is made directly, and
+            // may wait.
             (None, None) => self.observe(execute(&self.direct, call).await),
         }
     }
 
-    /// Calls directly; a read that is not answered soon goes both ways.
+    /// Calls the store directly. A read that is not answered soon is also sent
+    /// to peers.
     async fn call_direct(&self, call: &Call) -> Result<Answer, Error> {
         let mut direct = std::pin::pin!(execute(&self.direct, call.clone()));
         tokio::select! {
@@ -107,9 +112,9 @@
         }
     }
 
-    /// Returns whether a call that failed may be made another way: a write
-    /// only if it surely had no effect, and nothing in place of one that the
-    /// store's rate has refused.
+    /// Returns whether a failed call may be made on another path. A write may
+    /// be only if it certainly had no effect, and a call that the store's rate
+    /// limit refused may not be replaced by another.
     fn may_reroute(&self, call: &Call, error: &Error) -> bool {
         match error {
             Error::Forgotten(_) => false,
@@ -118,7 +123,7 @@
         }
     }
 
-    /// Takes in what a direct call shows of its way.
+    /// Updates the state of the direct path from the outcome of a call.
     fn observe(&self, answer: Result<Answer, Error>) -> Result<Answer, Error> {
         match &answer {
             Ok(_) | Err(Error::Forgotten(_)) => self.path.on_answer(),
--- a/src/cell/relay/peers.rs
+++ b/src/cell/relay/peers.rs
@@ -1,4 +1,4 @@
-//! The entries that calls of the store may go by.
+//! The other entries, through which store calls may be made.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -27,43 +27,44 @@
 use crate::telemetry::metrics;
 use crate::telemetry::metrics::label;
 
-/// How many entries are asked for one call: where a third of them is away
-/// as well, three are enough for all but one call in 27.
+/// The most entries asked for one call. If a third of them are cut off as
+/// well, three are enough for all but one call in 27.
 const MAX_ASKED: usize = 3;
-/// How long a connection to one of them may take.
+/// The longest that opening a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long its answer may take, beyond what the store is asked to wait: a
-/// slow store's, and the way there.
+/// The time for a peer's answer beyond the requested wait: a slow store's
+/// answer and the network.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// For how long nobody is asked after all were found to be away: while the
-/// store is down for all, every call of every process would ask three.
+/// How long no peer is asked after all of them failed. While the store is down
+/// for everyone, every call of every process would otherwise ask three peers.
 const NO_PEER_PAUSE: Duration = Duration::from_millis(400);
-/// How long an entry that is gone is still named at most, and the longest
-/// that one waits before it says again that it is there: two calls every 5
-/// to 9 s for each process, one of them at a tenth of the price.
+/// The lease of an entry's registration: the longest that a stopped entry
+/// stays listed.
 const ENTRY_TTL: Duration = Duration::from_secs(30);
+/// The longest time between two renewals of the registration. Each process
+/// makes two calls every 5 to 9 s, one of them at a tenth of the usual cost.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(9);
-/// How soon after the first time the others are read again: all processes
-/// of a site may have started together.
+/// The delay before the entries are read for the second time. All processes of
+/// a site may have started together, so the first read may miss some.
 const FIRST_READ_DELAY: Duration = Duration::from_millis(1500);
-/// How long is waited after a call that failed.
+/// The delay before a failed call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What an entry says of itself.
+/// An entry's registration.
 #[derive(Debug, Serialize, Deserialize)]
 struct Entry {
-    /// Where it takes calls.
+    /// The address at which the entry serves calls.
     address: String,
 }
 
 #[derive(Default)]
 struct State {
-    /// Where entries take calls, but for this process.
+    /// The addresses of the other entries.
     addresses: Vec<String>,
     connections: BTreeMap<String, Arc<dyn Peer>>,
-    /// Who has answered last.
+    /// The entry that answered last.
     last_answered: Option<String>,
-    /// Until when nobody is asked.
+    /// Until when no peer is asked.
     paused_until: Option<Instant>,
 }
 
@@ -74,7 +75,7 @@
     log: slog::Logger,
 }
 
-/// The entries of a site, as the store last told.
+/// The other entries of a site, as last read from the store.
 #[derive(Clone)]
 pub struct Peers(Arc<Inner>);
 
@@ -88,8 +89,7 @@
 }
 
 impl Peers {
-    /// Returns the entries but for the named process, none of them known
-    /// yet.
+    /// Returns the peers of the named process, with none read yet.
     pub fn new(
         process: &str,
         connector: Arc<dyn Connector>,
@@ -103,8 +103,8 @@
         }))
     }
 
-    /// Keeps the others known, and this entry to them under `address`, for
-    /// ever.
+    /// Registers this entry under `address`, and keeps the list of the others
+    /// up to date. Never returns.
     pub async fn follow(self, store: impl Store, address: String) {
         let mut lease = None;
         let mut wait = FIRST_READ_DELAY;
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Says that this entry is there; returns the lease that it hangs on.
+    /// Registers this entry, and returns the lease of the registration.
     async fn register(
         &self,
         store: &impl Store,
@@ -168,7 +168,7 @@
         state.addresses = addresses;
     }
 
-    /// Asks others to make a call; returns nothing if none of them could.
+    /// Asks peers to make a call. Returns `None` if none of them could.
     pub(super) async fn ask(
         &self,
         call: &Call,
@@ -207,7 +207,8 @@
         None
     }
 
-    /// Returns whom to ask in turn: who has answered last, then any.
+    /// Returns the peers to ask, in order: the last one that answered, then
+    /// others at random.
     fn candidates(&self) -> Vec<String> {
         let state = self.lock();
         let now = Instant::now();
@@ -263,10 +264,10 @@
     }
 }
 
-/// Why another process has not replied.
+/// Why a peer has not replied.
 enum Failure {
-    /// It was not asked.
+    /// The peer was not asked.
     NotAsked,
-    /// It may have made the call.
+    /// The peer was asked and may have made the call.
     NoAnswer,
 }
--- a/src/cell/rpc.rs
+++ b/src/cell/rpc.rs
@@ -1,4 +1,4 @@
-//! What agents and entries say to each other.
+//! The calls between agents and entries.
 
 use jsonrpsee::core::RpcResult;
 use jsonrpsee::proc_macros::rpc;
@@ -11,31 +11,33 @@
 use crate::graph::Report;
 use crate::store::Revision;
 
-/// What a planner answers to a report.
+/// A planner's answer to a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// This process does not hold the claim.
+    /// The called process does not hold the claim.
     NotPlanner,
-    /// It does.
+    /// The called process holds the claim.
     Orders {
-        /// Its fencing token: the revision of its claim.
+        /// The planner's fencing token: the revision of its claim.
         token: Revision,
-        /// Whether the worker's tasks may go on, counted from when the
-        /// report was sent.
+        /// Whether the worker's tasks may continue, counted from the time at
+        /// which the report was sent.
         granted: bool,
-        /// What is to be done.
+        /// The orders to carry out.
         orders: Orders,
     },
 }
 
-/// The calls that an entry takes.
+/// The calls that an entry serves.
 #[rpc(client, server, namespace = "cell")]
 pub trait Cell {
-    /// Takes a report in, and answers once there are orders, or soon.
+    /// Applies a report, and answers when there are orders, or after a short
+    /// wait.
     #[method(name = "sync")]
     async fn sync(&self, report: Report) -> RpcResult<Answer>;
 
-    /// Makes a call of the store for a process that has no direct way to it.
+    /// Makes a store call for a process whose direct path to the store is
+    /// unusable.
     #[method(name = "store")]
     async fn store(&self, call: Call) -> RpcResult<Reply>;
 }
--- a/src/cell/server.rs
+++ b/src/cell/server.rs
@@ -1,4 +1,4 @@
-//! Where agents reach the planner of this process.
+//! The server through which agents reach this process's planner.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,14 +18,14 @@
 use crate::telemetry::metrics::label;
 use crate::wire::link;
 
-/// How often the limit is told of while it is met.
+/// The least time between two warnings about the connection limit.
 const WARNING_INTERVAL: Duration = Duration::from_secs(1);
-/// How often an agent's connection is tried: one that has gone silent for
-/// good would else hold its descriptor until the process ends. Seldom, as
-/// agents that are alive report more often than that.
+/// How often an agent's connection is pinged. Without pings, a connection that
+/// went silent for good would hold its descriptor until the process ends. The
+/// interval is long because live agents report more often.
 const PING_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What a planner's server takes.
+/// The limits of a planner's server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// The most connections.
@@ -34,15 +34,15 @@
     pub report: u32,
 }
 
-/// How many connections an agent may have at once: the one it has just made,
-/// and one that was cut and that nobody has noticed yet.
+/// The connections that one agent may have at once: its newest, and an earlier
+/// one that was cut without notice.
 const CONNECTIONS_PER_AGENT: u32 = 2;
-/// The most agents unless told otherwise: four times what the largest site
-/// played has, so that what binds is the machine and not this number.
+/// The default for the most agents: four times as many as on the largest site
+/// tested, so that the machine is the limit and not this number.
 pub const DEFAULT_AGENTS: u32 = 1000;
 
 impl Limits {
-    /// Returns what a planner takes on so many connections.
+    /// Returns limits with the given number of connections.
     pub fn of_connections(connections: u32) -> Limits {
         Limits {
             connections,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns what a planner of so many agents takes.
+    /// Returns limits for the given number of agents.
     pub fn of_agents(agents: u32) -> Limits {
         Limits::of_connections(agents.saturating_mul(CONNECTIONS_PER_AGENT))
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// A server that listens.
+/// A listening server.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -70,8 +70,7 @@
 }
 
 impl Server {
-    /// Listens for agents, and hands what they report to the planner that
-    /// `host` hosts.
+    /// Listens for agents and passes their reports to the planner of `host`.
     ///
     /// # Errors
     ///
@@ -116,11 +115,11 @@
     }
 }
 
-/// Tells that the limit of connections is met: agents are turned away then,
-/// and their workers get no work.
+/// Counts rejected connections and logs them. A rejected agent gets no work
+/// for its worker.
 struct Rejections {
     limits: Limits,
-    /// When it was told last, and how many were turned away since.
+    /// The time of the last warning, and the rejections since.
     unreported: Mutex<(Option<Instant>, u64)>,
     log: slog::Logger,
 }
--- a/src/cell/session.rs
+++ b/src/cell/session.rs
@@ -1,4 +1,4 @@
-//! Claiming, and hosting the planner for as long as the claim holds.
+//! Claims, and hosts the planner for as long as the claim holds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -39,23 +39,24 @@
 use crate::telemetry::metrics;
 use crate::telemetry::metrics::label;
 
-/// How long one call for changes waits; a lost one is noticed by then.
+/// How long one watch call waits for changes; a lost call is noticed by then.
 const WATCH_WAIT: Duration = Duration::from_millis(2000);
-/// How long is waited after a call that failed.
+/// The delay before a failed call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How long a call that does not wait may take.
+/// The longest that a call without a wait may take.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
-/// The code of an error that says that the planner has gone.
+/// The JSON-RPC error code for a planner that has stopped.
 const PLANNER_STOPPED: i32 = -32000;
 
-/// How long a report waits for a planner that has claimed and still reads.
+/// How long a report waits for a planner that has claimed and is still reading
+/// the jobs' records.
 const STARTUP_WAIT: Duration = Duration::from_millis(600);
 
 /// The planner of this process, while it hosts one.
 #[derive(Clone)]
 pub struct Host {
     current: watch::Sender<Option<ActorRef<Message>>>,
-    /// Who makes calls of the store for other processes, if anybody does.
+    /// Makes store calls for other processes, if set.
     proxy: Option<Arc<dyn Proxy>>,
 }
 
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Lets `carrier` make calls of the store for other processes.
+    /// Sets the proxy that makes store calls for other processes.
     #[must_use]
     pub fn with_proxy(self, proxy: Arc<dyn Proxy>) -> Host {
         Host {
@@ -90,7 +91,7 @@
     async fn wait_for_planner(&self) -> Option<ActorRef<Message>> {
         let mut current = self.current.subscribe();
         let hosted = current.wait_for(Option::is_some);
-        // Whether it came in time or not: what is hosted now counts.
+        // The outcome does not matter: the current value is used either way.
         let _ = tokio::time::timeout(STARTUP_WAIT, hosted).await;
         let planner = current.borrow();
         planner.clone()
@@ -128,26 +129,27 @@
 pub struct Session<S> {
     /// The store.
     pub store: S,
-    /// Who it claims as.
+    /// The value that the session writes to the claim's key.
     pub holder: Holder,
-    /// Where agents reach the planner.
+    /// The host through which agents reach the planner.
     pub host: Host,
     /// The configuration.
     pub source: Source,
-    /// Where to ask who may run a step, if anybody says.
+    /// The channel for questions to the advice service, if there is one.
     pub advice: Option<advice::Sender>,
-    /// The times that decisions rest on.
+    /// The times and the policy that decisions rest on.
     pub terms: Terms,
-    /// Where logs go.
+    /// The log.
     pub log: slog::Logger,
 }
 
 impl<S: Store> Session<S> {
     /// Claims whenever the claim is free, and plans while it holds, until
-    /// told to stop.
+    /// `stop` is set.
     pub async fn run(self, stop: watch::Receiver<bool>) {
         while !*stop.borrow() {
-            // Whoever plans by way of others is the first to be left alone.
+            // A planner that reaches the store only through other entries would
+            // be the first to lose contact, so the claim is left to others.
             match self.store.is_direct() {
                 true => self.try_once(stop.clone()).await,
                 false => pause(RETRY_DELAY).await,
@@ -167,7 +169,7 @@
                 count_claim("given up");
                 slog::info!(self.log, "planner: has stepped down";
                     "token" => claim.token, "outcome" => ?planned);
-                // The process may claim anew once its claim is over.
+                // Revoking the lease lets another process claim at once.
                 if claim.holds() {
                     let revoked = self.store.revoke(claim.lease);
                     let revoked =
@@ -242,13 +244,15 @@
         Ok(())
     }
 
-    /// Reads what earlier planners and all entries have left.
+    /// Reads the progress and the accepted jobs that earlier planners and all
+    /// entries have written.
     async fn read_records(
         &self,
         claim: &Claim,
     ) -> Result<(Listing, Listing), Error> {
         loop {
-            // Acceptances last: whatever comes after them is watched.
+            // Accepted jobs are read last, because the watch continues from
+            // their revision.
             let progress = self.list(keys::PROGRESS).await;
             let intake = self.list(keys::INTAKE).await;
             match (progress, intake) {
@@ -262,8 +266,8 @@
     }
 
     async fn list(&self, prefix: &str) -> Option<Listing> {
-        // However many records there are: the store's client gives up once
-        // it says nothing.
+        // No timeout here, however many records there are: the store's client
+        // gives up when the store goes silent.
         match self.store.list(prefix).await {
             Ok(listing) => Some(listing),
             Err(error) => {
@@ -281,7 +285,7 @@
         }
     }
 
-    /// Tells the planner what entries tell it.
+    /// Passes the records that entries write to the planner.
     async fn follow_intake(
         &self,
         planner: &ActorRef<Message>,
--- a/src/cell/watch.rs
+++ b/src/cell/watch.rs
@@ -1,4 +1,4 @@
-//! Watching a few keys of the store.
+//! Watches the keys below a prefix of the store.
 
 use std::time::Duration;
 
@@ -11,35 +11,35 @@
 use crate::store::Listing;
 use crate::store::Store;
 
-/// How long one call waits for a change: how often the keys are shown to be
-/// as they were while nothing changes.
+/// How long one call waits for a change. While nothing changes, the keys are
+/// confirmed once in this time.
 const POLL_WAIT: Duration = Duration::from_millis(500);
-/// How much longer than it waits a call takes if it is late: the slowest of
-/// the store's answers seen.
+/// The delay beyond the requested wait from which an answer counts as late:
+/// the slowest of the store's answers observed.
 const LATE_ANSWER: Duration = Duration::from_millis(250);
 
-/// A watch of the keys that begin alike: they are read once, and then told of
-/// when they change, so that a value that stays is not sent again and again.
+/// A watch of all keys below a prefix. The keys are read once, and afterwards
+/// only changes are requested, so that an unchanged value is not sent again.
 #[derive(Debug)]
 pub(super) struct Watch<'a> {
     prefix: &'a str,
-    /// Where to go on; `None` where all is to be read.
+    /// The position in the store's history; `None` if all keys must be read.
     cursor: Option<Cursor>,
     /// How long the next call waits.
     wait: Duration,
 }
 
-/// What a call has shown.
+/// The result of one call.
 #[derive(Debug)]
 pub(super) struct Batch {
-    /// Whether it is all that there is, and not just what has changed.
+    /// Whether `changes` lists all keys, rather than only those that changed.
     pub is_listing: bool,
-    /// What is there, or has changed, in order.
+    /// The listed or changed keys, in order.
     pub changes: Vec<Change>,
 }
 
 impl<'a> Watch<'a> {
-    /// Returns a watch that knows nothing yet.
+    /// Returns a watch that has read nothing yet.
     pub fn new(prefix: &'a str) -> Watch<'a> {
         Watch {
             prefix,
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Makes one call; returns what has changed since the last.
+    /// Makes one call and returns the changes since the last one.
     ///
     /// # Errors
     ///
-    /// If the store does not answer, or has dropped the history that was
-    /// asked for: the next call then does not wait, or reads all.
+    /// If the store does not answer, or has dropped the requested history. The
+    /// next call then does not wait, or reads all keys.
     pub async fn next(&mut self, store: &impl Store) -> Result<Batch, Error> {
         let wait = std::mem::take(&mut self.wait);
         match self.cursor.as_ref().map(Cursor::after) {
@@ -89,8 +89,9 @@
                 false => cursor.advance(revision),
             }
         }
-        // What was told, or came late, says little of now: a process that
-        // stood still knows at once what it may do.
+        // An answer that holds changes or came late does not show the present
+        // state. The next call does not wait, so that a process that was
+        // suspended learns the present state at once.
         let late = sent.elapsed() > POLL_WAIT + LATE_ANSWER;
         if changes.is_empty() && !late {
             self.wait = POLL_WAIT;
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -1,4 +1,4 @@
-//! The seam towards a worker.
+//! The interface between an agent and its worker.
 
 use std::future::Future;
 use std::time::Duration;
@@ -15,56 +15,58 @@
 /// A time on a worker's own clock, in milliseconds.
 pub type WorkerTime = u64;
 
-/// Under what a call to a worker is made.
+/// What every call to a worker carries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// The life that is meant.
+    /// The life that the call is meant for.
     pub life: Life,
     /// The planner's fencing token.
     pub token: Revision,
 }
 
-/// What came of a call that brought no result.
+/// Why a call to a worker has no result.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A higher fencing token has been seen.
+    /// The worker has seen a higher fencing token.
     #[error("the worker has seen a higher fencing token")]
     Fenced,
     /// Another life of the worker answered.
     #[error("another life of the worker answered")]
     OtherLife,
-    /// The worker refuses.
-    #[error("the worker refuses: {0:?}")]
+    /// The worker refuses the call.
+    #[error("the worker refused the call: {0:?}")]
     Refused(Refusal),
-    /// The given end of the lease has passed on the worker's clock.
+    /// The requested end of the lease has passed on the worker's clock, which
+    /// is given.
     #[error("the lease's end has passed on the worker's clock")]
     Late(WorkerTime),
-    /// No connection was made: it has had no effect.
-    #[error("not reached: {0}")]
+    /// No connection was made, so the call had no effect.
+    #[error("could not connect: {0}")]
     Unreached(String),
-    /// Its machine has answered that nobody listens: its process is down.
-    #[error("nobody listens: {0}")]
+    /// The worker's machine refused the connection: the worker's process is
+    /// down.
+    #[error("connection refused: {0}")]
     Down(String),
-    /// No answer: it may have had its effect, or may yet have.
+    /// No answer came. The call may have had its effect, or may have it later.
     #[error("no answer: {0}")]
     Lost(String),
 }
 
-/// What a look at a worker shows.
+/// The answer to a poll of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
-    /// The worker's birth, if it tells that.
+    /// The worker's birth, if the worker reports one.
     pub born: Option<Birth>,
     /// The worker's time.
     pub time: WorkerTime,
-    /// What it lists.
+    /// The runs that the worker lists.
     pub lists: Lists,
 }
 
 /// A worker's task interface.
 pub trait Worker: Clone + Send + Sync + 'static {
-    /// Starts a run, leased until a time on the worker's clock; returns the
-    /// worker's time. Starting a run that is present changes nothing.
+    /// Starts a run, leased until `expires` on the worker's clock, and returns
+    /// the worker's time. Starting a run that is present changes nothing.
     fn start(
         &self,
         call: &Call,
@@ -72,24 +74,24 @@
         expires: WorkerTime,
     ) -> impl Future<Output = Result<WorkerTime, Error>> + Send;
 
-    /// Stops a run, or bars it if it is not there; returns the worker's
-    /// time.
+    /// Stops a run, or bars a run that is not present from starting, and
+    /// returns the worker's time.
     fn stop(
         &self,
         call: &Call,
         stop: &Stop,
     ) -> impl Future<Output = Result<WorkerTime, Error>> + Send;
 
-    /// Sets the pace of a run; returns the worker's time.
+    /// Sets the pace of a run and returns the worker's time.
     fn pace(
         &self,
         call: &Call,
         pace: &Pace,
     ) -> impl Future<Output = Result<WorkerTime, Error>> + Send;
 
-    /// Acknowledges ends up to `noted`, prolongs the lease of all that runs
-    /// if a time is given, and lists what runs and what has ended, after up
-    /// to `wait` if nothing ends before.
+    /// Acknowledges ends up to `acknowledged`, extends the lease of all runs
+    /// if `expires` is given, and lists running and ended runs. The worker
+    /// answers when a run ends, or after `wait`.
     fn poll(
         &self,
         call: &Call,
--- a/src/cell/writer.rs
+++ b/src/cell/writer.rs
@@ -1,4 +1,5 @@
-//! Writing jobs' progress under the claim, whatever becomes of answers.
+//! Writes jobs' progress under the claim, and resolves writes whose answer was
+//! lost.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,15 +19,16 @@
 use crate::store::Store;
 use crate::store::Swap;
 
-/// How many jobs one transaction holds: with the claim's condition, a
-/// condition, a put and a removal each, the platform's 32 entries.
+/// The jobs written in one transaction. Each needs a condition, a put and a
+/// removal; with the claim's condition that makes at most the platform's limit
+/// of 32 entries.
 pub const MAX_BATCH_JOBS: usize = 10;
-/// How long an answer is waited for, beyond what the bytes take.
+/// The longest wait for an answer, beyond the transfer time of the bytes.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long is waited before a batch is tried again.
+/// The delay before a batch is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// What the writer knows of the store.
+/// The state of the jobs' records in the store.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
     /// The revision of each job's progress.
@@ -36,7 +38,7 @@
 }
 
 impl Records {
-    /// Returns what is known of the jobs of a batch.
+    /// Returns the state of the records of a batch's jobs.
     pub fn subset(&self, batch: &[Unwritten]) -> Records {
         let ids = || batch.iter().map(|job| &job.id);
         Records {
@@ -51,23 +53,23 @@
     }
 }
 
-/// A batch that is written.
+/// A batch that was written.
 #[derive(Clone, Debug)]
 pub struct Written {
     /// The jobs, with the version and revision of each.
     pub jobs: Vec<(Id, u64, Revision)>,
 }
 
-/// The claim is lost, or somebody else has written.
+/// The claim is lost, or another process has written.
 #[derive(Debug, thiserror::Error)]
 #[error("the claim is lost: {0}")]
 pub struct Lost(String);
 
-/// Writes a batch; tries until it is written or the claim is lost.
+/// Writes a batch, retrying until it is written or the claim is lost.
 ///
-/// Every put is conditioned on the revision before it. A write whose answer
-/// was lost therefore either shows itself as the current value, or can no
-/// longer take effect once the next try has.
+/// Every put is conditioned on the previous revision. A write whose answer was
+/// lost therefore either shows as the current value, or can no longer take
+/// effect after the next try has.
 ///
 /// # Errors
 ///
@@ -124,8 +126,8 @@
     }
 }
 
-/// Tells an earlier try of ours that has taken effect from a write of
-/// somebody else.
+/// Distinguishes an earlier try of this writer that took effect from a write
+/// of another process.
 fn resolve_refusal(
     batch: &[Unwritten],
     puts: &[Put],
