--- a/src/cell/admission.rs
+++ b/src/cell/admission.rs
@@ -171,7 +171,7 @@
                     return Submitted::Accepted;
                 }
                 Ok(Err(Error::Unreached(error))) => {
-                    slog::warn!(self.log, "entry: the store turns a job away";
+                    slog::warn!(self.log, "entry: the store rejected a job";
                         "job" => &*job.id, "error" => %error);
                 }
                 Ok(Err(_)) | Err(_) => self.set_unsure(&job.id),
@@ -203,7 +203,7 @@
             match tokio::time::timeout_at(deadline, swap).await {
                 Ok(Ok(_)) => break,
                 Ok(Err(error)) => pause_before_retry(error, deadline).await?,
-                Err(_) => return Err(Unavailable("in time".to_owned())),
+                Err(_) => return Err(Unavailable("timed out".to_owned())),
             }
         }
         slog::info!(self.log, "entry: a job is cancelled"; "job" => id);
@@ -271,7 +271,8 @@
                 Ok(None) => {}
                 Ok(ended) => return ended,
                 Err(error) => {
-                    slog::error!(self.log, "entry: progress cannot be read";
+                    slog::error!(self.log,
+                        "entry: a job's progress cannot be decoded";
                         "key" => &item.key, "error" => %error);
                     return None;
                 }
@@ -295,7 +296,7 @@
             match tokio::time::timeout_at(deadline, list).await {
                 Ok(Ok(listing)) => return Ok(listing.items.len()),
                 Ok(Err(error)) => pause_before_retry(error, deadline).await?,
-                Err(_) => return Err(Unavailable("in time".to_owned())),
+                Err(_) => return Err(Unavailable("timed out".to_owned())),
             }
         }
     }
@@ -310,7 +311,7 @@
             match tokio::time::timeout_at(deadline, get).await {
                 Ok(Ok(item)) => return Ok(item),
                 Ok(Err(error)) => pause_before_retry(error, deadline).await?,
-                Err(_) => return Err(Unavailable("in time".to_owned())),
+                Err(_) => return Err(Unavailable("timed out".to_owned())),
             }
         }
     }
--- a/src/cell/configuration.rs
+++ b/src/cell/configuration.rs
@@ -207,11 +207,13 @@
             let failed = polled.err().map(|error| error.to_string());
             match (&failed, reached) {
                 (Some(error), true) => slog::warn!(log,
-                    "configuration: the store is lost"; "error" => error,
+                    "configuration: the store is unreachable";
+                    "error" => error,
                     "version" => self.current().map(|c| c.version),
                     "age_ms" => self.age_ms()),
                 (None, false) => {
-                    slog::info!(log, "configuration: the store is back";
+                    slog::info!(log,
+                        "configuration: the store is reachable again";
                         "version" => self.current().map(|c| c.version),
                         "age_ms" => self.age_ms())
                 }
@@ -238,7 +240,8 @@
         let batch = match watch.next(store).await {
             Ok(batch) => batch,
             Err(Error::Forgotten(revision)) => {
-                slog::info!(log, "configuration: all is read anew";
+                slog::info!(log,
+                    "configuration: changes were missed, reading all";
                     "after" => revision);
                 pause(RETRY_DELAY).await;
                 return Ok(());
@@ -277,7 +280,7 @@
             };
         }
         if closed != state.closed {
-            slog::info!(log, "configuration: other halls are closed";
+            slog::info!(log, "configuration: the closed halls have changed";
                 "halls" => ?closed, "before" => ?state.closed);
             state.closed = closed;
         }
@@ -310,7 +313,7 @@
                 state.revision = item.modified;
             }
             Err(error) => slog::error!(log,
-                "configuration: a version cannot be read";
+                "configuration: a version cannot be decoded";
                 "revision" => item.modified, "error" => %error),
         }
     }
--- a/src/cell/decision_log.rs
+++ b/src/cell/decision_log.rs
@@ -80,7 +80,8 @@
         self.window_ends = now + BUDGET_WINDOW;
         let left_out = (self.workers.left_out, self.units.left_out);
         if left_out != (0, 0) {
-            slog::warn!(self.log, "planner: lines were left out";
+            slog::warn!(self.log,
+                "planner: decisions were left out of the log";
                 "workers" => left_out.0, "units" => left_out.1);
         }
         self.workers = Budget::default();
@@ -152,7 +153,7 @@
             "planner: a worker is known"; "agent" => &**agent,
             "worker" => &**life, "token" => token),
         Decision::Gone { life, silent } => slog::warn!(log,
-            "planner: a worker is taken for gone"; "worker" => &**life,
+            "planner: a worker is considered lost"; "worker" => &**life,
             "silent_ms" => millis(silent), "token" => token),
         Decision::Resized {
             life,
@@ -160,13 +161,13 @@
             to,
             used,
         } => slog::info!(log,
-            "planner: a worker's room has changed"; "worker" => &**life,
+            "planner: a worker's capacity has changed"; "worker" => &**life,
             "cpu" => to.cpu, "memory" => to.memory,
             "accelerators" => to.accelerators,
             "accelerators_before" => from.accelerators,
             "accelerators_used" => used.accelerators, "token" => token),
         Decision::Apart { life, time, failed } => slog::warn!(log,
-            "planner: a worker is kept apart"; "worker" => &**life,
+            "planner: a worker is quarantined"; "worker" => &**life,
             "for_ms" => millis(time), "failed" => failed, "token" => token),
         Decision::Paced {
             agent,
@@ -174,7 +175,7 @@
             to,
             worst,
         } => slog::info!(log,
-            "planner: what fills a worker is paced"; "agent" => &**agent,
+            "planner: filler runs on a worker are paced"; "agent" => &**agent,
             "from" => from, "to" => to, "worst" => worst, "token" => token),
         Decision::Waits {
             of,
--- a/src/cell/inquiry.rs
+++ b/src/cell/inquiry.rs
@@ -31,7 +31,7 @@
                 return Some((reports.collect(), sent));
             }
             Err(error) => slog::debug!(log,
-                "planner: kept reports cannot be read"; "error" => %error),
+                "planner: saved reports could not be read"; "error" => %error),
         }
         pause(RETRY_DELAY).await;
     }
@@ -42,7 +42,7 @@
     match serde_json::from_slice(&item.value) {
         Ok(report) => Some(report),
         Err(error) => {
-            slog::error!(log, "planner: a kept report cannot be read";
+            slog::error!(log, "planner: a saved report cannot be decoded";
                 "key" => &item.key, "error" => %error);
             None
         }
--- a/src/cell/keys.rs
+++ b/src/cell/keys.rs
@@ -3,10 +3,10 @@
 //! | key | written by | when |
 //! |---|---|---|
 //! | `lv/planner` | entries | a claim is made, under a lease |
-//! | `lv/strongest` | entries | a claim is made by the strongest process so far |
+//! | `lv/strongest` | entries | the strongest process so far claims |
 //! | `lv/in/ID/job` | entries | a job is accepted |
 //! | `lv/in/ID/cancel` | entries | a job is cancelled |
-//! | `lv/queue/QUEUE/ID` | entries, planner | written on acceptance, removed when the job begins |
+//! | `lv/queue/QUEUE/ID` | entries, planner | while an accepted job waits |
 //! | `lv/progress/ID` | planner | a run is ordered, or has ended |
 //! | `lv/entry/ENTRY` | entries | while the entry runs, under a lease |
 //! | `lv/report/AGENT` | agents | ends are listed and no planner is reached |
--- a/src/cell/member/link.rs
+++ b/src/cell/member/link.rs
@@ -49,12 +49,12 @@
                 Ok(client) => {
                     turned_away = 0;
                     slog::info!(self.0.config.log,
-                        "agent: reports to a planner";
+                        "agent: connected to a planner";
                         "planner" => &holder.process, "claim" => revision);
                     self.learn_token(revision);
                     self.report_to(&*client, revision).await;
                     slog::info!(self.0.config.log,
-                        "agent: has left a planner";
+                        "agent: disconnected from a planner";
                         "planner" => &holder.process, "claim" => revision);
                 }
                 Err(error) => {
@@ -63,7 +63,7 @@
                         false => 0,
                     };
                     slog::warn!(self.0.config.log,
-                        "agent: a planner is not reached";
+                        "agent: could not connect to the planner";
                         "error" => %error, "turned_away" => turned_away);
                 }
             }
--- a/src/cell/member/mod.rs
+++ b/src/cell/member/mod.rs
@@ -129,7 +129,8 @@
         let lease = self.0.config.lease;
         match self.lock().heartbeat(heartbeat, lease, now) {
             state::Update::Life => {
-                slog::info!(self.0.config.log, "agent: a worker is here";
+                slog::info!(self.0.config.log,
+                    "agent: a new worker life has appeared";
                     "life" => &*life);
                 self.0.poll_now.notify_one();
                 self.0.report_now.notify_one();
@@ -144,7 +145,7 @@
             state::Update::Conflict => {
                 metrics::get().strange.add(1, &[label("what", "life")]);
                 slog::warn!(self.0.config.log,
-                    "agent: another life answers here"; "life" => &*life);
+                    "agent: a heartbeat names another life"; "life" => &*life);
                 // A poll shows whether the known life still answers.
                 self.0.poll_now.notify_one();
             }
@@ -158,7 +159,7 @@
     }
 
     fn life_ended(&self, life: &Life, said: bool) {
-        slog::info!(self.0.config.log, "agent: the worker has left";
+        slog::info!(self.0.config.log, "agent: the worker's life is ending";
             "life" => &**life);
         let now = Instant::now();
         if self.lock().mark_leaving(life, said, now + LEAVE_PERIOD) {
--- a/src/cell/member/poll.rs
+++ b/src/cell/member/poll.rs
@@ -75,7 +75,7 @@
     ) -> Duration {
         if poll.call.life.is_other(snapshot.born) {
             slog::warn!(self.0.config.log,
-                "agent: the worker has started again under its name";
+                "agent: the worker has restarted under its name";
                 "life" => &*poll.call.life, "born" => snapshot.born);
         }
         let unacknowledged = snapshot
@@ -113,7 +113,7 @@
         match &error {
             Error::Fenced => self.record_fenced(poll.call.token),
             error => slog::debug!(self.0.config.log,
-                "agent: a look has failed"; "error" => %error),
+                "agent: a poll of the worker failed"; "error" => %error),
         }
         let now = Instant::now();
         let down = matches!(error, Error::Down(_));
--- a/src/cell/member/save.rs
+++ b/src/cell/member/save.rs
@@ -83,14 +83,14 @@
             Ok(lease) => lease,
             Err(error) => {
                 slog::debug!(self.0.config.log,
-                    "agent: ends are not kept"; "error" => %error);
+                    "agent: ends could not be saved"; "error" => %error);
                 return;
             }
         };
         let put = |key| Put::Value(key, value, lease);
         if self.swap(put, saved).await {
             slog::info!(self.0.config.log,
-                "agent: ends are kept, no planner is reached";
+                "agent: no planner is reachable; ends are saved in the store";
                 "ends" => ?ends);
             saved.ends = ends;
         }
@@ -126,7 +126,7 @@
             }
             Err(error) => {
                 slog::debug!(self.0.config.log,
-                    "agent: ends are not kept"; "error" => %error);
+                    "agent: ends could not be saved"; "error" => %error);
                 false
             }
         }
--- a/src/cell/planner/calls.rs
+++ b/src/cell/planner/calls.rs
@@ -82,7 +82,7 @@
             saved.into_iter().map(|r| (r.agent.clone(), r)).collect();
         for agent in agents {
             let report = saved.remove(agent);
-            slog::info!(self.log, "planner: an agent is silent";
+            slog::info!(self.log, "planner: an agent is unresponsive";
                 "agent" => &**agent, "kept" => report.is_some(),
                 "token" => self.claim.token);
             self.book.inquired(agent, report, sent.into_std(), now);
@@ -138,7 +138,8 @@
             let ids = match removed {
                 Ok(crate::store::Swap::Written(_)) => ids,
                 other => {
-                    slog::warn!(log, "planner: old records stay";
+                    slog::warn!(log,
+                        "planner: records of ended jobs could not be removed";
                         "outcome" => ?other);
                     Vec::new()
                 }
--- a/src/cell/planner/mod.rs
+++ b/src/cell/planner/mod.rs
@@ -243,7 +243,8 @@
             }
             Err(error) => {
                 slog::error!(self.log,
-                    "planner: progress cannot be read"; "key" => &item.key,
+                    "planner: a job's progress cannot be decoded";
+                    "key" => &item.key,
                     "error" => %error);
                 self.unreadable.insert(id.to_owned());
             }
@@ -293,7 +294,7 @@
                 self.book.accept(job, progress, now);
             }
             Err(error) => slog::error!(self.log,
-                "planner: a job cannot be read"; "job" => id,
+                "planner: a job cannot be decoded"; "job" => id,
                 "error" => %error),
         }
     }
@@ -330,7 +331,8 @@
         let written = match written {
             Ok(written) => written,
             Err(error) => {
-                slog::warn!(self.log, "planner: gives up";
+                slog::warn!(self.log,
+                    "planner: stops because the claim is lost";
                     "token" => self.claim.token, "error" => %error);
                 // The session that receives this may be over already.
                 let _ = self.claim_lost.send(true);
--- a/src/cell/relay/direct.rs
+++ b/src/cell/relay/direct.rs
@@ -59,7 +59,8 @@
         if !self.usable.swap(false, Ordering::Relaxed) {
             return;
         }
-        slog::warn!(self.log, "store: the direct way is closed"; "why" => why);
+        slog::warn!(self.log,
+            "store: the direct path is unusable"; "why" => why);
         let (path, store) = (self.clone(), store.clone());
         tokio::spawn(async move { path.probe(&store).await });
     }
@@ -75,6 +76,6 @@
         }
         self.on_answer();
         self.usable.store(true, Ordering::Relaxed);
-        slog::info!(self.log, "store: the direct way is open");
+        slog::info!(self.log, "store: the direct path is usable again");
     }
 }
--- a/src/cell/relay/peers.rs
+++ b/src/cell/relay/peers.rs
@@ -118,7 +118,7 @@
                 }
                 Err(error) => {
                     slog::debug!(self.0.log,
-                        "entry: it is not named"; "error" => %error);
+                        "entry: registration failed"; "error" => %error);
                     pause(RETRY_DELAY).await;
                 }
             }
@@ -151,7 +151,8 @@
             Ok(listing) => listing,
             Err(error) => {
                 slog::debug!(self.0.log,
-                    "entry: others are not read"; "error" => %error);
+                    "entry: the other entries could not be read";
+                    "error" => %error);
                 return;
             }
         };
@@ -185,7 +186,8 @@
                 Err(Failure::NoAnswer) => "no answer",
             };
             metrics::get().relayed.add(1, &[label("outcome", outcome)]);
-            slog::debug!(self.0.log, "store: a call goes by another entry";
+            slog::debug!(self.0.log,
+                "store: a call was made through another entry";
                 "call" => call.word(), "by" => &address,
                 "outcome" => outcome);
             let answer = match asked {
--- a/src/cell/server.rs
+++ b/src/cell/server.rs
@@ -148,7 +148,7 @@
         if unreported.0.is_some_and(|at| now < at + WARNING_INTERVAL) {
             return;
         }
-        slog::warn!(self.log, "planner: agents are turned away";
+        slog::warn!(self.log, "planner: connections of agents are rejected";
             "connections" => self.limits.connections,
             "agents" => unreported.1);
         *unreported = (Some(now), 0);
--- a/src/cell/session.rs
+++ b/src/cell/session.rs
@@ -148,8 +148,9 @@
     /// `stop` is set.
     pub async fn run(self, stop: watch::Receiver<bool>) {
         while !*stop.borrow() {
-            // A planner that reaches the store only through other entries would
-            // be the first to lose contact, so the claim is left to others.
+            // A planner that reaches the store only through other entries
+            // would be the first to lose contact, so the claim is left to
+            // others.
             match self.store.is_direct() {
                 true => self.try_once(stop.clone()).await,
                 false => pause(RETRY_DELAY).await,
@@ -174,7 +175,7 @@
                     let revoked = self.store.revoke(claim.lease);
                     let revoked =
                         tokio::time::timeout(CALL_TIMEOUT, revoked).await;
-                    slog::info!(self.log, "planner: gives the claim back";
+                    slog::info!(self.log, "planner: has revoked its claim";
                         "outcome" => ?revoked);
                 }
             }
@@ -271,7 +272,7 @@
         match self.store.list(prefix).await {
             Ok(listing) => Some(listing),
             Err(error) => {
-                slog::warn!(self.log, "planner: records cannot be read";
+                slog::warn!(self.log, "planner: records could not be read";
                     "prefix" => prefix, "error" => %error);
                 None
             }
@@ -307,7 +308,7 @@
                     match self.list(keys::INTAKE).await {
                         Some(listing) => {
                             slog::warn!(self.log,
-                                "planner: changes were missed, all is read";
+                                "planner: changes were missed, reading all";
                                 "from" => after, "to" => listing.revision);
                             cursor.advance(listing.revision);
                             Message::Listing(listing)
