--- a/src/cell/admission.rs
+++ b/src/cell/admission.rs
@@ -203,7 +203,7 @@
             match tokio::time::timeout_at(deadline, swap).await {
                 Ok(Ok(_)) => break,
                 Ok(Err(error)) => pause_before_retry(error, deadline).await?,
-                Err(_) => return Err(Unavailable("timed out".to_owned())),
+                Err(_) => return Err(Unavailable("in time".to_owned())),
             }
         }
         slog::info!(self.log, "entry: a job is cancelled"; "job" => id);
@@ -296,7 +296,7 @@
             match tokio::time::timeout_at(deadline, list).await {
                 Ok(Ok(listing)) => return Ok(listing.items.len()),
                 Ok(Err(error)) => pause_before_retry(error, deadline).await?,
-                Err(_) => return Err(Unavailable("timed out".to_owned())),
+                Err(_) => return Err(Unavailable("in time".to_owned())),
             }
         }
     }
@@ -311,7 +311,7 @@
             match tokio::time::timeout_at(deadline, get).await {
                 Ok(Ok(item)) => return Ok(item),
                 Ok(Err(error)) => pause_before_retry(error, deadline).await?,
-                Err(_) => return Err(Unavailable("timed out".to_owned())),
+                Err(_) => return Err(Unavailable("in time".to_owned())),
             }
         }
     }
