--- a/src/cell/admission.rs
+++ b/src/cell/admission.rs
@@ -191,8 +191,8 @@
         id: &str,
         deadline: Instant,
     ) -> Result<bool, Unavailable> {
-        let known = self.read(&keys::job(id), deadline).await?;
-        if known.is_none() {
+        let job = self.read(&keys::job(id), deadline).await?;
+        if job.is_none() {
             return Ok(false);
         }
         let key = keys::cancel(id);
@@ -260,9 +260,9 @@
             after = after.max(changes.revision);
             // The store reports all keys with this prefix, and so also those
             // of jobs with a longer name.
-            let told = changes.changes.into_iter().rev();
-            let mut told = told.filter(|c| c.key() == progress.key);
-            let item = match told.next() {
+            let matching = changes.changes.into_iter().rev();
+            let mut matching = matching.filter(|c| c.key() == progress.key);
+            let item = match matching.next() {
                 Some(Change::Put(item)) => item,
                 Some(Change::Deleted(..)) => return None,
                 None => continue,
--- a/src/cell/claim.rs
+++ b/src/cell/claim.rs
@@ -148,8 +148,8 @@
     if let Some(wait) = deferral(holder.cores, strongest) {
         tokio::time::sleep(wait).await;
         let current = store.get(keys::PLANNER).await?;
-        let others = current.filter(|item| !is_earlier_run(item, holder));
-        if let Some(item) = others {
+        let other = current.filter(|item| !is_earlier_run(item, holder));
+        if let Some(item) = other {
             return Ok(Attempt::Other(item.modified));
         }
     }
@@ -157,7 +157,7 @@
     let lease = store.grant(TTL).await?;
     let value = serde_json::to_vec(holder).unwrap_or_default();
     let mut puts = vec![Put::Value(keys::PLANNER.to_owned(), value, lease)];
-    if strongest.is_none_or(|most| holder.cores > most) {
+    if strongest.is_none_or(|cores| holder.cores > cores) {
         let value = holder.cores.to_string().into_bytes();
         puts.push(Put::Value(keys::STRONGEST.to_owned(), value, 0));
     }
@@ -166,8 +166,8 @@
             Ok(Attempt::Held(Claim::new(token, lease, sent + TTL)))
         }
         Ok(Swap::Refused(items)) => {
-            let seen = items.first().map_or(0, |item| item.modified);
-            Ok(Attempt::Other(seen))
+            let revision = items.first().map_or(0, |item| item.modified);
+            Ok(Attempt::Other(revision))
         }
         Err(error) => Err(error),
     }
@@ -184,9 +184,9 @@
 /// there may be stronger ones. A planner on a machine with too little CPU
 /// could not answer 240 agents in time, and a day's work was lost.
 fn deferral(cores: f64, strongest: Option<f64>) -> Option<Duration> {
-    let most = strongest.unwrap_or(PLANNER_CORES);
-    let weak = cores < most * EQUAL_CORES_SHARE;
-    weak.then(|| MAX_DEFERRAL.mul_f64(1.0 - (cores / most).max(0.0)))
+    let reference = strongest.unwrap_or(PLANNER_CORES);
+    let weak = cores < reference * EQUAL_CORES_SHARE;
+    weak.then(|| MAX_DEFERRAL.mul_f64(1.0 - (cores / reference).max(0.0)))
 }
 
 fn is_earlier_run(item: &Item, holder: &Holder) -> bool {
--- a/src/cell/member/act.rs
+++ b/src/cell/member/act.rs
@@ -120,7 +120,7 @@
     fn next(&self, key: &Key) -> Action {
         let now = Instant::now();
         let mut state = self.lock();
-        let target = state.target(self.0.config.lease, now);
+        let lease_until = state.lease_until(self.0.config.lease, now);
         let token = state.token;
         let Some(view) = &mut state.worker else {
             return Action::Done;
@@ -147,14 +147,15 @@
         // not begun anywhere need not wait for another start's answer. The
         // view is asked, rather than the order, because the order may have
         // been withdrawn and given again.
-        let doubted = view.start_unanswered && view.may_run(key);
-        let expires = target.and_then(|target| view.worker_time_at(target));
+        let start_unanswered = view.start_unanswered && view.may_run(key);
+        let expires = lease_until
+            .and_then(|lease_until| view.worker_time_at(lease_until));
         match (view.starts.get(key), expires) {
             _ if !view.is_current() => Action::Wait(Wait::WorkerUnknown),
-            _ if doubted => Action::Wait(Wait::StartUnanswered),
+            _ if start_unanswered => Action::Wait(Wait::StartUnanswered),
             (Some(start), Some(expires)) => {
                 let start = Box::new(start.clone());
-                view.leased_until = view.leased_until.max(target);
+                view.leased_until = view.leased_until.max(lease_until);
                 Action::Start(call, start, expires)
             }
             _ => Action::Wait(Wait::NoGrant),
@@ -201,8 +202,9 @@
                 let mut state = self.lock();
                 state.mark_begun(&call.life, key, start.charge);
                 let view = state.worker.as_mut();
-                let view = view.filter(|k| k.heartbeat.life == call.life);
-                let phase = view.and_then(|k| k.phases.get_mut(key));
+                let view =
+                    view.filter(|view| view.heartbeat.life == call.life);
+                let phase = view.and_then(|view| view.phases.get_mut(key));
                 if let Some(phase @ Phase::Starting) = phase {
                     *phase = Phase::Started;
                 }
--- a/src/cell/member/link.rs
+++ b/src/cell/member/link.rs
@@ -35,19 +35,20 @@
 impl<W: Worker, S: Store> Member<W, S> {
     /// Reports to the holder of the claim. Never returns.
     pub(super) async fn follow_planner(&self) {
-        let mut failed = 0;
-        let mut turned_away = 0;
+        let mut failed_revision = 0;
+        let mut rejections = 0;
         loop {
             let (holder, revision) = self.holder().await;
-            let Some(holder) = holder.filter(|_| revision != failed) else {
-                let until = Instant::now() + back_off(turned_away);
+            let Some(holder) = holder.filter(|_| revision != failed_revision)
+            else {
+                let until = Instant::now() + back_off(rejections);
                 self.wait_for_claim(revision, until).await;
-                failed = 0;
+                failed_revision = 0;
                 continue;
             };
             match self.0.config.connector.connect(&holder.address).await {
                 Ok(client) => {
-                    turned_away = 0;
+                    rejections = 0;
                     slog::info!(self.0.config.log,
                         "agent: connected to a planner";
                         "planner" => &holder.process, "claim" => revision);
@@ -58,18 +59,18 @@
                         "planner" => &holder.process, "claim" => revision);
                 }
                 Err(error) => {
-                    turned_away = match error.is_turned_away() {
-                        true => turned_away + 1,
+                    rejections = match error.is_turned_away() {
+                        true => rejections + 1,
                         false => 0,
                     };
                     slog::warn!(self.0.config.log,
                         "agent: could not connect to the planner";
-                        "error" => %error, "turned_away" => turned_away);
+                        "error" => %error, "turned_away" => rejections);
                 }
             }
             // Another claim is preferred for the next try; this one is retried
             // only after a while.
-            failed = revision;
+            failed_revision = revision;
             pause(RETRY_DELAY / 3).await;
         }
     }
@@ -197,13 +198,15 @@
 
 /// Returns how long to wait before the next try after `turned_away` rejections
 /// in a row. The wait doubles each time, with jitter.
-fn back_off(turned_away: u32) -> Duration {
-    let Some(doublings) = turned_away.checked_sub(1) else {
+fn back_off(rejections: u32) -> Duration {
+    let Some(doublings) = rejections.checked_sub(1) else {
         return Duration::ZERO;
     };
-    let most =
+    let max_delay =
         (RETRY_DELAY * 2).saturating_mul(2u32.saturating_pow(doublings));
-    most.min(MAX_BACK_OFF).mul_f64(0.5 + fastrand::f64() / 2.0)
+    max_delay
+        .min(MAX_BACK_OFF)
+        .mul_f64(0.5 + fastrand::f64() / 2.0)
 }
 
 fn decode(item: &Item) -> Option<Holder> {
--- a/src/cell/member/mod.rs
+++ b/src/cell/member/mod.rs
@@ -127,8 +127,8 @@
         let life = heartbeat.life.clone();
         let leaving = heartbeat.leaving;
         let lease = self.0.config.lease;
-        match self.lock().heartbeat(heartbeat, lease, now) {
-            state::Update::Life => {
+        match self.lock().apply_heartbeat(heartbeat, lease, now) {
+            state::Update::NewLife => {
                 slog::info!(self.0.config.log,
                     "agent: a new worker life has appeared";
                     "life" => &*life);
@@ -158,11 +158,11 @@
         self.life_ended(&Life::from(name), true);
     }
 
-    fn life_ended(&self, life: &Life, said: bool) {
+    fn life_ended(&self, life: &Life, reported: bool) {
         slog::info!(self.0.config.log, "agent: the worker's life is ending";
             "life" => &**life);
         let now = Instant::now();
-        if self.lock().mark_leaving(life, said, now + LEAVE_PERIOD) {
+        if self.lock().mark_leaving(life, reported, now + LEAVE_PERIOD) {
             let member = self.clone();
             tokio::spawn(async move {
                 tokio::time::sleep_until(now + LEAVE_PERIOD).await;
--- a/src/cell/member/poll.rs
+++ b/src/cell/member/poll.rs
@@ -35,10 +35,11 @@
                 self.0.poll_now.notified().await;
                 continue;
             };
-            if let Some(target) = poll.target {
+            if let Some(lease_until) = poll.lease_until {
                 let mut state = self.lock();
                 if let Some(view) = &mut state.worker {
-                    view.leased_until = view.leased_until.max(Some(target));
+                    view.leased_until =
+                        view.leased_until.max(Some(lease_until));
                 }
             }
             let answer = self.0.worker.poll(
@@ -90,7 +91,7 @@
         if !unacknowledged {
             return POLL_WAIT;
         }
-        if self.lock().has_unacknowledged_end(poll.acknowledged) {
+        if self.lock().has_acknowledgeable_end(poll.acknowledged) {
             // The next poll is sent at once, because only now is it known
             // which birth will receive the acknowledgement.
             return Duration::ZERO;
--- a/src/cell/member/state.rs
+++ b/src/cell/member/state.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Update {
     /// A new life is here.
-    Life,
+    NewLife,
     /// The worker's capacity, or whether it is leaving, has changed.
     Changed,
     /// The heartbeat names another life while the known one answers.
@@ -59,11 +59,15 @@
 /// The parameters of a poll.
 #[derive(Clone, Debug)]
 pub struct Poll {
+    /// The number of the poll in its life.
     pub number: u64,
     pub call: Call,
+    /// The highest end that is acknowledged, or 0.
     pub acknowledged: u64,
+    /// The end of the lease on the worker's clock, if a lease is given.
     pub expires: Option<WorkerTime>,
-    pub target: Option<Instant>,
+    /// The same on this machine's clock.
+    pub lease_until: Option<Instant>,
 }
 
 /// The state of an agent.
@@ -103,7 +107,7 @@
         }
     }
 
-    pub fn heartbeat(
+    pub fn apply_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
         lease: Duration,
@@ -122,12 +126,14 @@
             _ => {
                 let mut view = View::new(heartbeat, lease, now);
                 if let Some(earlier) = self.worker.take() {
-                    self.previous =
-                        Some((earlier.before(), now + PREVIOUS_REPORTED_FOR));
+                    self.previous = Some((
+                        earlier.past_life(),
+                        now + PREVIOUS_REPORTED_FOR,
+                    ));
                     view.late_runs = earlier.late_runs(&view.heartbeat.life);
                 }
                 self.worker = Some(view);
-                return Update::Life;
+                return Update::NewLife;
             }
         };
         if heartbeat.sequence <= view.heartbeat.sequence {
@@ -202,7 +208,7 @@
             .filter(|_| all_barred)
             .map(|(before, _)| before.clone());
         let before = match over {
-            Some(view) if view.has_listed => Some(view.before()),
+            Some(view) if view.has_listed => Some(view.past_life()),
             Some(view) => before.map(|before| Before {
                 // The leases of this life have run out together with those of
                 // its successor.
@@ -254,12 +260,16 @@
     /// Returns the time until which a lease may be given now, if any. An
     /// unresponsive worker gets no lease, because the agent could then never
     /// know that the leases of its runs have run out.
-    pub fn target(&self, lease: Duration, now: Instant) -> Option<Instant> {
+    pub fn lease_until(
+        &self,
+        lease: Duration,
+        now: Instant,
+    ) -> Option<Instant> {
         let granted = self.granted_until?;
         let silent = self.worker.as_ref().is_some_and(|w| w.is_silent(now));
-        let left = granted.left();
-        let may = left > MIN_LEASE && !silent;
-        may.then(|| now + left.min(lease))
+        let remaining = granted.left();
+        let allowed = remaining > MIN_LEASE && !silent;
+        allowed.then(|| now + remaining.min(lease))
     }
 
     /// Returns the parameters of the next poll.
@@ -268,12 +278,12 @@
         lease: Duration,
         now: Instant,
     ) -> Option<Poll> {
-        let target = self.target(lease, now);
+        let lease_until = self.lease_until(lease, now);
         let token = self.token;
         // Ends are acknowledged only while they are listed: a delayed poll
         // that reaches a later birth must not make that birth forget its own
         // ends.
-        let has_unacknowledged = self.has_unacknowledged_end(0);
+        let has_acknowledgeable = self.has_acknowledgeable_end(0);
         let view = self.worker.as_mut()?;
         view.polls += 1;
         // Ends are acknowledged only right after this birth has answered. A
@@ -283,11 +293,12 @@
             .last_poll_answer
             .take()
             .is_some_and(|at| now < at + ACKNOWLEDGE_WITHIN);
-        let acknowledged = match has_unacknowledged && is_recent {
+        let acknowledged = match has_acknowledgeable && is_recent {
             true => view.acknowledged,
             false => 0,
         };
-        let expires = target.and_then(|target| view.worker_time_at(target));
+        let expires = lease_until
+            .and_then(|lease_until| view.worker_time_at(lease_until));
         Some(Poll {
             number: view.polls,
             call: Call {
@@ -296,7 +307,7 @@
             },
             acknowledged,
             expires,
-            target: target.filter(|_| expires.is_some()),
+            lease_until: lease_until.filter(|_| expires.is_some()),
         })
     }
 
@@ -368,18 +379,18 @@
     /// Records that a start in a life was not answered.
     pub fn mark_start_unanswered(&mut self, life: &Life) {
         let view = self.worker.as_mut();
-        if let Some(view) = view.filter(|k| k.heartbeat.life == *life) {
+        if let Some(view) = view.filter(|view| view.heartbeat.life == *life) {
             view.start_unanswered = true;
         }
     }
 
     /// Returns whether an end with a number above `beyond` is listed and may
     /// be acknowledged.
-    pub fn has_unacknowledged_end(&self, beyond: u64) -> bool {
+    pub fn has_acknowledgeable_end(&self, beyond: u64) -> bool {
         self.worker.as_ref().is_some_and(|view| {
-            let may = beyond + 1..=view.acknowledged;
+            let acknowledgeable = beyond + 1..=view.acknowledged;
             let mut ended = view.lists.iter().flat_map(|l| &l.ended);
-            ended.any(|end| may.contains(&end.number))
+            ended.any(|end| acknowledgeable.contains(&end.number))
         })
     }
 
--- a/src/cell/member/view.rs
+++ b/src/cell/member/view.rs
@@ -60,14 +60,16 @@
     pub heartbeat: Heartbeat,
     /// The time until which a leaving worker stays at least.
     pub stays_until: Option<Instant>,
-    /// The worker's time, and when it was received; the worker's clock showed
-    /// that time no later.
+    /// The worker's time, and when it was received: the worker's clock was
+    /// then at or past that time.
     pub clock: Option<(WorkerTime, Instant)>,
     pub lists: Option<Lists>,
     /// The ends listed last, kept after the lists became invalid.
     pub last_ended: Vec<Ended>,
     /// The number of polls so far.
     pub polls: u64,
+    /// The highest end that the planner has recorded, which may therefore be
+    /// acknowledged.
     pub acknowledged: u64,
     pub starts: BTreeMap<Key, Start>,
     pub stops: BTreeSet<Key>,
@@ -89,7 +91,7 @@
     /// The number of consecutive polls without an answer, regardless of
     /// heartbeats.
     pub failed_polls: u32,
-    /// The latest time at which the leases of all runs have ended.
+    /// The latest time until which any run may continue.
     pub leased_until: Option<Instant>,
     /// When the life counts as over.
     pub over_at: Option<Instant>,
@@ -152,10 +154,10 @@
             // one.
             return BTreeSet::new();
         }
-        let under_way =
+        let in_progress =
             |phase: &Phase| matches!(phase, Phase::Starting | Phase::Started);
         let orders = self.phases.iter();
-        let orders = orders.filter(|(_, phase)| under_way(phase));
+        let orders = orders.filter(|(_, phase)| in_progress(phase));
         let mut late = self.late_runs;
         late.extend(orders.map(|(key, _)| key.clone()));
         late.extend(self.begun.into_keys());
@@ -191,7 +193,7 @@
     }
 
     /// Returns the report of this life for the time after its end.
-    pub(super) fn before(&self) -> Before {
+    pub(super) fn past_life(&self) -> Before {
         // The ends read from this life are reported, so that these runs are
         // not repeated.
         let ended = self.lists.as_ref().map_or(&self.last_ended, |l| &l.ended);
@@ -231,10 +233,10 @@
 
     /// Returns whether the last poll was answered, and recently.
     pub(super) fn is_responding(&self, now: Instant) -> bool {
-        let lately = self
+        let recent = self
             .clock
             .is_some_and(|(_, at)| now < at + CONFIRMATION_LIFETIME);
-        lately && self.is_current()
+        recent && self.is_current()
     }
 
     /// Returns whether there has been no sign of the worker for long.
@@ -247,9 +249,9 @@
     }
 
     /// Returns the worker's time at an instant, or a little before it.
-    pub fn worker_time_at(&self, target: Instant) -> Option<WorkerTime> {
+    pub fn worker_time_at(&self, instant: Instant) -> Option<WorkerTime> {
         let (time, at) = self.clock?;
-        let ahead = target.saturating_duration_since(at);
+        let ahead = instant.saturating_duration_since(at);
         Some(time + ahead.as_millis() as u64)
     }
 
@@ -279,9 +281,9 @@
                 poll, confirmed, ..
             } = phase
             {
-                let now_sure = *poll <= number && !listed.contains(key);
-                any |= now_sure && !*confirmed;
-                *confirmed |= now_sure;
+                let confirms = *poll <= number && !listed.contains(key);
+                any |= confirms && !*confirmed;
+                *confirmed |= confirms;
             }
         }
         any
--- a/src/cell/mod.rs
+++ b/src/cell/mod.rs
@@ -40,9 +40,9 @@
 
 use std::time::Duration;
 
-/// Sleeps between `least` and twice that before a call is retried. The jitter
-/// keeps many processes from calling at the same moment.
-pub(crate) async fn pause(least: Duration) {
-    let jitter = least.mul_f64(fastrand::f64());
-    tokio::time::sleep(least + jitter).await;
+/// Sleeps between `min_delay` and twice that before a call is retried. The
+/// jitter keeps many processes from calling at the same moment.
+pub(crate) async fn pause(min_delay: Duration) {
+    let jitter = min_delay.mul_f64(fastrand::f64());
+    tokio::time::sleep(min_delay + jitter).await;
 }
--- a/src/cell/relay/peers.rs
+++ b/src/cell/relay/peers.rs
@@ -175,8 +175,8 @@
         call: &Call,
     ) -> Option<Result<Answer, Error>> {
         for address in self.candidates() {
-            let asked = self.ask_one(&address, call).await;
-            let outcome = match &asked {
+            let reply = self.ask_one(&address, call).await;
+            let outcome = match &reply {
                 Ok(Reply::Done(_)) => "done",
                 Ok(Reply::Forgotten(_)) => "forgotten",
                 Ok(Reply::NotDone) => "not done",
@@ -190,7 +190,7 @@
                 "store: a call was made through another entry";
                 "call" => call.word(), "by" => &address,
                 "outcome" => outcome);
-            let answer = match asked {
+            let answer = match reply {
                 Ok(Reply::Done(answer)) => Ok(answer),
                 Ok(Reply::Forgotten(after)) => Err(Error::Forgotten(after)),
                 Ok(Reply::Unsure) | Err(Failure::NoAnswer)
@@ -234,9 +234,9 @@
         let connection =
             self.connection(address).await.ok_or(Failure::NotAsked)?;
         let limit = call.wait() + ANSWER_SLACK;
-        let asked =
+        let reply =
             tokio::time::timeout(limit, connection.store(call.clone()));
-        match asked.await {
+        match reply.await {
             Ok(Ok(reply)) => Ok(reply),
             Ok(Err(_)) | Err(_) => {
                 self.lock().connections.remove(address);
--- a/src/cell/session.rs
+++ b/src/cell/session.rs
@@ -170,7 +170,8 @@
                 count_claim("given up");
                 slog::info!(self.log, "planner: has stepped down";
                     "token" => claim.token, "outcome" => ?planned);
-                // Revoking the lease lets another process claim at once.
+                // Ending the lease lets this process or another one claim at
+                // once.
                 if claim.holds() {
                     let revoked = self.store.revoke(claim.lease);
                     let revoked =
