--- a/crates/landingvalve-sim/src/day.rs
+++ b/crates/landingvalve-sim/src/day.rs
@@ -273,7 +273,7 @@
             host,
             source: Source::new(),
             advice: None,
-            terms: Terms::default(),
+            options: Terms::default(),
             log: log::none(),
         };
         // Nobody stops it in an orderly way: who drops the other end would.
--- a/crates/landingvalve-sim/src/worker.rs
+++ b/crates/landingvalve-sim/src/worker.rs
@@ -637,7 +637,7 @@
             load: Some(f64::from(u8::from(work.whole)) * 1000.0),
         });
         Snapshot {
-            born: self.life().born(),
+            birth: self.life().born(),
             time: self.time(),
             lists: Lists {
                 running: running.collect(),
--- a/src/cell/member/poll.rs
+++ b/src/cell/member/poll.rs
@@ -74,10 +74,10 @@
         poll: &Poll,
         snapshot: Snapshot,
     ) -> Duration {
-        if poll.call.life.is_other(snapshot.born) {
+        if poll.call.life.is_other(snapshot.birth) {
             slog::warn!(self.0.config.log,
                 "agent: the worker has restarted under its name";
-                "life" => &*poll.call.life, "born" => snapshot.born);
+                "life" => &*poll.call.life, "born" => snapshot.birth);
         }
         let unacknowledged = snapshot
             .lists
--- a/src/cell/member/state.rs
+++ b/src/cell/member/state.rs
@@ -325,7 +325,7 @@
         if view.heartbeat.life != poll.call.life {
             return false;
         }
-        if view.heartbeat.life.is_other(snapshot.born) {
+        if view.heartbeat.life.is_other(snapshot.birth) {
             // The successor is added by its own heartbeat, which no longer
             // conflicts now that this birth does not answer.
             view.mark_replaced();
--- a/src/cell/planner/calls.rs
+++ b/src/cell/planner/calls.rs
@@ -36,7 +36,7 @@
         else {
             return;
         };
-        let Some(question) = self.book.question(Moment::present()) else {
+        let Some(question) = self.scheduler.question(Moment::present()) else {
             return;
         };
         self.advice_pending = true;
@@ -52,7 +52,7 @@
     /// Reads the saved reports of unresponsive agents, before their runs are
     /// considered lost.
     pub(super) fn read_saved_reports(&mut self, myself: &ActorRef<Message>) {
-        let agents = self.book.take_inquiries();
+        let agents = self.scheduler.take_inquiries();
         if agents.is_empty() {
             return;
         }
@@ -85,7 +85,7 @@
             slog::info!(self.log, "planner: an agent is unresponsive";
                 "agent" => &**agent, "kept" => report.is_some(),
                 "token" => self.claim.token);
-            self.book.inquired(agent, report, sent.into_std(), now);
+            self.scheduler.inquired(agent, report, sent.into_std(), now);
         }
     }
 
@@ -93,7 +93,7 @@
         if self.writing {
             return;
         }
-        let batch = self.book.unwritten(writer::MAX_BATCH_JOBS);
+        let batch = self.scheduler.unwritten(writer::MAX_BATCH_JOBS);
         if batch.is_empty() {
             return;
         }
@@ -114,7 +114,9 @@
     pub(super) fn remove_ended(&mut self, myself: &ActorRef<Message>) {
         let before = clock::wall().checked_sub(RECORD_RETENTION);
         let ids: Vec<Id> = match before {
-            Some(before) if !self.removing => self.book.ended_before(before),
+            Some(before) if !self.removing => {
+                self.scheduler.ended_before(before)
+            }
             _ => return,
         };
         let ids: Vec<Id> = ids.into_iter().take(MAX_REMOVED_JOBS).collect();
--- a/src/cell/planner/mod.rs
+++ b/src/cell/planner/mod.rs
@@ -98,7 +98,7 @@
     /// The channel for questions to the advice service, if there is one.
     pub advice: Option<advice::Sender>,
     /// The times and the policy that decisions rest on.
-    pub terms: Terms,
+    pub options: Terms,
     /// The jobs and cancellations that entries have written so far.
     pub intake: Listing,
     /// The jobs' progress that earlier planners have written.
@@ -116,7 +116,7 @@
     source: Source,
     advice: Option<advice::Sender>,
     advice_pending: bool,
-    book: Book,
+    scheduler: Book,
     records: Records,
     /// The progress of jobs whose acceptance was not read yet.
     unclaimed_progress: BTreeMap<String, Progress>,
@@ -181,7 +181,7 @@
             }
             Message::Advice(question, tickets, sent) => {
                 state.advice_pending = false;
-                state.book.advised(&question, tickets, sent.into_std());
+                state.scheduler.advised(&question, tickets, sent.into_std());
             }
             Message::RestEnded => state.resting = false,
             Message::Tick => state.tick(&myself),
@@ -207,7 +207,7 @@
             source: start.source,
             advice: start.advice,
             advice_pending: false,
-            book: Book::new(start.terms, Moment::present()),
+            scheduler: Book::new(start.options, Moment::present()),
             records: Records::default(),
             unclaimed_progress: BTreeMap::new(),
             unreadable: BTreeSet::new(),
@@ -265,7 +265,7 @@
             };
             match keys::intake(&item.key) {
                 Some(Intake::Job(id)) if self.unreadable.contains(id) => {}
-                Some(Intake::Job(id)) if !self.book.knows(id) => {
+                Some(Intake::Job(id)) if !self.scheduler.knows(id) => {
                     self.accept(id, &item.value, now);
                 }
                 Some(Intake::Cancel(id)) => cancelled.push(id.to_owned()),
@@ -275,7 +275,7 @@
         // In key order a cancellation precedes its job, so cancellations are
         // applied last.
         for id in cancelled {
-            self.book.cancel(&id, now);
+            self.scheduler.cancel(&id, now);
         }
     }
 
@@ -291,7 +291,7 @@
                     "age_ms" => age.unwrap_or_default().as_millis() as u64,
                     "steps" => describe_steps(&job), "times" => job.times(),
                     "token" => self.claim.token);
-                self.book.accept(job, progress, now);
+                self.scheduler.accept(job, progress, now);
             }
             Err(error) => slog::error!(self.log,
                 "planner: a job cannot be decoded"; "job" => id,
@@ -319,7 +319,7 @@
             send_answer(&self.log, waiting.reply, Answer::NotPlanner);
             return;
         }
-        self.book.report(report, Moment::present());
+        self.scheduler.report(report, Moment::present());
         if let Some(earlier) = self.waiting.insert(agent, waiting) {
             // The agent has given up the earlier report for the new one.
             send_answer(&self.log, earlier.reply, Answer::NotPlanner);
@@ -342,14 +342,14 @@
         for (id, version, revision) in written.jobs {
             self.records.revisions.insert(id.clone(), revision);
             self.records.begun.insert(id.clone());
-            self.book.written(&id, version);
+            self.scheduler.written(&id, version);
         }
     }
 
     fn removed(&mut self, ids: &[Id]) {
         self.removing = false;
         for id in ids {
-            self.book.forget(id);
+            self.scheduler.forget(id);
             self.records.revisions.remove(id);
             self.records.begun.remove(id);
         }
@@ -358,8 +358,8 @@
     /// Returns whether there is anything to decide, write or answer.
     fn is_due(&self) -> bool {
         self.is_pass_due()
-            || self.book.is_stirred()
-            || !self.writing && self.book.is_dirty()
+            || self.scheduler.is_stirred()
+            || !self.writing && self.scheduler.is_dirty()
             || self
                 .due
                 .iter()
@@ -367,7 +367,7 @@
     }
 
     fn is_pass_due(&self) -> bool {
-        !self.resting && (self.tick_due || self.book.is_changed())
+        !self.resting && (self.tick_due || self.scheduler.is_changed())
     }
 
     fn decide(&mut self, myself: &ActorRef<Message>) {
@@ -379,7 +379,7 @@
             self.run_pass(myself);
         }
         self.write(myself);
-        self.due.extend(self.book.take_stirred());
+        self.due.extend(self.scheduler.take_stirred());
         let due: Vec<AgentId> = self
             .due
             .iter()
@@ -403,13 +403,13 @@
         if let Some(configuration) = self.source.current() {
             if configuration.guarantees != self.guarantees {
                 self.guarantees = configuration.guarantees.clone();
-                self.book.set_guarantees(self.guarantees.clone());
+                self.scheduler.set_guarantees(self.guarantees.clone());
             }
         }
-        self.book.set_closed(self.source.closed());
-        self.book.step(Moment::present());
+        self.scheduler.set_closed(self.source.closed());
+        self.scheduler.step(Moment::present());
         let token = self.claim.token;
-        for decision in self.book.take_decisions() {
+        for decision in self.scheduler.take_decisions() {
             self.decision_log.record(&decision, token);
         }
         self.ask_advice(myself);
@@ -425,7 +425,7 @@
             return;
         }
         let holds = self.claim.holds();
-        let mut orders = self.book.orders_of(agents);
+        let mut orders = self.scheduler.orders_of(agents);
         for agent in agents {
             let Some(waiting) = self.waiting.remove(agent) else {
                 continue;
@@ -444,7 +444,7 @@
     }
 
     fn tick(&mut self, myself: &ActorRef<Message>) {
-        self.tick_due = !self.book.is_idle();
+        self.tick_due = !self.scheduler.is_idle();
         let now = Instant::now();
         let expired: Vec<AgentId> = self
             .waiting
--- a/src/cell/session.rs
+++ b/src/cell/session.rs
@@ -138,7 +138,7 @@
     /// The channel for questions to the advice service, if there is one.
     pub advice: Option<advice::Sender>,
     /// The times and the policy that decisions rest on.
-    pub terms: Terms,
+    pub options: Terms,
     /// The log.
     pub log: slog::Logger,
 }
@@ -216,7 +216,7 @@
             claim: claim.clone(),
             source: self.source.clone(),
             advice: self.advice.clone(),
-            terms: self.terms,
+            options: self.options,
             intake,
             progress,
             claim_lost,
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
     /// The worker's birth, if the worker reports one.
-    pub born: Option<Birth>,
+    pub birth: Option<Birth>,
     /// The worker's time.
     pub time: WorkerTime,
     /// The runs that the worker lists.
--- a/tests/it/cell.rs
+++ b/tests/it/cell.rs
@@ -727,7 +727,7 @@
                     let shown = !tasks.ended.is_empty();
                     tasks.mute |= tasks.mutes_once_shown && shown;
                     return Ok(Snapshot {
-                        born: tasks.birth(),
+                        birth: tasks.birth(),
                         time: tasks.time(self.started),
                         lists: Lists {
                             running: tasks.running.clone(),
@@ -809,7 +809,7 @@
             host,
             source: Source::new(),
             advice: None,
-            terms,
+            options: terms,
             log,
         };
         let (stop, stopped) = watch::channel(false);
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -21,7 +21,7 @@
 # What is changed, where, from what to what.
 MUTATIONS = [
     ("births are not compared in looks", STATE,
-     "if view.heartbeat.life.is_other(snapshot.born) {", "if false {"),
+     "if view.heartbeat.life.is_other(snapshot.birth) {", "if false {"),
     ("late starts are not barred in a new birth", STATE,
      "view.late_runs = earlier.late_runs(&view.heartbeat.life);", ""),
     ("orders outlive what is told to be gone", STATE,
