--- a/src/cell/admission.rs
+++ b/src/cell/admission.rs
@@ -33,8 +33,8 @@
 const RETRY_DELAY: Duration = Duration::from_millis(60);
 /// How long the first write waits for an answer before it is repeated; the
 /// wait doubles with each further write. The slowest answers of a store that
-/// serves took 340 ms, and a job whose write is never answered is late 1.5 s
-/// after it was sent.
+/// serves took 340 ms, and a job that waits for an answer that never comes is
+/// late 1.5 s after it was sent.
 const FIRST_WRITE_TIMEOUT: Duration = Duration::from_millis(350);
 /// How long a request for a running job's state waits for the job's end: the
 /// time that an end takes from the worker through the planner into the store,
--- a/src/cell/configuration.rs
+++ b/src/cell/configuration.rs
@@ -99,7 +99,7 @@
     pub closed: &'static str,
 }
 
-/// What this process has read of the operators' keys.
+/// The operators' keys, as this process last read them.
 #[derive(Debug, Default)]
 struct State {
     current: Option<Arc<Configuration>>,
@@ -139,11 +139,11 @@
         self.lock().closed.clone()
     }
 
-    /// Returns the configuration if it was confirmed at most `age` ago.
-    pub fn fresh(&self, age: Duration) -> Option<Arc<Configuration>> {
+    /// Returns the configuration if it was confirmed at most `max_age` ago.
+    pub fn fresh(&self, max_age: Duration) -> Option<Arc<Configuration>> {
         let state = self.lock();
         let confirmed = state.confirmed?;
-        match confirmed.elapsed() <= age {
+        match confirmed.elapsed() <= max_age {
             true => state.current.clone(),
             false => None,
         }
@@ -154,16 +154,16 @@
         self.lock().confirmed.map(|confirmed| confirmed.elapsed())
     }
 
-    /// Returns the configuration once it was confirmed at most `age` ago, or
-    /// `None` at `until`.
+    /// Returns the configuration once it was confirmed at most `max_age`
+    /// ago, or `None` at `until`.
     pub async fn wait_fresh(
         &self,
-        age: Duration,
+        max_age: Duration,
         until: Instant,
     ) -> Option<Arc<Configuration>> {
         loop {
             let confirmed = self.confirmations.notified();
-            if let Some(fresh) = self.fresh(age) {
+            if let Some(fresh) = self.fresh(max_age) {
                 return Some(fresh);
             }
             tokio::time::timeout_at(until, confirmed).await.ok()?;
@@ -196,7 +196,7 @@
         store: impl Store,
         keys: Keys,
         decode: impl Fn(&[u8]) -> Result<Configuration, E>,
-        reach: Reachability,
+        reachability: Reachability,
         log: slog::Logger,
     ) {
         let mut reached = true;
@@ -220,7 +220,7 @@
                 _ => {}
             }
             reached = failed.is_none();
-            reach.set(reached);
+            reachability.set(reached);
             if !reached {
                 pause(RETRY_DELAY).await;
             }
--- a/src/cell/member/act.rs
+++ b/src/cell/member/act.rs
@@ -145,7 +145,7 @@
         // While polls fail, the worker may be down, and may come back as
         // another birth that would start the same run again. Runs that have
         // not begun anywhere need not wait for another start's answer. The
-        // view is asked, rather than the order, because the order may have
+        // view of the worker decides, rather than this order, which may have
         // been withdrawn and given again.
         let start_unanswered = view.start_unanswered && view.may_run(key);
         let expires = lease_until
--- a/src/cell/member/view.rs
+++ b/src/cell/member/view.rs
@@ -86,7 +86,7 @@
     /// sent.
     pub last_poll_answer: Option<Instant>,
     /// Whether a start was not answered since the last answered poll. The
-    /// worker may be down, and may come back as another birth.
+    /// worker may be down, and may restart as another birth.
     pub start_unanswered: bool,
     /// The number of consecutive polls without an answer, regardless of
     /// heartbeats.
--- a/src/cell/planner/mod.rs
+++ b/src/cell/planner/mod.rs
@@ -87,7 +87,7 @@
     since: Instant,
 }
 
-/// What a planner starts with.
+/// The arguments of a planner's start.
 pub struct Arguments<S> {
     /// The store.
     pub store: S,
--- a/src/cell/relay/mod.rs
+++ b/src/cell/relay/mod.rs
@@ -1,4 +1,4 @@
-//! Store calls by way of other entries.
+//! Store calls through other entries.
 //!
 //! The store may reject single machines, or the link of one machine to the
 //! store may be cut, while the store serves all others. A process in that
--- a/src/cell/session.rs
+++ b/src/cell/session.rs
@@ -124,7 +124,7 @@
     }
 }
 
-/// What an entry needs to claim and plan.
+/// An entry's role as a candidate for the claim, and as its holder.
 #[derive(Clone)]
 pub struct Session<S> {
     /// The store.
--- a/src/cell/worker.rs
+++ b/src/cell/worker.rs
@@ -15,7 +15,7 @@
 /// A time on a worker's own clock, in milliseconds.
 pub type WorkerTime = u64;
 
-/// What every call to a worker carries.
+/// The part that all calls to a worker share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
     /// The life that the call is meant for.
