--- a/src/cell/planner/mod.rs
+++ b/src/cell/planner/mod.rs
@@ -158,10 +158,10 @@
     async fn pre_start(
         &self,
         myself: ActorRef<Message>,
-        start: Arguments<S>,
+        arguments: Arguments<S>,
     ) -> Result<State<S>, ActorProcessingErr> {
         myself.send_interval(TICK_INTERVAL, || Message::Tick);
-        Ok(State::new(start))
+        Ok(State::new(arguments))
     }
 
     async fn handle(
@@ -200,14 +200,14 @@
 }
 
 impl<S: Store> State<S> {
-    fn new(start: Arguments<S>) -> State<S> {
+    fn new(arguments: Arguments<S>) -> State<S> {
         let mut state = State {
-            store: start.store,
-            claim: start.claim,
-            source: start.source,
-            advice: start.advice,
+            store: arguments.store,
+            claim: arguments.claim,
+            source: arguments.source,
+            advice: arguments.advice,
             advice_pending: false,
-            scheduler: Book::new(start.options, Moment::present()),
+            scheduler: Book::new(arguments.options, Moment::present()),
             records: Records::default(),
             unclaimed_progress: BTreeMap::new(),
             unreadable: BTreeSet::new(),
@@ -220,14 +220,14 @@
             waiting: BTreeMap::new(),
             due: BTreeSet::new(),
             guarantees: BTreeMap::new(),
-            claim_lost: start.claim_lost,
-            decision_log: Recorder::new(start.log.clone()),
-            log: start.log,
+            claim_lost: arguments.claim_lost,
+            decision_log: Recorder::new(arguments.log.clone()),
+            log: arguments.log,
         };
-        for item in start.progress.items {
+        for item in arguments.progress.items {
             state.load_progress(item);
         }
-        state.listing(start.intake);
+        state.listing(arguments.intake);
         state
     }
 
@@ -395,8 +395,8 @@
         let began = Instant::now();
         if began < self.rest_until {
             self.resting = true;
-            let left = self.rest_until - began;
-            myself.send_after(left, || Message::RestEnded);
+            let remaining = self.rest_until - began;
+            myself.send_after(remaining, || Message::RestEnded);
             return;
         }
         self.tick_due = false;
--- a/src/cell/relay/peers.rs
+++ b/src/cell/relay/peers.rs
@@ -249,11 +249,11 @@
         if let Some(connection) = self.lock().connections.get(address) {
             return Some(connection.clone());
         }
-        let connector = tokio::time::timeout(
+        let connecting = tokio::time::timeout(
             CONNECT_TIMEOUT,
             self.0.connector.connect(address),
         );
-        let connection = connector.await.ok()?.ok()?;
+        let connection = connecting.await.ok()?.ok()?;
         let mut state = self.lock();
         state
             .connections
--- a/src/cell/session.rs
+++ b/src/cell/session.rs
@@ -159,8 +159,8 @@
     }
 
     async fn try_once(&self, mut stop: watch::Receiver<bool>) {
-        let tried = claim::try_claim(&self.store, &self.holder);
-        match tokio::time::timeout(CALL_TIMEOUT * 2, tried).await {
+        let attempt = claim::try_claim(&self.store, &self.holder);
+        match tokio::time::timeout(CALL_TIMEOUT * 2, attempt).await {
             Ok(Ok(Attempt::Held(claim))) => {
                 count_claim("made");
                 slog::info!(self.log, "planner: has claimed";
@@ -211,7 +211,7 @@
         };
         let after = intake.revision;
         let (claim_lost, mut lost_signal) = watch::channel(false);
-        let start = Arguments {
+        let arguments = Arguments {
             store: self.store.clone(),
             claim: claim.clone(),
             source: self.source.clone(),
@@ -222,7 +222,7 @@
             claim_lost,
             log: self.log.clone(),
         };
-        let spawned = Actor::spawn(None, Planner::default(), start).await;
+        let spawned = Actor::spawn(None, Planner::default(), arguments).await;
         let planner = match spawned {
             Ok((planner, _)) => planner,
             Err(error) => {
