--- a/crates/landingvalve-sim/src/day.rs
+++ b/crates/landingvalve-sim/src/day.rs
@@ -261,7 +261,7 @@
         let peers = Peers::new(&name, dial, log::none());
         let direct = self.store.of(&self.network, process);
         let store = Relay::new(direct, peers.clone(), log::none());
-        let host = Host::new().with_carrier(Arc::new(store.clone()));
+        let host = Host::new().with_proxy(Arc::new(store.clone()));
         self.network.listen(&address, process, host.clone());
         let named = peers.follow(store.clone(), address.clone());
         let session = Session {
@@ -275,7 +275,7 @@
             host,
             source: Source::new(),
             advice: None,
-            terms: Options::default(),
+            options: Options::default(),
             log: log::none(),
         };
         // Nobody stops it in an orderly way: who drops the other end would.
@@ -305,7 +305,7 @@
             agent: format!("agent-{at}").into(),
             survival: Options::default().survival,
             lease: Duration::from_secs(6),
-            dial: self.network.dial(process),
+            connector: self.network.dial(process),
             log: log::none(),
         };
         let worker = agent.site.of(&self.network, process);
--- a/src/cell/admission.rs
+++ b/src/cell/admission.rs
@@ -1,4 +1,4 @@
-//! Taking jobs in, cancelling them, and saying how they stand.
+//! Accepts and cancels jobs, and reports how far they have come.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 
 use crate::cell::keys;
 use crate::cell::pause;
-use crate::cell::reach::Reach;
+use crate::cell::reachability::Reachability;
 use crate::graph;
 use crate::graph::Job;
 use crate::graph::JobId;
@@ -26,61 +26,63 @@
 use crate::telemetry::metrics;
 use crate::telemetry::metrics::label;
 
-/// How long a store that turns calls away is asked again before a job is
-/// refused: the caller is told at once when to come back.
-const PATIENCE: Duration = Duration::from_millis(600);
-/// How long is waited before the store is asked again.
-const AGAIN: Duration = Duration::from_millis(60);
-/// How long a write may have no answer before it is made again, for the
-/// first time; twice as long each further time. The slowest answers of a
-/// store that serves took 340 ms; a job that waits for one that does not
-/// come is late 1.5 s after it was sent.
-const UNANSWERED: Duration = Duration::from_millis(350);
-/// How long the end of a job that runs is waited for: what it takes from its
-/// worker through the planner into the store, with some to spare.
-const END: Duration = Duration::from_millis(120);
-/// How much longer than it waits such a call may take.
+/// How long a submission retries a store that rejects calls before the job is
+/// refused. The caller is then told when to come back.
+const DEFAULT_PATIENCE: Duration = Duration::from_millis(600);
+/// The delay before a failed call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
+/// How long the first write waits for an answer before it is repeated; the
+/// wait doubles with each further write. The slowest answers of a store that
+/// serves took 340 ms, and a job that waits for an answer that never comes is
+/// late 1.5 s after it was sent.
+const FIRST_WRITE_TIMEOUT: Duration = Duration::from_millis(350);
+/// How long a request for a running job's state waits for the job's end: the
+/// time that an end takes from the worker through the planner into the store,
+/// with a margin.
+const END_WAIT: Duration = Duration::from_millis(120);
+/// The time beyond its wait that such a call may take.
 const END_SLACK: Duration = Duration::from_millis(100);
-/// The least wait that is worth a call.
-const LEAST_WAIT: Duration = Duration::from_millis(10);
-/// How long an unanswered write is remembered: longer than a late write
-/// can take.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// The shortest wait that is worth a call.
+const MIN_WAIT: Duration = Duration::from_millis(10);
+/// How long an unanswered write is remembered: longer than a late write can
+/// take.
+const UNSURE_TTL: Duration = Duration::from_secs(60);
 
-/// What came of a submission.
+/// The outcome of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Submitted {
-    /// The job is kept, now or since an earlier submission.
+    /// The job is stored, by this submission or an earlier one.
     Accepted,
-    /// It is not kept, and this submission will not make it so.
+    /// The job is not stored, and this submission will not store it.
     Refused,
-    /// It may be kept: the caller must ask again under the same name.
+    /// The job may be stored. The caller must ask again under the same name.
     Unsure,
 }
 
 /// How far a job has come, for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// None of its tasks has begun.
+    /// No task of the job has begun.
     Queued,
-    /// A task has begun.
+    /// A task of the job has begun.
     Running,
-    /// It has ended.
+    /// The job has ended.
     Ended(Outcome),
 }
 
-/// The store does not answer in time.
+/// The store did not answer in time.
 #[derive(Debug, thiserror::Error)]
 #[error("the store does not answer: {0}")]
 pub struct Unavailable(String);
 
-/// Takes jobs in.
+/// Accepts and cancels jobs, and reads their state.
 #[derive(Clone, Debug)]
 pub struct Admission<S> {
     store: S,
-    reach: Reach,
+    reachability: Reachability,
     patience: Duration,
-    /// Jobs whose write had no answer here, and when.
+    /// The jobs whose write by this process was not answered, and the time of
+    /// the write.
     unsure: Arc<Mutex<HashMap<JobId, Instant>>>,
     log: slog::Logger,
 }
@@ -90,8 +92,8 @@
     pub fn new(store: S, log: slog::Logger) -> Admission<S> {
         Admission {
             store,
-            reach: Reach::new(),
-            patience: PATIENCE,
+            reachability: Reachability::new(),
+            patience: DEFAULT_PATIENCE,
             unsure: Arc::default(),
             log,
         }
@@ -103,15 +105,15 @@
         Admission { patience, ..self }
     }
 
-    /// Returns what is known of the way to the store, to be told of other
-    /// calls as well.
-    pub fn reach(&self) -> Reach {
-        self.reach.clone()
+    /// Returns the shared reachability of the store, so that other calls can
+    /// update it.
+    pub fn reachability(&self) -> Reachability {
+        self.reachability.clone()
     }
 
-    /// Keeps a job, unless it is kept already. Half of the time until the
-    /// deadline is spent on it at most: the caller then still has time to
-    /// ask again under the same name, through another entry.
+    /// Stores a job, unless it is stored already. At most half of the time
+    /// until the deadline is used, so that the caller can still ask again
+    /// under the same name through another entry.
     pub async fn submit(&self, job: &Job, deadline: Instant) -> Submitted {
         let submitted = match serde_json::to_vec(job) {
             Ok(value) => self.create(job, value, deadline).await,
@@ -146,16 +148,20 @@
         let absent = [Compare::Modified(key.clone(), 0)];
         let puts = vec![
             Mutation::Value(key, value, 0),
-            Mutation::Value(keys::waits(&job.queue, &job.id), Vec::new(), 0),
+            Mutation::Value(
+                keys::waiting_job(&job.queue, &job.id),
+                Vec::new(),
+                0,
+            ),
         ];
-        let mut limit = UNANSWERED;
+        let mut limit = FIRST_WRITE_TIMEOUT;
         loop {
             let unsure = self.is_unsure(&job.id);
             let until = match unsure {
                 true => deadline,
                 false => (began + self.patience).min(deadline),
             };
-            if !self.reach.wait(&self.store, until).await {
+            if !self.reachability.wait(&self.store, until).await {
                 return match unsure {
                     true => Submitted::Unsure,
                     false => Submitted::Refused,
@@ -169,17 +175,17 @@
                     return Submitted::Accepted;
                 }
                 Ok(Err(Error::Unreached(error))) => {
-                    slog::warn!(self.log, "entry: the store turns a job away";
+                    slog::warn!(self.log, "entry: the store rejected a job";
                         "job" => &*job.id, "error" => %error);
                 }
                 Ok(Err(_)) | Err(_) => self.set_unsure(&job.id),
             }
-            self.reach.set(false);
-            pause(AGAIN).await;
+            self.reachability.set(false);
+            pause(RETRY_DELAY).await;
         }
     }
 
-    /// Cancels a job; returns whether it is known.
+    /// Cancels a job. Returns whether the job exists.
     ///
     /// # Errors
     ///
@@ -189,8 +195,8 @@
         id: &str,
         deadline: Instant,
     ) -> Result<bool, Unavailable> {
-        let known = self.read(&keys::job(id), deadline).await?;
-        if known.is_none() {
+        let job = self.read(&keys::job(id), deadline).await?;
+        if job.is_none() {
             return Ok(false);
         }
         let key = keys::cancel(id);
@@ -200,7 +206,7 @@
             let swap = self.store.swap(&absent, puts);
             match tokio::time::timeout_at(deadline, swap).await {
                 Ok(Ok(_)) => break,
-                Ok(Err(error)) => again(error, deadline).await?,
+                Ok(Err(error)) => pause_before_retry(error, deadline).await?,
                 Err(_) => return Err(Unavailable("in time".to_owned())),
             }
         }
@@ -208,8 +214,9 @@
         Ok(true)
     }
 
-    /// Returns how far a job has come, if it is known. Of one that runs it
-    /// is waited a moment for news: callers often ask just as it ends.
+    /// Returns how far a job has come, or `None` if there is no such job. For
+    /// a running job the call waits briefly for its end, because callers often
+    /// ask just as it ends.
     ///
     /// # Errors
     ///
@@ -224,41 +231,42 @@
         if let Some(outcome) = ended {
             return Ok(Some(Stage::Ended(outcome)));
         }
-        // A cancel that is kept may yet come after the job's end: only the
-        // planner can tell, and what was told is never taken back.
+        // A stored cancellation does not make the job count as cancelled here:
+        // the job may have ended before, which only the planner knows, and a
+        // reported state must never be taken back.
         if let Some(progress) = progress {
-            let ended = self.end(&progress, deadline).await;
+            let ended = self.wait_for_end(&progress, deadline).await;
             return Ok(Some(ended.map_or(Stage::Running, Stage::Ended)));
         }
         let job = self.read(&keys::job(id), deadline).await?;
         Ok(job.map(|_| Stage::Queued))
     }
 
-    /// Waits a moment for a job's end.
-    async fn end(
+    /// Waits briefly for a job's end.
+    async fn wait_for_end(
         &self,
         progress: &Item,
         deadline: Instant,
     ) -> Option<Outcome> {
-        let until = (Instant::now() + END).min(deadline);
+        let until = (Instant::now() + END_WAIT).min(deadline);
         let mut after = progress.modified;
         loop {
             let now = Instant::now();
             let wait = until.saturating_duration_since(now);
-            if wait < LEAST_WAIT {
+            if wait < MIN_WAIT {
                 return None;
             }
             let changes = self.store.changes(&progress.key, after, wait);
-            // No answer is no news: the caller is told what is known.
+            // Without an answer the caller gets the state read before.
             let limit = (until + END_SLACK).min(deadline);
             let changes = tokio::time::timeout_at(limit, changes).await;
             let changes = changes.ok()?.ok()?;
             after = after.max(changes.revision);
-            // A store tells of all keys that begin so: a job whose name is
-            // longer is another one.
-            let told = changes.changes.into_iter().rev();
-            let mut told = told.filter(|c| c.key() == progress.key);
-            let item = match told.next() {
+            // The store reports all keys with this prefix, and so also those
+            // of jobs with a longer name.
+            let matching = changes.changes.into_iter().rev();
+            let mut matching = matching.filter(|c| c.key() == progress.key);
+            let item = match matching.next() {
                 Some(Change::Put(item)) => item,
                 Some(Change::Deleted(..)) => return None,
                 None => continue,
@@ -267,7 +275,8 @@
                 Ok(None) => {}
                 Ok(ended) => return ended,
                 Err(error) => {
-                    slog::error!(self.log, "entry: progress cannot be read";
+                    slog::error!(self.log,
+                        "entry: a job's progress cannot be decoded";
                         "key" => &item.key, "error" => %error);
                     return None;
                 }
@@ -275,7 +284,7 @@
         }
     }
 
-    /// Returns how many jobs of a queue have not begun.
+    /// Returns the number of jobs in a queue that have not begun.
     ///
     /// # Errors
     ///
@@ -285,12 +294,12 @@
         queue: &str,
         deadline: Instant,
     ) -> Result<usize, Unavailable> {
-        let prefix = keys::waiting(queue);
+        let prefix = keys::waiting_prefix(queue);
         loop {
             let list = self.store.list(&prefix);
             match tokio::time::timeout_at(deadline, list).await {
                 Ok(Ok(listing)) => return Ok(listing.items.len()),
-                Ok(Err(error)) => again(error, deadline).await?,
+                Ok(Err(error)) => pause_before_retry(error, deadline).await?,
                 Err(_) => return Err(Unavailable("in time".to_owned())),
             }
         }
@@ -305,7 +314,7 @@
             let get = self.store.get(key);
             match tokio::time::timeout_at(deadline, get).await {
                 Ok(Ok(item)) => return Ok(item),
-                Ok(Err(error)) => again(error, deadline).await?,
+                Ok(Err(error)) => pause_before_retry(error, deadline).await?,
                 Err(_) => return Err(Unavailable("in time".to_owned())),
             }
         }
@@ -321,23 +330,26 @@
         let now = Instant::now();
         let unsure = self.unsure.lock();
         let mut unsure = unsure.unwrap_or_else(PoisonError::into_inner);
-        unsure.retain(|_, since| now < *since + REMEMBERED);
+        unsure.retain(|_, since| now < *since + UNSURE_TTL);
         unsure.insert(id.clone(), now);
     }
 }
 
-/// Returns how the job of a kept progress has ended, if it has.
+/// Returns the outcome in a stored progress, if the job has ended.
 fn outcome(progress: &Item) -> Result<Option<Outcome>, Unavailable> {
     serde_json::from_slice::<Progress>(&progress.value)
         .map(|progress| progress.outcome)
         .map_err(|error| Unavailable(error.to_string()))
 }
 
-/// Waits before a call is made again, if there is time for it.
-async fn again(error: Error, deadline: Instant) -> Result<(), Unavailable> {
-    if Instant::now() + AGAIN * 2 >= deadline {
+/// Pauses before a call is retried, or fails if the deadline is too close.
+async fn pause_before_retry(
+    error: Error,
+    deadline: Instant,
+) -> Result<(), Unavailable> {
+    if Instant::now() + RETRY_DELAY * 2 >= deadline {
         return Err(Unavailable(error.to_string()));
     }
-    pause(AGAIN).await;
+    pause(RETRY_DELAY).await;
     Ok(())
 }
--- a/src/cell/claim.rs
+++ b/src/cell/claim.rs
@@ -1,4 +1,5 @@
-//! Who plans: a key under a lease, whose revision is the fencing token.
+//! The planner's claim: a key under a lease, whose revision is the fencing
+//! token.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -19,83 +20,99 @@
 use crate::store::Store;
 use crate::store::Swap;
 
-/// How long a claim holds without renewal. Short, since nothing new starts
-/// until another may claim; long against the store's slowest answers.
+/// How long a claim holds without renewal. Short, because nothing new starts
+/// until another process may claim; long compared to the store's slowest
+/// answers.
 pub const TTL: Duration = Duration::from_millis(2000);
-/// How often it is renewed.
-pub const RENEW: Duration = Duration::from_millis(500);
-/// How long at most a process leaves a free claim to stronger ones: a call of
-/// the store takes 340 ms where it is 84 times as slow as usual, the slowest
-/// seen.
-const HESITATES: Duration = Duration::from_millis(400);
-/// The cores that a planner of 240 workers took at its busiest: what a
-/// process is measured by while nobody has claimed yet.
-const PLANS: f64 = 0.45;
-/// The share of the strongest one's cores that counts as being as strong.
-const AS_STRONG: f64 = 0.9;
-/// How long a call for a renewal may take.
-const CALL: Duration = Duration::from_millis(900);
+/// The time between two renewals.
+pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(500);
+/// The longest time for which a process leaves a free claim to stronger ones.
+/// A store call takes 340 ms when the store is 84 times slower than usual, the
+/// slowest observed.
+const MAX_DEFERRAL: Duration = Duration::from_millis(400);
+/// The cores that a planner of 240 workers used at its busiest: the reference
+/// while no process has claimed yet.
+const PLANNER_CORES: f64 = 0.45;
+/// The share of the strongest process's cores from which a process counts as
+/// equally strong.
+const EQUAL_CORES_SHARE: f64 = 0.9;
+/// The longest that a renewal call may take.
+const RENEWAL_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// The value of the claim's key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Holder {
     /// The process's name.
     pub process: String,
-    /// Where agents reach its planner.
+    /// The address at which agents reach the process's planner.
     pub address: String,
-    /// The life of the process, drawn anew at each start.
+    /// The process's life, drawn at random at each start.
     pub life: String,
-    /// How many cores it may use.
+    /// The number of cores that the process may use.
     #[serde(default)]
     pub cores: f64,
 }
 
-/// A claim that this process holds.
+/// A claim held by this process.
 #[derive(Clone, Debug)]
 pub struct Claim {
-    /// The revision at which it was made: the key is written only then.
+    /// The fencing token: the revision at which the claim was made. The key is
+    /// not written again afterwards.
     pub token: Revision,
-    /// The lease it hangs on.
+    /// The lease of the claim's key.
     pub lease: LeaseId,
-    /// Until when it surely holds.
-    valid: Arc<Mutex<BootInstant>>,
+    /// The time until which the claim certainly holds.
+    valid_until: Arc<Mutex<BootInstant>>,
 }
 
 impl Claim {
-    /// Returns a claim that holds until `valid`.
-    pub fn new(token: Revision, lease: LeaseId, valid: BootInstant) -> Claim {
+    /// Returns a claim that holds until `valid_until`.
+    pub fn new(
+        token: Revision,
+        lease: LeaseId,
+        valid_until: BootInstant,
+    ) -> Claim {
         Claim {
             token,
             lease,
-            valid: Arc::new(Mutex::new(valid)),
+            valid_until: Arc::new(Mutex::new(valid_until)),
         }
     }
 
-    /// Returns whether it surely holds now.
+    /// Returns whether the claim certainly holds now.
     pub fn holds(&self) -> bool {
         self.valid_until().is_future()
     }
 
-    /// Returns until when it surely holds.
+    /// Returns the time until which the claim certainly holds.
     pub fn valid_until(&self) -> BootInstant {
-        *self.valid.lock().unwrap_or_else(PoisonError::into_inner)
+        *self
+            .valid_until
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the condition that it is still held, for writes.
+    /// Returns the condition, for writes, that the claim is still held.
     pub fn condition(&self) -> Compare {
         Compare::Modified(keys::PLANNER.to_owned(), self.token)
     }
 
-    /// Renews it once; returns whether it may still be held.
+    /// Renews the claim once. Returns whether the claim may still be held.
     pub async fn renew(&self, store: &impl Store) -> bool {
-        // Counted from before the call: the lease began later.
+        // The lease is counted from before the call, since it began no
+        // earlier.
         let sent = BootInstant::now();
-        let call = tokio::time::timeout(CALL, store.keep_alive(self.lease));
+        let call = tokio::time::timeout(
+            RENEWAL_TIMEOUT,
+            store.keep_alive(self.lease),
+        );
         match call.await {
             Ok(Ok(true)) => {
-                let mut valid =
-                    self.valid.lock().unwrap_or_else(PoisonError::into_inner);
-                *valid = (*valid).max(sent + TTL);
+                let mut valid_until = self
+                    .valid_until
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner);
+                *valid_until = (*valid_until).max(sent + TTL);
                 true
             }
             Ok(Ok(false)) => false,
@@ -104,12 +121,12 @@
     }
 }
 
-/// What a try to claim has shown.
+/// The outcome of a try to claim.
 #[derive(Clone, Debug)]
-pub enum Tried {
+pub enum Attempt {
     /// This process holds the claim.
     Held(Claim),
-    /// Another does, or may; as of this revision.
+    /// Another process holds the claim, or may hold it, as of this revision.
     Other(Revision),
 }
 
@@ -121,23 +138,23 @@
 pub async fn try_claim(
     store: &impl Store,
     holder: &Holder,
-) -> Result<Tried, Error> {
+) -> Result<Attempt, Error> {
     let current = store.get(keys::PLANNER).await?;
     let condition = match &current {
         None => Compare::Modified(keys::PLANNER.to_owned(), 0),
-        // An earlier life of this very process is over.
-        Some(item) if is_earlier(item, holder) => {
+        // The holder is an earlier run of this very process, which is over.
+        Some(item) if is_earlier_run(item, holder) => {
             Compare::Modified(keys::PLANNER.to_owned(), item.modified)
         }
-        Some(item) => return Ok(Tried::Other(item.modified)),
+        Some(item) => return Ok(Attempt::Other(item.modified)),
     };
     let strongest = strongest(store).await?;
-    if let Some(wait) = hesitation(holder.cores, strongest) {
+    if let Some(wait) = deferral(holder.cores, strongest) {
         tokio::time::sleep(wait).await;
         let current = store.get(keys::PLANNER).await?;
-        let others = current.filter(|item| !is_earlier(item, holder));
-        if let Some(item) = others {
-            return Ok(Tried::Other(item.modified));
+        let other = current.filter(|item| !is_earlier_run(item, holder));
+        if let Some(item) = other {
+            return Ok(Attempt::Other(item.modified));
         }
     }
     let sent = BootInstant::now();
@@ -145,17 +162,17 @@
     let value = serde_json::to_vec(holder).unwrap_or_default();
     let mut puts =
         vec![Mutation::Value(keys::PLANNER.to_owned(), value, lease)];
-    if strongest.is_none_or(|most| holder.cores > most) {
+    if strongest.is_none_or(|cores| holder.cores > cores) {
         let value = holder.cores.to_string().into_bytes();
         puts.push(Mutation::Value(keys::STRONGEST.to_owned(), value, 0));
     }
     match store.swap(&[condition], puts).await {
         Ok(Swap::Written(token)) => {
-            Ok(Tried::Held(Claim::new(token, lease, sent + TTL)))
+            Ok(Attempt::Held(Claim::new(token, lease, sent + TTL)))
         }
         Ok(Swap::Refused(items)) => {
-            let seen = items.first().map_or(0, |item| item.modified);
-            Ok(Tried::Other(seen))
+            let revision = items.first().map_or(0, |item| item.modified);
+            Ok(Attempt::Other(revision))
         }
         Err(error) => Err(error),
     }
@@ -168,16 +185,16 @@
     Ok(text.and_then(|text| text.parse().ok()))
 }
 
-/// Returns how long a process of `cores` leaves a free claim to others, if
-/// there may be stronger ones. A planner that came to live on a thin machine
-/// lost a day: it could not answer 240 agents in time.
-fn hesitation(cores: f64, strongest: Option<f64>) -> Option<Duration> {
-    let most = strongest.unwrap_or(PLANS);
-    let weak = cores < most * AS_STRONG;
-    weak.then(|| HESITATES.mul_f64(1.0 - (cores / most).max(0.0)))
+/// Returns how long a process with `cores` leaves a free claim to others, if
+/// there may be stronger ones. A planner on a machine with too little CPU
+/// could not answer 240 agents in time, and a day's work was lost.
+fn deferral(cores: f64, strongest: Option<f64>) -> Option<Duration> {
+    let reference = strongest.unwrap_or(PLANNER_CORES);
+    let weak = cores < reference * EQUAL_CORES_SHARE;
+    weak.then(|| MAX_DEFERRAL.mul_f64(1.0 - (cores / reference).max(0.0)))
 }
 
-fn is_earlier(item: &Item, holder: &Holder) -> bool {
+fn is_earlier_run(item: &Item, holder: &Holder) -> bool {
     serde_json::from_slice::<Holder>(&item.value)
         .is_ok_and(|current| current.process == holder.process)
 }
--- a/src/cell/teller.rs
+++ b/src/cell/decision_log.rs
@@ -1,4 +1,4 @@
-//! Telling decisions in the log, a line each, within a budget.
+//! Logs the planner's decisions, one line each, within a budget.
 
 use std::time::Duration;
 
@@ -14,46 +14,46 @@
 use crate::telemetry::metrics;
 use crate::telemetry::metrics::label;
 
-/// How many lines of one kind are written a second: a hundred jobs that come
-/// at once are told whole, and a storm costs no more than that.
-const BUDGET: u32 = 400;
-/// The time that the budget is for.
-const WINDOW: Duration = Duration::from_secs(1);
+/// The most lines of one kind in a window: enough to log a hundred jobs that
+/// arrive at once completely, while a storm of decisions stays bounded.
+const MAX_LINES_PER_WINDOW: u32 = 400;
+/// The length of a budget's window.
+const BUDGET_WINDOW: Duration = Duration::from_secs(1);
 
-/// A share of the log, for each kind of decision.
+/// The lines written and left out in a window, for one kind of decision.
 #[derive(Debug, Default)]
 struct Budget {
-    written: u32,
+    lines: u32,
     left_out: u32,
 }
 
-/// Writes decisions to a log.
-pub(super) struct Teller {
+/// Writes decisions to the log and counts them in metrics.
+pub(super) struct Recorder {
     log: slog::Logger,
     /// When the present window ends.
-    until: Instant,
-    /// What concerns workers.
+    window_ends: Instant,
+    /// The budget of decisions about workers.
     workers: Budget,
-    /// What concerns units and jobs.
+    /// The budget of decisions about units and jobs.
     units: Budget,
 }
 
-impl Teller {
-    /// Returns a teller with a whole budget.
-    pub fn new(log: slog::Logger) -> Teller {
-        Teller {
+impl Recorder {
+    /// Returns a recorder with an unused budget.
+    pub fn new(log: slog::Logger) -> Recorder {
+        Recorder {
             log,
-            until: Instant::now() + WINDOW,
+            window_ends: Instant::now() + BUDGET_WINDOW,
             workers: Budget::default(),
             units: Budget::default(),
         }
     }
 
-    /// Writes a decision, or counts it where the budget is spent. What a job
-    /// came to is always written.
-    pub fn tell(&mut self, decision: &Decision, token: Revision) {
-        measure(decision);
-        self.renew();
+    /// Logs a decision, or counts it as left out once the budget is spent. A
+    /// job's outcome is always logged.
+    pub fn record(&mut self, decision: &Decision, token: Revision) {
+        count_decision(decision);
+        self.renew_budgets();
         let budget = match decision {
             Decision::WorkerAdded { .. }
             | Decision::WorkerLost { .. }
@@ -63,24 +63,25 @@
             _ => &mut self.units,
         };
         let over = matches!(decision, Decision::JobEnded { .. });
-        if budget.written >= BUDGET && !over {
+        if budget.lines >= MAX_LINES_PER_WINDOW && !over {
             budget.left_out += 1;
             return;
         }
-        budget.written += 1;
-        write(&self.log, decision, token);
+        budget.lines += 1;
+        write_line(&self.log, decision, token);
     }
 
-    /// Begins another window once the present one is over.
-    fn renew(&mut self) {
+    /// Starts the next window once the present one has ended.
+    fn renew_budgets(&mut self) {
         let now = Instant::now();
-        if now < self.until {
+        if now < self.window_ends {
             return;
         }
-        self.until = now + WINDOW;
+        self.window_ends = now + BUDGET_WINDOW;
         let left_out = (self.workers.left_out, self.units.left_out);
         if left_out != (0, 0) {
-            slog::warn!(self.log, "planner: lines were left out";
+            slog::warn!(self.log,
+                "planner: decisions were left out of the log";
                 "workers" => left_out.0, "units" => left_out.1);
         }
         self.workers = Budget::default();
@@ -88,8 +89,8 @@
     }
 }
 
-/// Counts a decision, whether it is written or not.
-fn measure(decision: &Decision) {
+/// Counts a decision in the metrics, whether or not it is logged.
+fn count_decision(decision: &Decision) {
     let metrics = metrics::get();
     let kind = match decision {
         Decision::WorkerAdded { .. } => "worker known",
@@ -148,13 +149,13 @@
     metrics.decisions.add(1, &[label("kind", kind)]);
 }
 
-fn write(log: &slog::Logger, decision: &Decision, token: Revision) {
+fn write_line(log: &slog::Logger, decision: &Decision, token: Revision) {
     match decision {
         Decision::WorkerAdded { agent, life } => slog::info!(log,
             "planner: a worker is known"; "agent" => &**agent,
             "worker" => &**life, "token" => token),
         Decision::WorkerLost { life, silent } => slog::warn!(log,
-            "planner: a worker is taken for gone"; "worker" => &**life,
+            "planner: a worker is considered lost"; "worker" => &**life,
             "silent_ms" => millis(silent), "token" => token),
         Decision::Resized {
             life,
@@ -162,7 +163,7 @@
             to,
             used,
         } => slog::info!(log,
-            "planner: a worker's room has changed"; "worker" => &**life,
+            "planner: a worker's capacity has changed"; "worker" => &**life,
             "cpu" => to.cpu, "memory" => to.memory,
             "accelerators" => to.accelerators,
             "accelerators_before" => from.accelerators,
@@ -172,7 +173,7 @@
             duration: time,
             failed,
         } => slog::warn!(log,
-            "planner: a worker is kept apart"; "worker" => &**life,
+            "planner: a worker is quarantined"; "worker" => &**life,
             "for_ms" => millis(time), "failed" => failed, "token" => token),
         Decision::Paced {
             agent,
@@ -180,7 +181,7 @@
             to,
             worst,
         } => slog::info!(log,
-            "planner: what fills a worker is paced"; "agent" => &**agent,
+            "planner: filler runs on a worker are paced"; "agent" => &**agent,
             "from" => from, "to" => to, "worst" => worst, "token" => token),
         Decision::Waiting {
             subject: of,
@@ -190,7 +191,7 @@
             guarantee: standing,
             shortage,
         } => slog::info!(log,
-            "planner: a unit waits"; of, "on" => word(*what),
+            "planner: a unit waits"; of, "on" => waits_on(*what),
             "slack_ms" => slack, "of_workers" => workers,
             "lacks" => shortage.map(|s| s.kind.word()),
             "accelerators" => shortage.map(|s| s.needed),
@@ -200,7 +201,7 @@
             "held_within" => shortage.map(|s| s.usage.within),
             "held_lent" => shortage.map(|s| s.usage.borrowed),
             "held_lower" => shortage.map(|s| s.usage.lower),
-            Promise(*standing),
+            Guarantee(*standing),
             "token" => token),
         Decision::Reserved {
             subject: of,
@@ -223,7 +224,7 @@
             "planner: a unit is placed"; of, "run" => run,
             "workers" => names(on), "waited_ms" => millis(waited),
             "slack_ms" => slack, "expected_ms" => millis(expected),
-            Promise(*standing), "token" => token),
+            Guarantee(*standing), "token" => token),
         Decision::Stopped {
             subject: of,
             run,
@@ -269,16 +270,17 @@
     }
 }
 
-/// How a unit stands to what its account is guaranteed, if it is urgent.
-struct Promise(Option<GuaranteeStatus>);
+/// An urgent unit's position against its account's guarantee; empty for other
+/// units.
+struct Guarantee(Option<GuaranteeStatus>);
 
-impl slog::KV for Promise {
+impl slog::KV for Guarantee {
     fn serialize(
         &self,
         _record: &slog::Record<'_>,
         to: &mut dyn slog::Serializer,
     ) -> slog::Result {
-        let Promise(Some(standing)) = self else {
+        let Guarantee(Some(standing)) = self else {
             return Ok(());
         };
         to.emit_i64("guaranteed", standing.guaranteed)?;
@@ -310,7 +312,7 @@
     names.join(",")
 }
 
-fn word(what: WaitReason) -> &'static str {
+fn waits_on(what: WaitReason) -> &'static str {
     match what {
         WaitReason::Worker => "a worker",
         WaitReason::Room => "room",
--- a/src/cell/member/mod.rs
+++ b/src/cell/member/mod.rs
@@ -1,16 +1,16 @@
-//! The agent beside a worker: it alone calls the worker, and does what the
-//! planner that holds the claim orders.
+//! The agent beside a worker. Only the agent calls the worker, and it carries
+//! out the orders of the planner that holds the claim.
 //!
-//! The planner's orders are complete each time: what is listed is to be
-//! done, once, however often it is listed. Reports are complete as well, so
-//! that neither side depends on a message that was lost.
+//! Orders and reports are always complete. An order is carried out once,
+//! however often it is listed, and neither side depends on a message that was
+//! lost.
 
 mod act;
-mod keep;
-mod known;
 mod link;
-mod look;
+mod poll;
+mod save;
 mod state;
+mod view;
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -21,7 +21,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::cell::dial::Dial;
+use crate::cell::connector::Connector;
 use crate::cell::member::state::State;
 use crate::cell::worker::Worker;
 use crate::cell::worker::WorkerTime;
@@ -33,65 +33,65 @@
 use crate::telemetry::metrics;
 use crate::telemetry::metrics::label;
 
-/// How long after a worker has said that it is leaving it is surely gone.
-const LEAVES: Duration = Duration::from_millis(800);
+/// The time after which a worker that announced its end is certainly gone.
+const LEAVE_PERIOD: Duration = Duration::from_millis(800);
 
-/// What a member is told of its terms.
+/// The configuration of a member.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The agent's name.
     pub agent: AgentId,
-    /// How long the worker's tasks go on after the planner last granted
-    /// that; the planner counts on it.
+    /// How long the worker's tasks continue after the planner's last grant.
+    /// The planner relies on this value.
     pub survival: Duration,
-    /// The longest lease that the worker takes.
+    /// The longest lease that the worker accepts.
     pub lease: Duration,
-    /// How planners are reached.
-    pub dial: Arc<dyn Dial>,
-    /// Where logs go.
+    /// Opens connections to planners.
+    pub connector: Arc<dyn Connector>,
+    /// The log.
     pub log: slog::Logger,
 }
 
-/// What a worker says of itself.
+/// A worker's description of itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
-    /// Its life.
+    /// The worker's life.
     pub life: Life,
-    /// Rises with each heartbeat of this life.
+    /// Increases with each heartbeat of this life.
     pub sequence: u64,
-    /// The pool it belongs to.
+    /// The pool that the worker belongs to.
     pub pool: SharedStr,
-    /// The machine it runs on, if it says.
+    /// The machine that the worker runs on, if reported.
     pub machine: Option<SharedStr>,
-    /// Its hall.
+    /// The worker's hall.
     pub hall: SharedStr,
-    /// Its rack.
+    /// The worker's rack.
     pub rack: SharedStr,
-    /// Its labels.
+    /// The worker's labels.
     pub labels: Vec<SharedStr>,
-    /// Its whole room.
+    /// The worker's total resources.
     pub capacity: Resources,
-    /// Whether it is leaving.
+    /// Whether the worker is leaving.
     pub leaving: bool,
-    /// How long at least it stays, while it is leaving.
+    /// How long a leaving worker stays at least.
     pub remaining: Option<Duration>,
-    /// Its time.
+    /// The worker's time.
     pub time: Option<WorkerTime>,
 }
 
-struct Shared<W, S> {
+struct Inner<W, S> {
     config: Config,
     worker: W,
     store: S,
     state: Mutex<State>,
-    /// There is news for the planner.
-    news: Notify,
-    /// The worker is to be looked at now.
-    look: Notify,
+    /// Notified when there is something new to report.
+    report_now: Notify,
+    /// Notified when the worker must be polled at once.
+    poll_now: Notify,
 }
 
-/// An agent.
-pub struct Member<W, S>(Arc<Shared<W, S>>);
+/// An agent. Clones share their state.
+pub struct Member<W, S>(Arc<Inner<W, S>>);
 
 impl<W, S> Clone for Member<W, S> {
     fn clone(&self) -> Member<W, S> {
@@ -102,70 +102,71 @@
 impl<W: Worker, S: Store> Member<W, S> {
     /// Returns an agent that knows of no worker yet.
     pub fn new(config: Config, worker: W, store: S) -> Member<W, S> {
-        Member(Arc::new(Shared {
+        Member(Arc::new(Inner {
             config,
             worker,
             store,
             state: Mutex::new(State::new()),
-            news: Notify::new(),
-            look: Notify::new(),
+            report_now: Notify::new(),
+            poll_now: Notify::new(),
         }))
     }
 
-    /// Looks after the worker and speaks with the planner, for ever.
+    /// Polls the worker, reports to the planner and saves ends. Never returns.
     pub async fn run(&self) {
         tokio::join!(
-            self.watch_worker(),
+            self.poll_worker(),
             self.follow_planner(),
-            self.keep_ends()
+            self.save_ends()
         );
     }
 
-    /// Takes in what the worker says of itself.
+    /// Applies a worker's heartbeat.
     pub fn heartbeat(&self, heartbeat: Heartbeat) {
         let now = Instant::now();
         let life = heartbeat.life.clone();
         let leaving = heartbeat.leaving;
         let lease = self.0.config.lease;
-        match self.lock().heartbeat(heartbeat, lease, now) {
-            state::News::Life => {
-                slog::info!(self.0.config.log, "agent: a worker is here";
+        match self.lock().apply_heartbeat(heartbeat, lease, now) {
+            state::Update::NewLife => {
+                slog::info!(self.0.config.log,
+                    "agent: a new worker life has appeared";
                     "life" => &*life);
-                self.0.look.notify_one();
-                self.0.news.notify_one();
+                self.0.poll_now.notify_one();
+                self.0.report_now.notify_one();
                 let member = self.clone();
-                tokio::spawn(async move { member.bar_late(&life).await });
+                tokio::spawn(async move { member.bar_late_runs(&life).await });
             }
-            state::News::Terms => {
+            state::Update::Changed => {
                 slog::info!(self.0.config.log, "agent: the worker has changed";
                     "life" => &*life, "leaving" => leaving);
-                self.0.news.notify_one();
+                self.0.report_now.notify_one();
             }
-            state::News::Strange => {
+            state::Update::Conflict => {
                 metrics::get().strange.add(1, &[label("what", "life")]);
                 slog::warn!(self.0.config.log,
-                    "agent: another life answers here"; "life" => &*life);
-                // Whether it still does is asked at once.
-                self.0.look.notify_one();
+                    "agent: a heartbeat names another life"; "life" => &*life);
+                // A poll shows whether the known life still answers.
+                self.0.poll_now.notify_one();
             }
-            state::News::None => {}
+            state::Update::None => {}
         }
     }
 
-    /// Takes in that a worker of that name ends.
-    pub fn left(&self, name: &str) {
-        self.life_left(&Life::from(name), true);
+    /// Records that the worker with this name is about to end.
+    pub fn worker_left(&self, name: &str) {
+        self.life_ended(&Life::from(name), true);
     }
 
-    fn life_left(&self, life: &Life, said: bool) {
-        slog::info!(self.0.config.log, "agent: the worker has left";
+    fn life_ended(&self, life: &Life, reported: bool) {
+        slog::info!(self.0.config.log, "agent: the worker's life is ending";
             "life" => &**life);
         let now = Instant::now();
-        if self.lock().left(life, said, now + LEAVES) {
+        if self.lock().mark_leaving(life, reported, now + LEAVE_PERIOD) {
             let member = self.clone();
             tokio::spawn(async move {
-                tokio::time::sleep_until(now + LEAVES).await;
-                member.0.news.notify_one();
+                tokio::time::sleep_until(now + LEAVE_PERIOD).await;
+                member.0.report_now.notify_one();
             });
         }
     }
--- /dev/null
+++ b/src/cell/member/view.rs
@@ -0,0 +1,361 @@
+//! An agent's view of its worker.
+
+use std::collections::BTreeMap;
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+use crate::cell::member::Heartbeat;
+use crate::cell::worker::WorkerTime;
+use crate::graph::Ended;
+use crate::graph::Life;
+use crate::graph::Lists;
+use crate::graph::PastLife;
+use crate::graph::Refusal;
+use crate::graph::Refused;
+use crate::graph::Resources;
+use crate::graph::Run;
+use crate::graph::Start;
+use crate::graph::Task;
+use crate::graph::WorkerReport;
+
+/// The time without any sign of the worker after which its life counts as
+/// over.
+const SILENCE_LIMIT: Duration = Duration::from_millis(1500);
+/// How long a poll's answer confirms the worker's life: until the next poll is
+/// answered or has failed.
+const CONFIRMATION_LIFETIME: Duration = Duration::from_millis(1700);
+/// The consecutive failed polls after which a worker counts as unresponsive. A
+/// single poll may be lost with its connection.
+pub(super) const UNRESPONSIVE_POLLS: u32 = 2;
+
+/// A run of a task.
+pub type Key = (Task, Run);
+
+/// The state of an order.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Phase {
+    /// The run is being started. An order to stop it need not wait.
+    Starting,
+    /// The worker has started the run.
+    Started,
+    /// The run is being stopped.
+    Stopping,
+    /// The worker has refused or barred the run. The refusal is certain only
+    /// once a poll that began later does not list the run.
+    Refused {
+        /// The reason of the refusal.
+        why: Refusal,
+        /// The number of the first poll that can confirm the refusal.
+        poll: u64,
+        /// Whether such a poll has confirmed the refusal.
+        confirmed: bool,
+    },
+}
+
+/// An agent's view of one life of its worker.
+#[derive(Clone, Debug)]
+pub struct View {
+    pub heartbeat: Heartbeat,
+    /// The time until which a leaving worker stays at least.
+    pub stays_until: Option<Instant>,
+    /// The worker's time, and when it was received: the worker's clock was
+    /// then at or past that time.
+    pub clock: Option<(WorkerTime, Instant)>,
+    pub lists: Option<Lists>,
+    /// The ends listed last, kept after the lists became invalid.
+    pub last_ended: Vec<Ended>,
+    /// The number of polls so far.
+    pub polls: u64,
+    /// The highest end that the planner has recorded, which may therefore be
+    /// acknowledged.
+    pub acknowledged: u64,
+    pub starts: BTreeMap<Key, Start>,
+    pub stops: BTreeSet<Key>,
+    pub phases: BTreeMap<Key, Phase>,
+    /// The resources of the runs that have begun, or may have begun, and whose
+    /// end is not listed.
+    pub begun: BTreeMap<Key, Resources>,
+    /// Whether a poll of this life has been answered with lists.
+    pub has_listed: bool,
+    /// Whether the worker had more capacity earlier in this life.
+    pub shrunk: bool,
+    pub last_contact: Instant,
+    /// When this birth answered the last poll; cleared when another poll is
+    /// sent.
+    pub last_poll_answer: Option<Instant>,
+    /// Whether a start was not answered since the last answered poll. The
+    /// worker may be down, and may restart as another birth.
+    pub start_unanswered: bool,
+    /// The number of consecutive polls without an answer, regardless of
+    /// heartbeats.
+    pub failed_polls: u32,
+    /// The latest time until which any run may continue.
+    pub leased_until: Option<Instant>,
+    /// When the life counts as over.
+    pub over_at: Option<Instant>,
+    /// Whether the life counts as over because its leases ran out in silence.
+    pub lapsed: bool,
+    /// Whether the worker's process was seen to be down.
+    pub down: bool,
+    /// Whether the worker counts as leaving only because its end was reported
+    /// to the agent.
+    pub reported_left: bool,
+    /// The runs of earlier births under the same name that may still begin
+    /// here. A call names only the worker, and may be carried out seconds
+    /// later.
+    pub late_runs: BTreeSet<Key>,
+    /// The number of the last poll whose answer may not show the late runs;
+    /// answers up to it are ignored.
+    pub ignored_polls: u64,
+}
+
+impl View {
+    pub(super) fn new(
+        heartbeat: Heartbeat,
+        lease: Duration,
+        now: Instant,
+    ) -> View {
+        View {
+            stays_until: heartbeat.remaining.map(|remaining| now + remaining),
+            clock: heartbeat.time.map(|time| (time, now)),
+            heartbeat,
+            lists: None,
+            last_ended: Vec::new(),
+            polls: 0,
+            acknowledged: 0,
+            starts: BTreeMap::new(),
+            stops: BTreeSet::new(),
+            phases: BTreeMap::new(),
+            begun: BTreeMap::new(),
+            has_listed: false,
+            shrunk: false,
+            last_contact: now,
+            last_poll_answer: None,
+            start_unanswered: false,
+            failed_polls: 0,
+            // An earlier process of this agent may have given a lease of this
+            // length.
+            leased_until: Some(now + lease),
+            over_at: None,
+            reported_left: false,
+            lapsed: false,
+            down: false,
+            late_runs: BTreeSet::new(),
+            ignored_polls: 0,
+        }
+    }
+
+    /// Returns the runs whose orders may be carried out in a later life.
+    pub(super) fn late_runs(self, later: &Life) -> BTreeSet<Key> {
+        if self.heartbeat.life.name() != later.name() {
+            // A life of another name refuses these calls, since they name this
+            // one.
+            return BTreeSet::new();
+        }
+        let in_progress =
+            |phase: &Phase| matches!(phase, Phase::Starting | Phase::Started);
+        let orders = self.phases.iter();
+        let orders = orders.filter(|(_, phase)| in_progress(phase));
+        let mut late = self.late_runs;
+        late.extend(orders.map(|(key, _)| key.clone()));
+        late.extend(self.begun.into_keys());
+        late
+    }
+
+    /// Returns whether a start fits beside the runs that have begun, if the
+    /// worker's capacity has shrunk since the order. A worker that does not
+    /// enforce its capacity would start the run regardless.
+    pub fn has_room(&self, key: &Key, start: &Start) -> bool {
+        if !self.shrunk || self.is_listed(key) {
+            return true;
+        }
+        // The run's own unanswered start is not counted, as it may not have
+        // been carried out.
+        let others = self.begun.iter().filter(|(other, _)| *other != key);
+        let taken =
+            others.fold(start.charge, |sum, (_, charge)| sum.plus(charge));
+        self.heartbeat.capacity.holds(&taken)
+    }
+
+    /// Returns whether a run has begun, or may have begun by a start that was
+    /// not answered.
+    pub fn may_run(&self, key: &Key) -> bool {
+        self.begun.contains_key(key)
+    }
+
+    /// Records that another birth answers. The lists belong to this one.
+    pub(super) fn mark_replaced(&mut self) {
+        if let Some(lists) = self.lists.take() {
+            self.last_ended = lists.ended;
+        }
+    }
+
+    /// Returns the report of this life for the time after its end.
+    pub(super) fn past_life(&self) -> PastLife {
+        // The ends read from this life are reported, so that these runs are
+        // not repeated.
+        let ended = self.lists.as_ref().map_or(&self.last_ended, |l| &l.ended);
+        let unacknowledged =
+            ended.iter().filter(|end| end.number > self.acknowledged);
+        PastLife {
+            ended: unacknowledged.cloned().collect(),
+            life: self.heartbeat.life.clone(),
+            begun: self.begun.keys().cloned().collect(),
+            unseen: !self.has_listed,
+            over: false,
+        }
+    }
+
+    /// Records a sign of life from the worker.
+    pub fn mark_alive(&mut self, now: Instant) {
+        self.last_contact = now;
+        self.over_at = self.over_at.filter(|_| self.heartbeat.leaving);
+    }
+
+    /// Returns whether the worker answers no calls. It may still send
+    /// heartbeats, but orders would not be carried out.
+    pub fn is_unresponsive(&self) -> bool {
+        self.failed_polls >= UNRESPONSIVE_POLLS
+    }
+
+    /// Returns whether this life answers calls. A heartbeat of another life is
+    /// then either delayed, from a life that is gone, or false.
+    pub(super) fn is_confirmed(&self, now: Instant) -> bool {
+        self.is_responding(now) && self.over_at.is_none()
+    }
+
+    /// Returns whether the last poll was answered by this birth.
+    pub fn is_current(&self) -> bool {
+        self.lists.is_some() && self.failed_polls == 0
+    }
+
+    /// Returns whether the last poll was answered, and recently.
+    pub(super) fn is_responding(&self, now: Instant) -> bool {
+        let recent = self
+            .clock
+            .is_some_and(|(_, at)| now < at + CONFIRMATION_LIFETIME);
+        recent && self.is_current()
+    }
+
+    /// Returns whether there has been no sign of the worker for long.
+    pub fn is_silent(&self, now: Instant) -> bool {
+        now > self.last_contact + SILENCE_LIMIT
+    }
+
+    pub fn is_over(&self, now: Instant) -> bool {
+        self.over_at.is_some_and(|over| now >= over)
+    }
+
+    /// Returns the worker's time at an instant, or a little before it.
+    pub fn worker_time_at(&self, instant: Instant) -> Option<WorkerTime> {
+        let (time, at) = self.clock?;
+        let ahead = instant.saturating_duration_since(at);
+        Some(time + ahead.as_millis() as u64)
+    }
+
+    /// Returns whether a run is listed.
+    pub(super) fn is_listed(&self, key: &Key) -> bool {
+        self.lists.as_ref().is_some_and(|lists| {
+            let running = lists.running.iter().map(|r| (&r.task, r.run));
+            let ended = lists.ended.iter().map(|e| (&e.task, e.run));
+            running
+                .chain(ended)
+                .any(|(task, run)| *task == key.0 && run == key.1)
+        })
+    }
+
+    /// Confirms the refusals that a poll with this number does not contradict.
+    /// Returns whether there were any.
+    pub(super) fn confirm_refusals(&mut self, number: u64) -> bool {
+        let listed: BTreeSet<Key> = self
+            .phases
+            .keys()
+            .filter(|key| self.is_listed(key))
+            .cloned()
+            .collect();
+        let mut any = false;
+        for (key, phase) in &mut self.phases {
+            if let Phase::Refused {
+                poll, confirmed, ..
+            } = phase
+            {
+                let confirms = *poll <= number && !listed.contains(key);
+                any |= confirms && !*confirmed;
+                *confirmed |= confirms;
+            }
+        }
+        any
+    }
+
+    /// Returns the orders to act on now, and marks them as being carried out.
+    pub(super) fn take_due(&mut self) -> Vec<Key> {
+        let wanted = |key: &Key| {
+            self.starts.contains_key(key) || self.stops.contains(key)
+        };
+        self.phases.retain(|key, phase| {
+            wanted(key) || matches!(phase, Phase::Starting | Phase::Stopping)
+        });
+        let mut due = Vec::new();
+        for key in self.starts.keys() {
+            if !self.phases.contains_key(key) {
+                due.push(key.clone());
+            }
+        }
+        for key in &self.stops {
+            let idle = match self.phases.get(key) {
+                None | Some(Phase::Starting | Phase::Started) => true,
+                Some(Phase::Stopping) => false,
+                // A refused start may still arrive late, unless the run is
+                // barred.
+                Some(Phase::Refused { why, .. }) => *why != Refusal::Barred,
+            };
+            if idle {
+                due.push(key.clone());
+            }
+        }
+        for key in &due {
+            let phase = match self.stops.contains(key) {
+                true => Phase::Stopping,
+                false => Phase::Starting,
+            };
+            self.phases.insert(key.clone(), phase);
+        }
+        due
+    }
+
+    pub(super) fn report(&self, now: Instant) -> Option<WorkerReport> {
+        let lists = self.lists.clone()?;
+        let refused =
+            self.phases.iter().filter_map(|(key, phase)| match phase {
+                Phase::Refused {
+                    why,
+                    confirmed: true,
+                    ..
+                } => Some(Refused {
+                    task: key.0.clone(),
+                    run: key.1,
+                    why: *why,
+                }),
+                _ => None,
+            });
+        let remaining = self
+            .stays_until
+            .map(|stays| stays.saturating_duration_since(now).as_millis());
+        Some(WorkerReport {
+            life: self.heartbeat.life.clone(),
+            pool: self.heartbeat.pool.clone(),
+            machine: self.heartbeat.machine.clone(),
+            hall: self.heartbeat.hall.clone(),
+            rack: self.heartbeat.rack.clone(),
+            labels: self.heartbeat.labels.clone(),
+            capacity: self.heartbeat.capacity,
+            leaving: self.heartbeat.leaving,
+            silent: self.is_silent(now) || self.is_unresponsive(),
+            remaining_ms: remaining.map(|ms| ms as u64),
+            lists,
+            refused: refused.collect(),
+        })
+    }
+}
--- a/src/cell/planner/calls.rs
+++ b/src/cell/planner/calls.rs
@@ -1,5 +1,5 @@
-//! The calls that a planner makes beside deciding: it goes on meanwhile, and
-//! is told what came of each.
+//! The calls that a planner makes while it continues to decide. Each result
+//! comes back as a message.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,34 +21,39 @@
 use crate::store::Mutation;
 use crate::store::Store;
 
-/// How long records of ended jobs are kept; callers may ask for 120 s.
-const KEPT: Duration = Duration::from_secs(600);
-/// How many records are removed in one transaction of three entries each.
-const REMOVED: usize = 8;
+/// How long records of ended jobs are kept; callers may ask for a job for 120
+/// s.
+const RECORD_RETENTION: Duration = Duration::from_secs(600);
+/// The most jobs whose records are removed in one transaction, with three
+/// entries for each.
+const MAX_REMOVED_JOBS: usize = 8;
 
 impl<S: Store> State<S> {
-    /// Asks who may run a step, one question at a time.
-    pub(super) fn ask(&mut self, myself: &ActorRef<Message>) {
-        let Some(desk) = self.advice.clone().filter(|_| !self.asking) else {
+    /// Asks which workers may run a step, one question at a time.
+    pub(super) fn ask_advice(&mut self, myself: &ActorRef<Message>) {
+        let Some(advice) =
+            self.advice.clone().filter(|_| !self.advice_pending)
+        else {
             return;
         };
-        let Some(question) = self.book.take_question(Timestamp::now()) else {
+        let Some(question) = self.scheduler.take_question(Timestamp::now())
+        else {
             return;
         };
-        self.asking = true;
+        self.advice_pending = true;
         let myself = myself.clone();
         tokio::spawn(async move {
             let sent = Instant::now();
-            let good = advice::ask(&desk, question.clone()).await;
-            // A planner that has stopped needs no answer.
-            let _ = myself.cast(Message::Advised(question, good, sent));
+            let tickets = advice::ask(&advice, question.clone()).await;
+            // A stopped planner needs no answer.
+            let _ = myself.cast(Message::Advice(question, tickets, sent));
         });
     }
 
-    /// Reads what silent agents have kept, before what runs there is taken
-    /// for gone.
-    pub(super) fn inquire(&mut self, myself: &ActorRef<Message>) {
-        let agents = self.book.take_inquiries();
+    /// Reads the saved reports of unresponsive agents, before their runs are
+    /// considered lost.
+    pub(super) fn read_saved_reports(&mut self, myself: &ActorRef<Message>) {
+        let agents = self.scheduler.take_inquiries();
         if agents.is_empty() {
             return;
         }
@@ -57,30 +62,32 @@
         let log = self.log.clone();
         let myself = myself.clone();
         tokio::spawn(async move {
-            let Some((kept, sent)) = inquiry::read(&store, &claim, &log).await
+            let Some((saved, sent)) =
+                inquiry::read(&store, &claim, &log).await
             else {
                 return;
             };
-            // A planner that has stopped needs no answer.
-            let _ = myself.cast(Message::Inquired(agents, kept, sent));
+            // A stopped planner needs no answer.
+            let _ = myself.cast(Message::SavedReports(agents, saved, sent));
         });
     }
 
-    pub(super) fn inquired(
+    pub(super) fn apply_saved_reports(
         &mut self,
         agents: &[AgentId],
-        kept: Vec<Report>,
+        saved: Vec<Report>,
         sent: Instant,
     ) {
         let now = Timestamp::now();
-        let mut kept: BTreeMap<AgentId, Report> =
-            kept.into_iter().map(|r| (r.agent.clone(), r)).collect();
+        let mut saved: BTreeMap<AgentId, Report> =
+            saved.into_iter().map(|r| (r.agent.clone(), r)).collect();
         for agent in agents {
-            let report = kept.remove(agent);
-            slog::info!(self.log, "planner: an agent is silent";
+            let report = saved.remove(agent);
+            slog::info!(self.log, "planner: an agent is unresponsive";
                 "agent" => &**agent, "kept" => report.is_some(),
                 "token" => self.claim.token);
-            self.book.apply_inquiry(agent, report, sent.into_std(), now);
+            self.scheduler
+                .apply_inquiry(agent, report, sent.into_std(), now);
         }
     }
 
@@ -88,30 +95,33 @@
         if self.writing {
             return;
         }
-        let batch = self.book.take_unwritten(writer::MOST);
+        let batch = self.scheduler.take_unwritten(writer::MAX_BATCH_JOBS);
         if batch.is_empty() {
             return;
         }
         self.writing = true;
         let store = self.store.clone();
         let claim = self.claim.clone();
-        let known = self.known.of(&batch);
+        let records = self.records.subset(&batch);
         let myself = myself.clone();
         tokio::spawn(async move {
-            let written = writer::write(&store, &claim, &known, &batch).await;
-            // A planner that has stopped needs no outcome.
+            let written =
+                writer::write(&store, &claim, &records, &batch).await;
+            // A stopped planner needs no outcome.
             let _ = myself.cast(Message::Written(written));
         });
     }
 
-    /// Removes the records of jobs that ended long ago.
-    pub(super) fn remove(&mut self, myself: &ActorRef<Message>) {
-        let before = clock::wall_time().checked_sub(KEPT);
+    /// Removes the records of jobs that ended long enough ago.
+    pub(super) fn remove_ended(&mut self, myself: &ActorRef<Message>) {
+        let before = clock::wall_time().checked_sub(RECORD_RETENTION);
         let ids: Vec<JobId> = match before {
-            Some(before) if !self.removing => self.book.ended_before(before),
+            Some(before) if !self.removing => {
+                self.scheduler.ended_before(before)
+            }
             _ => return,
         };
-        let ids: Vec<JobId> = ids.into_iter().take(REMOVED).collect();
+        let ids: Vec<JobId> = ids.into_iter().take(MAX_REMOVED_JOBS).collect();
         if ids.is_empty() {
             return;
         }
@@ -132,12 +142,13 @@
             let ids = match removed {
                 Ok(crate::store::Swap::Written(_)) => ids,
                 other => {
-                    slog::warn!(log, "planner: old records stay";
+                    slog::warn!(log,
+                        "planner: records of ended jobs could not be removed";
                         "outcome" => ?other);
                     Vec::new()
                 }
             };
-            // A planner that has stopped needs no outcome.
+            // A stopped planner needs no outcome.
             let _ = myself.cast(Message::Removed(ids));
         });
     }
--- a/src/cell/planner/mod.rs
+++ b/src/cell/planner/mod.rs
@@ -1,4 +1,4 @@
-//! The planner: an actor that drives the books while the claim holds.
+//! The planner: an actor that drives the decision core while the claim holds.
 
 mod calls;
 
@@ -13,15 +13,15 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::cell::advice::Desk;
+use crate::cell::advice;
 use crate::cell::claim::Claim;
 use crate::cell::configuration::Source;
+use crate::cell::decision_log::Recorder;
 use crate::cell::keys;
 use crate::cell::keys::Intake;
 use crate::cell::rpc::Answer;
-use crate::cell::teller::Teller;
 use crate::cell::writer;
-use crate::cell::writer::Known;
+use crate::cell::writer::Records;
 use crate::cell::writer::Written;
 use crate::graph::AgentId;
 use crate::graph::Job;
@@ -42,67 +42,70 @@
 use crate::telemetry::metrics;
 
 /// How long an agent's report waits for orders.
-pub const HOLD: Duration = Duration::from_millis(1000);
-/// How often time-driven rules are looked at.
-const TICK: Duration = Duration::from_millis(100);
-/// How many times as long as a pass took the next one waits from its start:
-/// a planner on a thin machine then still answers agents in time, which
-/// would else give up waiting and connect anew, at a higher cost yet.
-const REST: u32 = 4;
-/// The longest that a pass waits for that.
-const LONGEST_REST: Duration = Duration::from_millis(250);
+pub const REPORT_HOLD: Duration = Duration::from_millis(1000);
+/// How often rules that depend on time are evaluated.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// The time from the start of a pass to the start of the next, as a multiple
+/// of the pass's duration. A planner on a machine with little CPU can then
+/// still answer agents in time; otherwise they would give up and reconnect, at
+/// an even higher cost.
+const REST_FACTOR: u32 = 4;
+/// The longest time from the start of a pass to the start of the next.
+const MAX_REST: Duration = Duration::from_millis(250);
 
-/// What the planner is told.
+/// A message to the planner.
 pub enum Message {
-    /// What an agent says.
+    /// An agent's report, and the port for its answer.
     Sync(Box<Report>, RpcReplyPort<Answer>),
-    /// What entries have told it.
+    /// Changes of the records that entries write.
     Changes(Vec<Change>),
-    /// All that entries have told it, after changes were missed.
+    /// All records that entries have written, read again after changes were
+    /// missed.
     Listing(Listing),
-    /// A batch is written, or the claim is lost.
+    /// The outcome of writing a batch: written, or the claim is lost.
     Written(Result<Written, writer::Lost>),
-    /// Records were removed, or not.
+    /// The jobs whose records were removed; empty if the removal failed.
     Removed(Vec<JobId>),
-    /// What silent agents have kept was read, by a call sent at that time.
-    Inquired(Vec<AgentId>, Vec<Report>, Instant),
-    /// A question was answered, or not, that was put at that time.
-    Advised(Question, Option<Vec<Ticket>>, Instant),
-    /// Something was taken in: decide.
+    /// The saved reports that were read for unresponsive agents, and when the
+    /// read was sent.
+    SavedReports(Vec<AgentId>, Vec<Report>, Instant),
+    /// A question, the tickets if it was answered, and when it was asked.
+    Advice(Question, Option<Vec<Ticket>>, Instant),
+    /// Decide, write and answer, as far as each is due.
     Decide,
-    /// A pass that was put off may begin.
-    Rested,
-    /// Time has passed.
+    /// A postponed pass may begin.
+    RestEnded,
+    /// Rules that depend on time may be due.
     Tick,
 }
 
 /// A report that waits for orders.
-struct Held {
+struct Waiting {
     process: String,
     sequence: u64,
     reply: RpcReplyPort<Answer>,
     since: Instant,
 }
 
-/// Everything that a planner starts with.
-pub struct Start<S> {
+/// The arguments of a planner's start.
+pub struct Arguments<S> {
     /// The store.
     pub store: S,
-    /// The claim that it plans under.
+    /// The claim under which the planner writes.
     pub claim: Claim,
-    /// The configuration, for the guarantees.
+    /// The configuration, for guarantees and closed halls.
     pub source: Source,
-    /// Where to ask who may run a step, if anybody says.
-    pub advice: Option<Desk>,
-    /// The times that decisions rest on.
-    pub terms: Options,
-    /// What entries have told so far.
+    /// The channel for questions to the advice service, if there is one.
+    pub advice: Option<advice::Sender>,
+    /// The times and the policy that decisions rest on.
+    pub options: Options,
+    /// The jobs and cancellations that entries have written so far.
     pub intake: Listing,
-    /// What earlier planners have kept.
+    /// The jobs' progress that earlier planners have written.
     pub progress: Listing,
-    /// Told once the claim is lost.
-    pub lost: watch::Sender<bool>,
-    /// Where logs go.
+    /// Set to `true` once the claim is lost.
+    pub claim_lost: watch::Sender<bool>,
+    /// The log.
     pub log: slog::Logger,
 }
 
@@ -111,34 +114,34 @@
     store: S,
     claim: Claim,
     source: Source,
-    advice: Option<Desk>,
-    asking: bool,
-    book: Scheduler,
-    known: Known,
-    /// Progress of jobs whose acceptance was not listed yet.
-    kept: BTreeMap<String, Progress>,
-    /// Jobs whose progress cannot be read: what they have done is not known,
-    /// so that nothing of them may begin.
-    unread: BTreeSet<String>,
+    advice: Option<advice::Sender>,
+    advice_pending: bool,
+    scheduler: Scheduler,
+    records: Records,
+    /// The progress of jobs whose acceptance was not read yet.
+    unclaimed_progress: BTreeMap<String, Progress>,
+    /// The jobs whose progress cannot be decoded. Their past runs are unknown,
+    /// so nothing of them may begin.
+    unreadable: BTreeSet<String>,
     writing: bool,
     removing: bool,
     deciding: bool,
-    /// Whether time-driven rules are to be looked at.
-    ticked: bool,
-    /// Before which no pass begins.
-    rests_until: Instant,
-    /// Whether a pass waits for that.
+    /// Whether rules that depend on time are due.
+    tick_due: bool,
+    /// The time before which no pass begins.
+    rest_until: Instant,
+    /// Whether a pass is postponed until then.
     resting: bool,
-    held: BTreeMap<AgentId, Held>,
-    /// Agents whose orders have changed while they asked for none.
+    waiting: BTreeMap<AgentId, Waiting>,
+    /// Agents whose orders have changed while no report of theirs was waiting.
     due: BTreeSet<AgentId>,
     guarantees: BTreeMap<SharedStr, i64>,
-    lost: watch::Sender<bool>,
-    teller: Teller,
+    claim_lost: watch::Sender<bool>,
+    decision_log: Recorder,
     log: slog::Logger,
 }
 
-/// The actor.
+/// The planner's actor.
 pub struct Planner<S>(std::marker::PhantomData<S>);
 
 impl<S> Default for Planner<S> {
@@ -150,15 +153,15 @@
 impl<S: Store> Actor for Planner<S> {
     type Msg = Message;
     type State = State<S>;
-    type Arguments = Start<S>;
+    type Arguments = Arguments<S>;
 
     async fn pre_start(
         &self,
         myself: ActorRef<Message>,
-        start: Start<S>,
+        arguments: Arguments<S>,
     ) -> Result<State<S>, ActorProcessingErr> {
-        myself.send_interval(TICK, || Message::Tick);
-        Ok(State::new(start))
+        myself.send_interval(TICK_INTERVAL, || Message::Tick);
+        Ok(State::new(arguments))
     }
 
     async fn handle(
@@ -173,21 +176,25 @@
             Message::Listing(listing) => state.listing(listing),
             Message::Written(written) => state.written(written),
             Message::Removed(ids) => state.removed(&ids),
-            Message::Inquired(agents, kept, sent) => {
-                state.inquired(&agents, kept, sent);
+            Message::SavedReports(agents, saved, sent) => {
+                state.apply_saved_reports(&agents, saved, sent);
             }
-            Message::Advised(question, good, sent) => {
-                state.asking = false;
-                state.book.apply_advice(&question, good, sent.into_std());
+            Message::Advice(question, tickets, sent) => {
+                state.advice_pending = false;
+                state.scheduler.apply_advice(
+                    &question,
+                    tickets,
+                    sent.into_std(),
+                );
             }
-            Message::Rested => state.resting = false,
+            Message::RestEnded => state.resting = false,
             Message::Tick => state.tick(&myself),
             Message::Decide => {
                 state.decide(&myself);
                 return Ok(());
             }
         }
-        // Whatever else waits in the mailbox is taken in first.
+        // Queued messages are handled before the next decision.
         if !state.deciding && state.is_due() {
             state.deciding = true;
             myself.cast(Message::Decide)?;
@@ -197,52 +204,53 @@
 }
 
 impl<S: Store> State<S> {
-    fn new(start: Start<S>) -> State<S> {
+    fn new(arguments: Arguments<S>) -> State<S> {
         let mut state = State {
-            store: start.store,
-            claim: start.claim,
-            source: start.source,
-            advice: start.advice,
-            asking: false,
-            book: Scheduler::new(start.terms, Timestamp::now()),
-            known: Known::default(),
-            kept: BTreeMap::new(),
-            unread: BTreeSet::new(),
+            store: arguments.store,
+            claim: arguments.claim,
+            source: arguments.source,
+            advice: arguments.advice,
+            advice_pending: false,
+            scheduler: Scheduler::new(arguments.options, Timestamp::now()),
+            records: Records::default(),
+            unclaimed_progress: BTreeMap::new(),
+            unreadable: BTreeSet::new(),
             writing: false,
             removing: false,
             deciding: false,
-            ticked: true,
-            rests_until: Instant::now(),
+            tick_due: true,
+            rest_until: Instant::now(),
             resting: false,
-            held: BTreeMap::new(),
+            waiting: BTreeMap::new(),
             due: BTreeSet::new(),
             guarantees: BTreeMap::new(),
-            lost: start.lost,
-            teller: Teller::new(start.log.clone()),
-            log: start.log,
+            claim_lost: arguments.claim_lost,
+            decision_log: Recorder::new(arguments.log.clone()),
+            log: arguments.log,
         };
-        for item in start.progress.items {
-            state.take_progress(item);
+        for item in arguments.progress.items {
+            state.load_progress(item);
         }
-        state.listing(start.intake);
+        state.listing(arguments.intake);
         state
     }
 
-    fn take_progress(&mut self, item: Item) {
+    fn load_progress(&mut self, item: Item) {
         let Some(id) = item.key.strip_prefix(keys::PROGRESS) else {
             return;
         };
         match serde_json::from_slice::<Progress>(&item.value) {
             Ok(progress) => {
-                self.known.revisions.insert(id.into(), item.modified);
-                self.known.begun.insert(id.into());
-                self.kept.insert(id.to_owned(), progress);
+                self.records.revisions.insert(id.into(), item.modified);
+                self.records.begun.insert(id.into());
+                self.unclaimed_progress.insert(id.to_owned(), progress);
             }
             Err(error) => {
                 slog::error!(self.log,
-                    "planner: progress cannot be read"; "key" => &item.key,
+                    "planner: a job's progress cannot be decoded";
+                    "key" => &item.key,
                     "error" => %error);
-                self.unread.insert(id.to_owned());
+                self.unreadable.insert(id.to_owned());
             }
         }
     }
@@ -260,36 +268,37 @@
                 continue;
             };
             match keys::intake(&item.key) {
-                Some(Intake::Job(id)) if self.unread.contains(id) => {}
-                Some(Intake::Job(id)) if !self.book.has_job(id) => {
+                Some(Intake::Job(id)) if self.unreadable.contains(id) => {}
+                Some(Intake::Job(id)) if !self.scheduler.has_job(id) => {
                     self.accept(id, &item.value, now);
                 }
                 Some(Intake::Cancel(id)) => cancelled.push(id.to_owned()),
                 _ => {}
             }
         }
-        // Listed by key, a cancellation comes before its job.
+        // In key order a cancellation precedes its job, so cancellations are
+        // applied last.
         for id in cancelled {
-            self.book.cancel_job(&id, now);
+            self.scheduler.cancel_job(&id, now);
         }
     }
 
     fn accept(&mut self, id: &str, value: &[u8], now: Timestamp) {
         match serde_json::from_slice::<Job>(value) {
             Ok(job) => {
-                let progress = self.kept.remove(id);
+                let progress = self.unclaimed_progress.remove(id);
                 let age = now.wall.duration_since(job.accepted);
                 slog::info!(self.log, "planner: a job is taken in";
                     "job" => id, "account" => &*job.account,
                     "queue" => &*job.queue, "priority" => job.priority,
                     "known" => progress.is_some(),
                     "age_ms" => age.unwrap_or_default().as_millis() as u64,
-                    "steps" => steps(&job), "times" => job.times(),
+                    "steps" => describe_steps(&job), "times" => job.times(),
                     "token" => self.claim.token);
-                self.book.accept_job(job, progress, now);
+                self.scheduler.accept_job(job, progress, now);
             }
             Err(error) => slog::error!(self.log,
-                "planner: a job cannot be read"; "job" => id,
+                "planner: a job cannot be decoded"; "job" => id,
                 "error" => %error),
         }
     }
@@ -297,26 +306,27 @@
     fn sync(&mut self, report: Report, reply: RpcReplyPort<Answer>) {
         let agent = report.agent.clone();
         if !self.claim.holds() {
-            send(&self.log, reply, Answer::NotPlanner);
+            send_answer(&self.log, reply, Answer::NotPlanner);
             return;
         }
-        let held = Held {
+        let waiting = Waiting {
             process: report.process.clone(),
             sequence: report.sequence,
             reply,
             since: Instant::now(),
         };
-        let overtaken = self.held.get(&agent).is_some_and(|newer| {
-            newer.process == held.process && newer.sequence > held.sequence
+        let overtaken = self.waiting.get(&agent).is_some_and(|newer| {
+            newer.process == waiting.process
+                && newer.sequence > waiting.sequence
         });
         if overtaken {
-            send(&self.log, held.reply, Answer::NotPlanner);
+            send_answer(&self.log, waiting.reply, Answer::NotPlanner);
             return;
         }
-        self.book.apply_report(report, Timestamp::now());
-        if let Some(earlier) = self.held.insert(agent, held) {
-            // Its agent has given it up for the one just come.
-            send(&self.log, earlier.reply, Answer::NotPlanner);
+        self.scheduler.apply_report(report, Timestamp::now());
+        if let Some(earlier) = self.waiting.insert(agent, waiting) {
+            // The agent has given up the earlier report for the new one.
+            send_answer(&self.log, earlier.reply, Answer::NotPlanner);
         }
     }
 
@@ -325,99 +335,103 @@
         let written = match written {
             Ok(written) => written,
             Err(error) => {
-                slog::warn!(self.log, "planner: gives up";
+                slog::warn!(self.log,
+                    "planner: stops because the claim is lost";
                     "token" => self.claim.token, "error" => %error);
-                // The session that reads this may be over already.
-                let _ = self.lost.send(true);
+                // The session that receives this may be over already.
+                let _ = self.claim_lost.send(true);
                 return;
             }
         };
         for (id, version, revision) in written.jobs {
-            self.known.revisions.insert(id.clone(), revision);
-            self.known.begun.insert(id.clone());
-            self.book.mark_written(&id, version);
+            self.records.revisions.insert(id.clone(), revision);
+            self.records.begun.insert(id.clone());
+            self.scheduler.mark_written(&id, version);
         }
     }
 
     fn removed(&mut self, ids: &[JobId]) {
         self.removing = false;
         for id in ids {
-            self.book.forget_job(id);
-            self.known.revisions.remove(id);
-            self.known.begun.remove(id);
+            self.scheduler.forget_job(id);
+            self.records.revisions.remove(id);
+            self.records.begun.remove(id);
         }
     }
 
     /// Returns whether there is anything to decide, write or answer.
     fn is_due(&self) -> bool {
         self.is_pass_due()
-            || self.book.has_changed_orders()
-            || !self.writing && self.book.is_dirty()
-            || self.due.iter().any(|agent| self.held.contains_key(agent))
+            || self.scheduler.has_changed_orders()
+            || !self.writing && self.scheduler.is_dirty()
+            || self
+                .due
+                .iter()
+                .any(|agent| self.waiting.contains_key(agent))
     }
 
     fn is_pass_due(&self) -> bool {
-        !self.resting && (self.ticked || self.book.is_changed())
+        !self.resting && (self.tick_due || self.scheduler.is_changed())
     }
 
     fn decide(&mut self, myself: &ActorRef<Message>) {
         self.deciding = false;
-        if *self.lost.borrow() {
+        if *self.claim_lost.borrow() {
             return;
         }
         if self.is_pass_due() {
-            self.pass(myself);
+            self.run_pass(myself);
         }
         self.write(myself);
-        self.due.extend(self.book.take_agents_to_order());
+        self.due.extend(self.scheduler.take_agents_to_order());
         let due: Vec<AgentId> = self
             .due
             .iter()
-            .filter(|agent| self.held.contains_key(*agent))
+            .filter(|agent| self.waiting.contains_key(*agent))
             .cloned()
             .collect();
-        self.answer(&due);
+        self.answer_waiting(&due);
     }
 
-    /// Decides anew what is started and stopped, or has that done later if
-    /// the last pass was long and lately.
-    fn pass(&mut self, myself: &ActorRef<Message>) {
+    /// Decides again which runs are started and stopped. The pass is postponed
+    /// if the last one was long and recent.
+    fn run_pass(&mut self, myself: &ActorRef<Message>) {
         let began = Instant::now();
-        if began < self.rests_until {
+        if began < self.rest_until {
             self.resting = true;
-            let left = self.rests_until - began;
-            myself.send_after(left, || Message::Rested);
+            let remaining = self.rest_until - began;
+            myself.send_after(remaining, || Message::RestEnded);
             return;
         }
-        self.ticked = false;
+        self.tick_due = false;
         if let Some(configuration) = self.source.current() {
             if configuration.guarantees != self.guarantees {
                 self.guarantees = configuration.guarantees.clone();
-                self.book.set_guarantees(self.guarantees.clone());
+                self.scheduler.set_guarantees(self.guarantees.clone());
             }
         }
-        self.book.set_closed_halls(self.source.closed());
-        self.book.run_pass(Timestamp::now());
+        self.scheduler.set_closed_halls(self.source.closed());
+        self.scheduler.run_pass(Timestamp::now());
         let token = self.claim.token;
-        for decision in self.book.take_decisions() {
-            self.teller.tell(&decision, token);
+        for decision in self.scheduler.take_decisions() {
+            self.decision_log.record(&decision, token);
         }
-        self.ask(myself);
-        self.inquire(myself);
+        self.ask_advice(myself);
+        self.read_saved_reports(myself);
         let took = began.elapsed();
         metrics::get().step_seconds.record(took.as_secs_f64(), &[]);
-        self.rests_until = began + (took * REST).min(LONGEST_REST);
+        self.rest_until = began + (took * REST_FACTOR).min(MAX_REST);
     }
 
-    /// Answers agents whose reports wait.
-    fn answer(&mut self, agents: &[AgentId]) {
+    /// Answers the waiting reports of `agents`.
+    fn answer_waiting(&mut self, agents: &[AgentId]) {
         if agents.is_empty() {
             return;
         }
         let holds = self.claim.holds();
-        let mut orders = self.book.orders_for(agents);
+        let mut orders = self.scheduler.orders_for(agents);
         for agent in agents {
-            let Some(held) = self.held.remove(agent) else {
+            let Some(waiting) = self.waiting.remove(agent) else {
                 continue;
             };
             self.due.remove(agent);
@@ -429,27 +443,27 @@
                 },
                 false => Answer::NotPlanner,
             };
-            send(&self.log, held.reply, answer);
+            send_answer(&self.log, waiting.reply, answer);
         }
     }
 
     fn tick(&mut self, myself: &ActorRef<Message>) {
-        self.ticked = !self.book.is_idle();
+        self.tick_due = !self.scheduler.is_idle();
         let now = Instant::now();
-        let old: Vec<AgentId> = self
-            .held
+        let expired: Vec<AgentId> = self
+            .waiting
             .iter()
-            .filter(|(_, held)| now >= held.since + HOLD)
+            .filter(|(_, waiting)| now >= waiting.since + REPORT_HOLD)
             .map(|(agent, _)| agent.clone())
             .collect();
-        self.answer(&old);
-        self.remove(myself);
+        self.answer_waiting(&expired);
+        self.remove_ended(myself);
     }
 }
 
-/// Returns the shape of a job in short: of each step its tasks, what each
-/// takes in accelerators and cores, and how long it was said to take.
-fn steps(job: &Job) -> String {
+/// Returns a short description of a job's steps for the log: the tasks of each
+/// step, the accelerators and cores of each task, and the declared run time.
+fn describe_steps(job: &Job) -> String {
     let step = |step: &Step| {
         let kind = match (step.gang, step.same_rack) {
             (true, true) => " in a rack",
@@ -468,7 +482,11 @@
     steps.join(", ")
 }
 
-fn send(log: &slog::Logger, reply: RpcReplyPort<Answer>, answer: Answer) {
+fn send_answer(
+    log: &slog::Logger,
+    reply: RpcReplyPort<Answer>,
+    answer: Answer,
+) {
     if reply.send(answer).is_err() {
         slog::debug!(log, "planner: an agent no longer waits");
     }
--- a/src/cell/relay/mod.rs
+++ b/src/cell/relay/mod.rs
@@ -1,33 +1,34 @@
-//! Calls of the store by way of another entry.
+//! Store calls through other entries.
 //!
-//! The store may turn single machines away, or a link to it may be cut,
-//! while it serves all others. A process that goes on by itself then refuses
-//! its callers, and one that plans loses its claim, although a neighbour
-//! would do the same call at once. So a [`Relay`] is a store that has two
-//! ways: its own, and while that is closed the entries that [`Peers`] knows.
-//! Whether one machine is away or the store itself, it finds out: where no
-//! other entry is in touch either, calls go their own way and wait as ever.
+//! The store may reject single machines, or the link of one machine to the
+//! store may be cut, while the store serves all others. A process in that
+//! position would refuse its callers, and a planner would lose its claim,
+//! although another entry could make the same call at once. A [`Relay`] is
+//! therefore a store with two paths: its own and, while that is unusable, the
+//! entries in [`Peers`]. If no other entry reaches the store either, the store
+//! itself is down, and calls are made directly and wait as usual.
 //!
-//! On a day on which three of nine entries were cut off, 8 of the 10 urgent
-//! jobs that were late by our own lines had been refused, or told nothing, by
-//! one of these.
+//! In a test in which three of nine entries were cut off from the store, 8 of
+//! the 10 late urgent jobs had been refused, or left without an answer, by one
+//! of these three.
 //!
-//! A call is passed on once at most, and a write that may have had its effect
-//! goes no second way: one that had no answer is lost, whichever way it went.
+//! A call is passed on at most once. A write that may have taken effect is not
+//! repeated on another path: without an answer, the write counts as lost on
+//! any path.
 
 pub mod call;
+mod direct;
 mod peers;
-mod way;
 
 use std::time::Duration;
 
 use jsonrpsee::core::async_trait;
 
-use crate::cell::relay::call::carry_out;
+use crate::cell::relay::call::execute;
 use crate::cell::relay::call::Answer;
 use crate::cell::relay::call::Call;
 use crate::cell::relay::call::Reply;
-use crate::cell::relay::way::Way;
+use crate::cell::relay::direct::Path;
 use crate::store::Changes;
 use crate::store::Compare;
 use crate::store::Error;
@@ -41,40 +42,42 @@
 
 pub use crate::cell::relay::peers::Peers;
 
-/// How long the store may say nothing, beyond what it is asked to wait,
-/// before other ways are tried: a store that is 60 times as slow as usual
-/// answers within 240 ms, and would get every call twice.
-const DOUBT: Duration = Duration::from_millis(250);
+/// How long the store may stay silent, beyond the requested wait, before other
+/// paths are tried. A store that is 60 times slower than usual answers within
+/// 240 ms; with less time, such a store would get every call twice.
+const DIRECT_ANSWER_SLACK: Duration = Duration::from_millis(250);
 
-/// Carries calls of the store out for another process.
+/// Makes store calls for another process.
 #[async_trait]
-pub trait Carrier: Send + Sync {
-    /// Carries a call out, if the store is in direct reach.
+pub trait Proxy: Send + Sync {
+    /// Makes a call, if the direct path to the store is usable.
     async fn serve(&self, call: Call) -> Reply;
 }
 
-/// A store that is reached by other entries while there is no direct way.
+/// A store that is reached through other entries while the direct path is
+/// unusable.
 #[derive(Clone, Debug)]
 pub struct Relay<S> {
     direct: S,
-    way: Way,
+    path: Path,
     peers: Peers,
 }
 
 impl<S: Store> Relay<S> {
-    /// Returns a store with the ways of `direct` and of `peers`.
+    /// Returns a store that uses `direct` and, while that is unusable,
+    /// `peers`.
     pub fn new(direct: S, peers: Peers, log: slog::Logger) -> Relay<S> {
         Relay {
             direct,
-            way: Way::new(log),
+            path: Path::new(log),
             peers,
         }
     }
 
     async fn call(&self, call: Call) -> Result<Answer, Error> {
-        let failed = match self.way.is_open() {
-            true => match self.go_direct(&call).await {
-                Err(error) if self.may_repeat(&call, &error) => Some(error),
+        let failed = match self.path.is_usable() {
+            true => match self.call_direct(&call).await {
+                Err(error) if self.may_reroute(&call, &error) => Some(error),
                 answer => return answer,
             },
             false => None,
@@ -82,21 +85,23 @@
         match (self.peers.ask(&call).await, failed) {
             (Some(answer), _) => answer,
             (None, Some(error)) => Err(error),
-            // Nobody is in touch: what waits for the store waits there.
-            (None, None) => self.learn(carry_out(&self.direct, call).await),
+            // No other entry reaches the store: the call is made directly, and
+            // may wait.
+            (None, None) => self.observe(execute(&self.direct, call).await),
         }
     }
 
-    /// Calls directly; a read that is not answered soon goes both ways.
-    async fn go_direct(&self, call: &Call) -> Result<Answer, Error> {
-        let mut direct = std::pin::pin!(carry_out(&self.direct, call.clone()));
+    /// Calls the store directly. A read that is not answered soon is also sent
+    /// to peers.
+    async fn call_direct(&self, call: &Call) -> Result<Answer, Error> {
+        let mut direct = std::pin::pin!(execute(&self.direct, call.clone()));
         tokio::select! {
             biased;
-            answer = &mut direct => return self.learn(answer),
-            () = tokio::time::sleep(call.wait() + DOUBT) => {}
+            answer = &mut direct => return self.observe(answer),
+            () = tokio::time::sleep(call.wait() + DIRECT_ANSWER_SLACK) => {}
         }
-        self.close("no answer yet");
-        if !call.is_read() {
+        self.mark_unusable("no answer yet");
+        if !call.is_repeatable() {
             return direct.await;
         }
         tokio::select! {
@@ -107,50 +112,50 @@
         }
     }
 
-    /// Returns whether a call that failed may be made another way: a write
-    /// only if it surely had no effect, and nothing in place of one that the
-    /// store's rate has refused.
-    fn may_repeat(&self, call: &Call, error: &Error) -> bool {
+    /// Returns whether a failed call may be made on another path. A write may
+    /// be only if it certainly had no effect, and a call that the store's rate
+    /// limit refused may not be replaced by another.
+    fn may_reroute(&self, call: &Call, error: &Error) -> bool {
         match error {
             Error::Forgotten(_) => false,
-            Error::Lost(_) => call.is_read(),
-            Error::Unreached(_) => !self.way.is_open(),
+            Error::Lost(_) => call.is_repeatable(),
+            Error::Unreached(_) => !self.path.is_usable(),
         }
     }
 
-    /// Takes in what a direct call shows of its way.
-    fn learn(&self, answer: Result<Answer, Error>) -> Result<Answer, Error> {
+    /// Updates the state of the direct path from the outcome of a call.
+    fn observe(&self, answer: Result<Answer, Error>) -> Result<Answer, Error> {
         match &answer {
-            Ok(_) | Err(Error::Forgotten(_)) => self.way.answered(),
+            Ok(_) | Err(Error::Forgotten(_)) => self.path.on_answer(),
             Err(error) if error.is_throttled() => {
-                if self.way.throttled() {
-                    self.close("turned away again");
+                if self.path.on_throttled() {
+                    self.mark_unusable("turned away again");
                 }
             }
-            Err(error) => self.close(&error.to_string()),
+            Err(error) => self.mark_unusable(&error.to_string()),
         }
         answer
     }
 
-    fn close(&self, why: &str) {
-        self.way.close(&self.direct, why);
+    fn mark_unusable(&self, why: &str) {
+        self.path.mark_unusable(&self.direct, why);
     }
 }
 
 #[async_trait]
-impl<S: Store> Carrier for Relay<S> {
+impl<S: Store> Proxy for Relay<S> {
     async fn serve(&self, call: Call) -> Reply {
-        if !self.way.is_open() {
+        if !self.path.is_usable() {
             return Reply::Away;
         }
-        let answer = carry_out(&self.direct, call).await;
-        Reply::from(self.learn(answer))
+        let answer = execute(&self.direct, call).await;
+        Reply::from(self.observe(answer))
     }
 }
 
 impl<S: Store> Store for Relay<S> {
     fn is_direct(&self) -> bool {
-        self.way.is_open()
+        self.path.is_usable()
     }
 
     async fn get(&self, key: &str) -> Result<Option<Item>, Error> {
--- a/src/cell/relay/peers.rs
+++ b/src/cell/relay/peers.rs
@@ -1,4 +1,4 @@
-//! The entries that calls of the store may go by.
+//! The other entries, through which store calls may be made.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,8 +12,8 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-use crate::cell::dial::Dial;
-use crate::cell::dial::Peer;
+use crate::cell::connector::Connector;
+use crate::cell::connector::Peer;
 use crate::cell::keys;
 use crate::cell::pause;
 use crate::cell::relay::call::unanswered;
@@ -27,56 +27,57 @@
 use crate::telemetry::metrics;
 use crate::telemetry::metrics::label;
 
-/// How many entries are asked for one call: where a third of them is away
-/// as well, three are enough for all but one call in 27.
-const MOST: usize = 3;
-/// How long a connection to one of them may take.
-const CONNECT: Duration = Duration::from_millis(300);
-/// How long its answer may take, beyond what the store is asked to wait: a
-/// slow store's, and the way there.
-const ANSWER: Duration = Duration::from_millis(500);
-/// For how long nobody is asked after all were found to be away: while the
-/// store is down for all, every call of every process would ask three.
-const ALONE: Duration = Duration::from_millis(400);
-/// How long an entry that is gone is still named at most, and the longest
-/// that one waits before it says again that it is there: two calls every 5
-/// to 9 s for each process, one of them at a tenth of the price.
-const NAMED: Duration = Duration::from_secs(30);
-const RENEW: Duration = Duration::from_secs(9);
-/// How soon after the first time the others are read again: all processes
-/// of a site may have started together.
-const SOON: Duration = Duration::from_millis(1500);
-/// How long is waited after a call that failed.
-const AGAIN: Duration = Duration::from_millis(500);
+/// The most entries asked for one call. If a third of them are cut off as
+/// well, three are enough for all but one call in 27.
+const MAX_ASKED: usize = 3;
+/// The longest that opening a connection may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// The time for a peer's answer beyond the requested wait: a slow store's
+/// answer and the network.
+const ANSWER_SLACK: Duration = Duration::from_millis(500);
+/// How long no peer is asked after all of them failed. While the store is down
+/// for everyone, every call of every process would otherwise ask three peers.
+const NO_PEER_PAUSE: Duration = Duration::from_millis(400);
+/// The lease of an entry's registration: the longest that a stopped entry
+/// stays listed.
+const ENTRY_TTL: Duration = Duration::from_secs(30);
+/// The longest time between two renewals of the registration. Each process
+/// makes two calls every 5 to 9 s, one of them at a tenth of the usual cost.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(9);
+/// The delay before the entries are read for the second time. All processes of
+/// a site may have started together, so the first read may miss some.
+const FIRST_READ_DELAY: Duration = Duration::from_millis(1500);
+/// The delay before a failed call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What an entry says of itself.
+/// An entry's registration.
 #[derive(Debug, Serialize, Deserialize)]
 struct Entry {
-    /// Where it takes calls.
+    /// The address at which the entry serves calls.
     address: String,
 }
 
 #[derive(Default)]
-struct Known {
-    /// Where entries take calls, but for this process.
+struct State {
+    /// The addresses of the other entries.
     addresses: Vec<String>,
-    links: BTreeMap<String, Arc<dyn Peer>>,
-    /// Who has answered last.
-    last: Option<String>,
-    /// Until when nobody is asked.
-    alone: Option<Instant>,
+    connections: BTreeMap<String, Arc<dyn Peer>>,
+    /// The entry that answered last.
+    last_answered: Option<String>,
+    /// Until when no peer is asked.
+    paused_until: Option<Instant>,
 }
 
-struct Shared {
+struct Inner {
     process: String,
-    dial: Arc<dyn Dial>,
-    known: Mutex<Known>,
+    connector: Arc<dyn Connector>,
+    state: Mutex<State>,
     log: slog::Logger,
 }
 
-/// The entries of a site, as the store last told.
+/// The other entries of a site, as last read from the store.
 #[derive(Clone)]
-pub struct Peers(Arc<Shared>);
+pub struct Peers(Arc<Inner>);
 
 impl fmt::Debug for Peers {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -88,45 +89,44 @@
 }
 
 impl Peers {
-    /// Returns the entries but for the named process, none of them known
-    /// yet.
+    /// Returns the peers of the named process, with none read yet.
     pub fn new(
         process: &str,
-        dial: Arc<dyn Dial>,
+        connector: Arc<dyn Connector>,
         log: slog::Logger,
     ) -> Peers {
-        Peers(Arc::new(Shared {
+        Peers(Arc::new(Inner {
             process: process.to_owned(),
-            dial,
-            known: Mutex::default(),
+            connector,
+            state: Mutex::default(),
             log,
         }))
     }
 
-    /// Keeps the others known, and this entry to them under `address`, for
-    /// ever.
+    /// Registers this entry under `address`, and keeps the list of the others
+    /// up to date. Never returns.
     pub async fn follow(self, store: impl Store, address: String) {
         let mut lease = None;
-        let mut wait = SOON;
+        let mut wait = FIRST_READ_DELAY;
         loop {
-            match self.say(&store, &address, lease).await {
-                Ok(said) => {
-                    lease = Some(said);
+            match self.register(&store, &address, lease).await {
+                Ok(registered) => {
+                    lease = Some(registered);
                     pause(wait / 2).await;
-                    self.read(&store).await;
-                    wait = RENEW;
+                    self.refresh(&store).await;
+                    wait = RENEWAL_INTERVAL;
                 }
                 Err(error) => {
                     slog::debug!(self.0.log,
-                        "entry: it is not named"; "error" => %error);
-                    pause(AGAIN).await;
+                        "entry: registration failed"; "error" => %error);
+                    pause(RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Says that this entry is there; returns the lease that it hangs on.
-    async fn say(
+    /// Registers this entry, and returns the lease of the registration.
+    async fn register(
         &self,
         store: &impl Store,
         address: &str,
@@ -136,7 +136,7 @@
             Some(lease) if store.keep_alive(lease).await? => return Ok(lease),
             _ => {}
         }
-        let lease = store.grant(NAMED).await?;
+        let lease = store.grant(ENTRY_TTL).await?;
         let entry = Entry {
             address: address.to_owned(),
         };
@@ -148,12 +148,13 @@
         Ok(lease)
     }
 
-    async fn read(&self, store: &impl Store) {
+    async fn refresh(&self, store: &impl Store) {
         let listing = match store.list(keys::ENTRIES).await {
             Ok(listing) => listing,
             Err(error) => {
                 slog::debug!(self.0.log,
-                    "entry: others are not read"; "error" => %error);
+                    "entry: the other entries could not be read";
+                    "error" => %error);
                 return;
             }
         };
@@ -163,61 +164,67 @@
         let entries = entries.filter_map(Result::ok);
         let addresses: Vec<String> =
             entries.map(|entry: Entry| entry.address).collect();
-        let mut known = self.lock();
-        known.links.retain(|address, _| addresses.contains(address));
-        known.addresses = addresses;
+        let mut state = self.lock();
+        state
+            .connections
+            .retain(|address, _| addresses.contains(address));
+        state.addresses = addresses;
     }
 
-    /// Asks others to make a call; returns nothing if none of them could.
+    /// Asks peers to make a call. Returns `None` if none of them could.
     pub(super) async fn ask(
         &self,
         call: &Call,
     ) -> Option<Result<Answer, Error>> {
-        for address in self.order() {
-            let asked = self.ask_one(&address, call).await;
-            let outcome = match &asked {
+        for address in self.candidates() {
+            let reply = self.ask_one(&address, call).await;
+            let outcome = match &reply {
                 Ok(Reply::Done(_)) => "done",
                 Ok(Reply::Forgotten(_)) => "forgotten",
                 Ok(Reply::NotDone) => "not done",
                 Ok(Reply::Unsure) => "unsure",
                 Ok(Reply::Away) => "away",
-                Err(Missed::NotAsked) => "not reached",
-                Err(Missed::Silent) => "no answer",
+                Err(Failure::NotAsked) => "not reached",
+                Err(Failure::NoAnswer) => "no answer",
             };
             metrics::get().relayed.add(1, &[label("outcome", outcome)]);
-            slog::debug!(self.0.log, "store: a call goes by another entry";
+            slog::debug!(self.0.log,
+                "store: a call was made through another entry";
                 "call" => call.word(), "by" => &address,
                 "outcome" => outcome);
-            let answer = match asked {
+            let answer = match reply {
                 Ok(Reply::Done(answer)) => Ok(answer),
                 Ok(Reply::Forgotten(after)) => Err(Error::Forgotten(after)),
-                Ok(Reply::Unsure) | Err(Missed::Silent) if !call.is_read() => {
+                Ok(Reply::Unsure) | Err(Failure::NoAnswer)
+                    if !call.is_repeatable() =>
+                {
                     Err(unanswered(&address))
                 }
                 _ => continue,
             };
-            self.lock().last = Some(address);
+            self.lock().last_answered = Some(address);
             return Some(answer);
         }
-        let mut known = self.lock();
-        known.last = None;
-        known.alone = Some(Instant::now() + ALONE);
+        let mut state = self.lock();
+        state.last_answered = None;
+        state.paused_until = Some(Instant::now() + NO_PEER_PAUSE);
         None
     }
 
-    /// Returns whom to ask in turn: who has answered last, then any.
-    fn order(&self) -> Vec<String> {
-        let known = self.lock();
+    /// Returns the peers to ask, in order: the last one that answered, then
+    /// others at random.
+    fn candidates(&self) -> Vec<String> {
+        let state = self.lock();
         let now = Instant::now();
-        if known.alone.is_some_and(|until| now < until) {
+        if state.paused_until.is_some_and(|until| now < until) {
             return Vec::new();
         }
-        let mut others = known.addresses.clone();
+        let mut others = state.addresses.clone();
         fastrand::shuffle(&mut others);
-        if let Some(last) = &known.last {
+        if let Some(last) = &state.last_answered {
             others.sort_by_key(|address| address != last);
         }
-        others.truncate(MOST);
+        others.truncate(MAX_ASKED);
         others
     }
 
@@ -225,39 +232,46 @@
         &self,
         address: &str,
         call: &Call,
-    ) -> Result<Reply, Missed> {
-        let link = self.link(address).await.ok_or(Missed::NotAsked)?;
-        let limit = call.wait() + ANSWER;
-        let asked = tokio::time::timeout(limit, link.store(call.clone()));
-        match asked.await {
+    ) -> Result<Reply, Failure> {
+        let connection =
+            self.connection(address).await.ok_or(Failure::NotAsked)?;
+        let limit = call.wait() + ANSWER_SLACK;
+        let reply =
+            tokio::time::timeout(limit, connection.store(call.clone()));
+        match reply.await {
             Ok(Ok(reply)) => Ok(reply),
             Ok(Err(_)) | Err(_) => {
-                self.lock().links.remove(address);
-                Err(Missed::Silent)
+                self.lock().connections.remove(address);
+                Err(Failure::NoAnswer)
             }
         }
     }
 
-    async fn link(&self, address: &str) -> Option<Arc<dyn Peer>> {
-        if let Some(link) = self.lock().links.get(address) {
-            return Some(link.clone());
+    async fn connection(&self, address: &str) -> Option<Arc<dyn Peer>> {
+        if let Some(connection) = self.lock().connections.get(address) {
+            return Some(connection.clone());
         }
-        let dial = tokio::time::timeout(CONNECT, self.0.dial.dial(address));
-        let link = dial.await.ok()?.ok()?;
-        let mut known = self.lock();
-        known.links.insert(address.to_owned(), link.clone());
-        Some(link)
+        let connecting = tokio::time::timeout(
+            CONNECT_TIMEOUT,
+            self.0.connector.connect(address),
+        );
+        let connection = connecting.await.ok()?.ok()?;
+        let mut state = self.lock();
+        state
+            .connections
+            .insert(address.to_owned(), connection.clone());
+        Some(connection)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Known> {
-        self.0.known.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.0.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Why another process has not replied.
-enum Missed {
-    /// It was not asked.
+/// Why a peer has not replied.
+enum Failure {
+    /// The peer was not asked.
     NotAsked,
-    /// It may have made the call.
-    Silent,
+    /// The peer was asked and may have made the call.
+    NoAnswer,
 }
--- a/src/cell/writer.rs
+++ b/src/cell/writer.rs
@@ -1,4 +1,5 @@
-//! Writing jobs' progress under the claim, whatever becomes of answers.
+//! Writes jobs' progress under the claim, and resolves writes whose answer was
+//! lost.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,28 +19,29 @@
 use crate::store::Store;
 use crate::store::Swap;
 
-/// How many jobs one transaction holds: with the claim's condition, a
-/// condition, a put and a removal each, the platform's 32 entries.
-pub const MOST: usize = 10;
-/// How long an answer is waited for, beyond what the bytes take.
-const CALL: Duration = Duration::from_millis(700);
-/// How long is waited before a batch is tried again.
-const AGAIN: Duration = Duration::from_millis(60);
+/// The jobs written in one transaction. Each needs a condition, a put and a
+/// removal; with the claim's condition that makes at most the platform's limit
+/// of 32 entries.
+pub const MAX_BATCH_JOBS: usize = 10;
+/// The longest wait for an answer, beyond the transfer time of the bytes.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
+/// The delay before a batch is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// What the writer knows of the store.
+/// The state of the jobs' records in the store.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
+pub struct Records {
     /// The revision of each job's progress.
     pub revisions: BTreeMap<JobId, Revision>,
     /// The jobs that no longer count as waiting.
     pub begun: BTreeSet<JobId>,
 }
 
-impl Known {
-    /// Returns what is known of the jobs of a batch.
-    pub fn of(&self, batch: &[ProgressUpdate]) -> Known {
+impl Records {
+    /// Returns the state of the records of a batch's jobs.
+    pub fn subset(&self, batch: &[ProgressUpdate]) -> Records {
         let ids = || batch.iter().map(|job| &job.id);
-        Known {
+        Records {
             revisions: ids()
                 .filter_map(|id| Some((id.clone(), *self.revisions.get(id)?)))
                 .collect(),
@@ -51,23 +53,23 @@
     }
 }
 
-/// A batch that is written.
+/// A batch that was written.
 #[derive(Clone, Debug)]
 pub struct Written {
     /// The jobs, with the version and revision of each.
     pub jobs: Vec<(JobId, u64, Revision)>,
 }
 
-/// The claim is lost, or somebody else has written.
+/// The claim is lost, or another process has written.
 #[derive(Debug, thiserror::Error)]
 #[error("the claim is lost: {0}")]
 pub struct Lost(String);
 
-/// Writes a batch; tries until it is written or the claim is lost.
+/// Writes a batch, retrying until it is written or the claim is lost.
 ///
-/// Every put is conditioned on the revision before it. A write whose answer
-/// was lost therefore either shows itself as the current value, or can no
-/// longer take effect once the next try has.
+/// Every put is conditioned on the previous revision. A write whose answer was
+/// lost therefore either shows as the current value, or can no longer take
+/// effect after the next try has.
 ///
 /// # Errors
 ///
@@ -75,32 +77,34 @@
 pub async fn write(
     store: &impl Store,
     claim: &Claim,
-    known: &Known,
+    records: &Records,
     batch: &[ProgressUpdate],
 ) -> Result<Written, Lost> {
     let mut conditions = vec![claim.condition()];
     let mut puts = Vec::new();
     for job in batch {
         let key = keys::progress(&job.id);
-        let before = known.revisions.get(&job.id).copied().unwrap_or(0);
+        let before = records.revisions.get(&job.id).copied().unwrap_or(0);
         conditions.push(Compare::Modified(key.clone(), before));
         let value = serde_json::to_vec(&job.progress)
             .map_err(|error| Lost(error.to_string()))?;
         puts.push(Mutation::Value(key, value, 0));
-        if !known.begun.contains(&job.id) {
-            puts.push(Mutation::Delete(keys::waits(&job.queue, &job.id)));
+        if !records.begun.contains(&job.id) {
+            puts.push(Mutation::Delete(keys::waiting_job(
+                &job.queue, &job.id,
+            )));
         }
     }
-    let limit =
-        CALL + transfer_time(puts.iter().map(Mutation::payload_bytes).sum());
+    let limit = ANSWER_TIMEOUT
+        + transfer_time(puts.iter().map(Mutation::payload_bytes).sum());
     loop {
         let swap = store.swap(&conditions, puts.clone());
         match tokio::time::timeout(limit, swap).await {
             Ok(Ok(Swap::Written(revision))) => {
-                return Ok(all(batch, |_| Some(revision)));
+                return Ok(written(batch, |_| Some(revision)));
             }
             Ok(Ok(Swap::Refused(items))) => {
-                return landed(batch, &puts, &items);
+                return resolve_refusal(batch, &puts, &items);
             }
             Ok(Err(Error::Unreached(_) | Error::Lost(_)))
             | Ok(Err(Error::Forgotten(_)))
@@ -109,11 +113,11 @@
         if !claim.holds() {
             return Err(Lost("its lease has run out".to_owned()));
         }
-        pause(AGAIN).await;
+        pause(RETRY_DELAY).await;
     }
 }
 
-fn all(
+fn written(
     batch: &[ProgressUpdate],
     revision: impl Fn(&JobId) -> Option<Revision>,
 ) -> Written {
@@ -125,9 +129,9 @@
     }
 }
 
-/// Tells an earlier try of ours that has taken effect from a write of
-/// somebody else.
-fn landed(
+/// Distinguishes an earlier try of this writer that took effect from a write
+/// of another process.
+fn resolve_refusal(
     batch: &[ProgressUpdate],
     puts: &[Mutation],
     items: &[Item],
@@ -145,5 +149,5 @@
         let key = keys::progress(id);
         items.iter().find(|i| i.key == key).map(|i| i.modified)
     };
-    Ok(all(batch, revision))
+    Ok(written(batch, revision))
 }
