--- a/crates/landingvalve-cli/src/trial.rs
+++ b/crates/landingvalve-cli/src/trial.rs
@@ -56,13 +56,13 @@
 pub async fn run(args: Args) -> eyre::Result<ExitCode> {
     let spans = Collector::default();
     let telemetry = Telemetry::start("try", None, Some(spans.clone()))?;
-    let mut plan = site::Plan::today(args.entries.clamp(1, 9));
+    let mut config = site::Config::with_entries(args.entries.clamp(1, 9));
     if args.verbose {
         let format = landingvalve::log::Format::Text;
-        plan.log = landingvalve::log::root(format, slog::Level::Info, "try");
+        config.log = landingvalve::log::root(format, slog::Level::Info, "try");
     }
-    let site = Site::start(plan).await?;
-    let operator = Client::new(&site.url("e1"), site::OPERATOR);
+    let site = Site::start(config).await?;
+    let operator = Client::new(&site.url("e1"), site::OPERATOR_TOKEN);
     configure(&operator).await?;
     let planner = ready(&operator).await?;
     println!(
@@ -333,7 +333,7 @@
     println!("  export LANDINGVALVE_ENTRY={url}");
     println!("  export LANDINGVALVE_TOKEN=players-token");
     println!("  landingvalve job submit replay --set run_ms=500 --wait");
-    println!("  landingvalve --token {} status", site::OPERATOR);
+    println!("  landingvalve --token {} status", site::OPERATOR_TOKEN);
     println!(
         "  curl -H 'authorization: Bearer players-token' \\\n    \
          -d '{{\"template\": \"replay\", \"wait\": true}}' {url}/v1/jobs"
--- a/crates/landingvalve-soak/src/main.rs
+++ b/crates/landingvalve-soak/src/main.rs
@@ -6,7 +6,7 @@
 
 use clap::Parser;
 use landingvalve_soak::soak;
-use landingvalve_soak::soak::Plan;
+use landingvalve_soak::soak::Config;
 
 /// Runs the real programs on loopback under faults, and checks the promises.
 #[derive(Debug, Parser)]
@@ -41,7 +41,7 @@
         let folder =
             format!("landingvalve-soak-{}-{seed}", std::process::id());
         let folder = std::env::temp_dir().join(folder);
-        let soaked = soak::run(Plan {
+        let soaked = soak::run(Config {
             entry: args.programs.join("landingvalve-platform-entry"),
             agent: args.programs.join("landingvalve-platform-agent"),
             folder: folder.clone(),
--- a/crates/landingvalve-soak/src/soak.rs
+++ b/crates/landingvalve-soak/src/soak.rs
@@ -39,7 +39,7 @@
 
 /// What is soaked, and how.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Config {
     /// The entry's program.
     pub entry: PathBuf,
     /// The agent's program.
@@ -74,7 +74,7 @@
 }
 
 struct Soak {
-    plan: Plan,
+    plan: Config,
     /// Draws the faults, and nothing else: their order repeats.
     chance: fastrand::Rng,
     /// Draws what callers do.
@@ -98,7 +98,7 @@
 /// # Errors
 ///
 /// If the stand-ins or the programs cannot be started.
-pub async fn run(plan: Plan) -> eyre::Result<Report> {
+pub async fn run(plan: Config) -> eyre::Result<Report> {
     std::fs::create_dir_all(&plan.folder)?;
     let mut soak = Soak::start(plan).await?;
     let until = Instant::now() + soak.plan.faults_for;
@@ -114,7 +114,7 @@
 }
 
 impl Soak {
-    async fn start(plan: Plan) -> eyre::Result<Soak> {
+    async fn start(plan: Config) -> eyre::Result<Soak> {
         let promise = Promise::default();
         let store = Store::new(plan.seed);
         let operators = Operators::new(store.clone());
--- a/crates/landingvalve-standin/src/bin/landingvalve-standin.rs
+++ b/crates/landingvalve-standin/src/bin/landingvalve-standin.rs
@@ -40,7 +40,7 @@
 impl http::Handler for Calls {
     async fn handle(&self, _request: http::Request) -> http::Response {
         let calls = self.store.calls();
-        let body = json!({"paths": calls.paths, "seconds": calls.seconds});
+        let body = json!({"paths": calls.by_path, "seconds": calls.by_second});
         http::json(StatusCode::OK, &body)
     }
 }
--- a/crates/landingvalve-standin/src/endpoint.rs
+++ b/crates/landingvalve-standin/src/endpoint.rs
@@ -74,17 +74,17 @@
     }
 
     /// Sets whether the endpoint fails each task from now on.
-    pub fn set_bad(&self, bad: bool) {
+    pub fn set_failing(&self, bad: bool) {
         self.shared.lock().bad = bad;
     }
 
     /// Returns the names of all tasks ever started, in order.
-    pub fn starts(&self) -> Vec<TaskId> {
+    pub fn started_tasks(&self) -> Vec<TaskId> {
         self.shared.lock().starts.clone()
     }
 
     /// Returns the names of the tasks that run now.
-    pub fn running(&self) -> Vec<TaskId> {
+    pub fn running_tasks(&self) -> Vec<TaskId> {
         let mut data = self.shared.lock();
         data.settle();
         data.tasks
--- a/crates/landingvalve-standin/src/site.rs
+++ b/crates/landingvalve-standin/src/site.rs
@@ -22,7 +22,7 @@
 use crate::Vms;
 
 /// The token of the operators of a stand-in site.
-pub const OPERATOR: &str = "operator-token";
+pub const OPERATOR_TOKEN: &str = "operator-token";
 
 /// A site that cannot be started.
 #[derive(Debug)]
@@ -42,7 +42,7 @@
 
 /// How large a site is.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Config {
     /// How many entries.
     pub entries: usize,
     /// How many workers in each rack, by hall.
@@ -55,11 +55,11 @@
     pub log: slog::Logger,
 }
 
-impl Plan {
+impl Config {
     /// Returns the size of the first users' sites: 11 workers of 8
     /// accelerators, three to a rack, in three halls.
-    pub fn today(entries: usize) -> Plan {
-        Plan {
+    pub fn with_entries(entries: usize) -> Config {
+        Config {
             entries,
             halls: vec![vec![3, 1], vec![3, 1], vec![3]],
             accelerators: 8,
@@ -69,25 +69,25 @@
     }
 
     /// Returns the place of each worker: hall, rack and name.
-    pub fn places(&self) -> Vec<[String; 3]> {
-        let mut places = Vec::new();
+    pub fn worker_places(&self) -> Vec<[String; 3]> {
+        let mut worker_places = Vec::new();
         for (hall, racks) in self.halls.iter().enumerate() {
             for (rack, workers) in racks.iter().enumerate() {
                 for worker in 0..*workers {
                     let hall = format!("h{}", hall + 1);
                     let rack = format!("{hall}r{}", rack + 1);
                     let worker = format!("{rack}w{}", worker + 1);
-                    places.push([hall, rack, worker]);
+                    worker_places.push([hall, rack, worker]);
                 }
             }
         }
-        places
+        worker_places
     }
 }
 
 /// A site that runs.
 pub struct Site {
-    plan: Plan,
+    plan: Config,
     /// The store.
     pub store: Store,
     /// The list.
@@ -106,7 +106,7 @@
     /// # Errors
     ///
     /// If a part cannot listen.
-    pub async fn start(plan: Plan) -> Result<Site, Error> {
+    pub async fn start(plan: Config) -> Result<Site, Error> {
         let mut site = Site {
             store: Store::start().await.map_err(failed)?,
             vms: Vms::start().await.map_err(failed)?,
@@ -115,7 +115,7 @@
             endpoints: BTreeMap::new(),
             plan,
         };
-        for place in site.plan.places() {
+        for place in site.plan.worker_places() {
             site.add_worker(&place).await?;
         }
         for number in 1..=site.plan.entries {
@@ -188,7 +188,7 @@
             cell: "site".to_owned(),
             accelerators: self.plan.accelerators,
             policy: self.plan.policy.clone(),
-            operator_token_digest: digest::of(OPERATOR.as_bytes()),
+            operator_token_digest: digest::of(OPERATOR_TOKEN.as_bytes()),
             log: self.log(name),
         })
         .await
--- a/crates/landingvalve-standin/src/store.rs
+++ b/crates/landingvalve-standin/src/store.rs
@@ -31,18 +31,18 @@
     /// It answers nothing but an error, and breaks its watches.
     pub down: bool,
     /// It takes this much longer over each answer.
-    pub slow: Duration,
+    pub delay: Duration,
     /// It loses the answers of so many writes that took effect.
-    pub lose: u32,
+    pub lost_replies: u32,
 }
 
 /// Calls that the store has had.
 #[derive(Clone, Debug, Default)]
 pub struct Calls {
     /// By path.
-    pub paths: BTreeMap<String, u64>,
+    pub by_path: BTreeMap<String, u64>,
     /// All calls, by whole seconds since the store started.
-    pub seconds: BTreeMap<u64, u64>,
+    pub by_second: BTreeMap<u64, u64>,
 }
 
 #[derive(Default)]
@@ -134,7 +134,7 @@
     }
 
     /// Ends every lease at once, as if each holder had been paused.
-    pub fn lapse_leases(&self) {
+    pub fn expire_leases(&self) {
         let mut data = self.shared.lock();
         let ids: Vec<i64> = data.leases.keys().copied().collect();
         for id in ids {
@@ -176,8 +176,8 @@
     async fn handle(&self, request: http::Request) -> http::Response {
         let path = request.uri().path().to_owned();
         let fault = self.count(&path);
-        if !fault.slow.is_zero() {
-            tokio::time::sleep(fault.slow).await;
+        if !fault.delay.is_zero() {
+            tokio::time::sleep(fault.delay).await;
         }
         if fault.down {
             let status = StatusCode::SERVICE_UNAVAILABLE;
@@ -217,8 +217,8 @@
     fn count(&self, path: &str) -> Fault {
         let second = self.started.elapsed().as_secs();
         let mut data = self.lock();
-        *data.calls.paths.entry(path.to_owned()).or_default() += 1;
-        *data.calls.seconds.entry(second).or_default() += 1;
+        *data.calls.by_path.entry(path.to_owned()).or_default() += 1;
+        *data.calls.by_second.entry(second).or_default() += 1;
         data.fault
     }
 
@@ -232,8 +232,8 @@
         };
         let mut data = self.lock();
         let answer = data.txn(&request);
-        if answer.succeeded && data.fault.lose > 0 {
-            data.fault.lose -= 1;
+        if answer.succeeded && data.fault.lost_replies > 0 {
+            data.fault.lost_replies -= 1;
             let status = StatusCode::GATEWAY_TIMEOUT;
             return http::text(status, "the answer is lost");
         }
--- a/crates/landingvalve-standin/src/vms.rs
+++ b/crates/landingvalve-standin/src/vms.rs
@@ -47,7 +47,7 @@
     }
 
     /// Shows a VM as leaving.
-    pub fn leave(&self, name: &str) {
+    pub fn mark_leaving(&self, name: &str) {
         let mut vms = self.lock();
         for vm in vms.iter_mut().filter(|vm| &*vm.name == name) {
             vm.state = Stay::Leaving;
--- a/tests/it/examples.rs
+++ b/tests/it/examples.rs
@@ -9,7 +9,7 @@
 use landingvalve::config::Template;
 use landingvalve::job;
 use landingvalve::site::Site;
-use landingvalve_standin::site::Plan;
+use landingvalve_standin::site::Config;
 
 fn read<T: serde::de::DeserializeOwned>(site: &str, name: &str) -> T {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
@@ -22,7 +22,7 @@
 #[test]
 fn the_examples_of_both_sites_pass_every_check() {
     let mut site = Site::new(8).unwrap();
-    for [hall, rack, worker] in Plan::today(1).places() {
+    for [hall, rack, worker] in Config::with_entries(1).worker_places() {
         site.add(&hall, &rack, &worker).unwrap();
     }
     for name in ["wiezogrod", "vedurskra"] {
@@ -45,7 +45,7 @@
 #[test]
 fn promise_guarantee_that_cannot_be_packed_is_refused_by_name() {
     let mut site = Site::new(8).unwrap();
-    for [hall, rack, worker] in Plan::today(1).places() {
+    for [hall, rack, worker] in Config::with_entries(1).worker_places() {
         site.add(&hall, &rack, &worker).unwrap();
     }
     let mut accounts: BTreeMap<account::Id, Account> =
--- a/tests/it/promises.rs
+++ b/tests/it/promises.rs
@@ -9,7 +9,7 @@
 use landingvalve::job::Outcome;
 use landingvalve::wire::entry::Stage;
 use landingvalve::wire::entry::Status;
-use landingvalve_standin::site::OPERATOR;
+use landingvalve_standin::site::OPERATOR_TOKEN;
 use landingvalve_standin::store::Fault;
 use serde_json::json;
 use tokio::time::Instant;
@@ -18,8 +18,8 @@
 
 const DOWN: Fault = Fault {
     down: true,
-    slow: Duration::ZERO,
-    lose: 0,
+    delay: Duration::ZERO,
+    lost_replies: 0,
 };
 
 fn job(template: &str, id: &str, run_ms: u64) -> serde_json::Value {
@@ -149,8 +149,8 @@
 async fn promise_lost_answer_is_read_back() {
     let site = support::start(2).await;
     let url = site.url("e1");
-    let lose = |lose| Fault {
-        lose,
+    let lose = |lost_replies| Fault {
+        lost_replies,
         ..Fault::default()
     };
     for round in 0..3 {
@@ -170,10 +170,11 @@
     let value = support::template(3, "worker", true);
     let body = json!({"value": value, "revision": 0, "edit": "once"});
     let path = "/v1/config/templates/three";
-    let put = support::call(&url, OPERATOR, Method::PUT, path, Some(body));
+    let put =
+        support::call(&url, OPERATOR_TOKEN, Method::PUT, path, Some(body));
     assert_eq!(put.await.unwrap().status, StatusCode::OK);
     let item = support::until("the item", || async {
-        let get = support::call(&url, OPERATOR, Method::GET, path, None);
+        let get = support::call(&url, OPERATOR_TOKEN, Method::GET, path, None);
         get.await.filter(|a| a.status == StatusCode::OK)
     })
     .await;
@@ -189,7 +190,7 @@
     let before = support::settled(&url, 11).await.cell.unwrap().epoch;
 
     // Its lease lapses under it, as if it had been paused past it.
-    site.store.lapse_leases();
+    site.store.expire_leases();
     let after = support::until("a later epoch", || async {
         let cell = support::view(&url).await?.cell?;
         (cell.epoch > before).then_some(cell.epoch)
@@ -212,11 +213,11 @@
     let status = support::reaches(&url, "a.g", Stage::Running).await;
     let lost = status.workers[1].to_string();
     let kept = status.workers[0].to_string();
-    let task = site.endpoints[&kept].running().remove(0);
+    let task = site.endpoints[&kept].running_tasks().remove(0);
 
     site.lose_worker(&lost);
     support::until("the rest of the gang to stop", || async {
-        let running = site.endpoints[&kept].running();
+        let running = site.endpoints[&kept].running_tasks();
         (!running.contains(&task)).then_some(())
     })
     .await;
@@ -231,14 +232,14 @@
 async fn promise_leaving_gets_no_new_work() {
     let mut site = support::start(1).await;
     let url = site.url("e1");
-    site.vms.leave("h1r1w1");
+    site.vms.mark_leaving("h1r1w1");
     support::until("the worker to be leaving", || async {
         let cell = support::view(&url).await?.cell?;
         let mut workers = cell.workers.iter();
         workers.find(|w| w.presence == "leaving").map(|_| ())
     })
     .await;
-    let before = site.endpoints["h1r1w1"].starts().len();
+    let before = site.endpoints["h1r1w1"].started_tasks().len();
     for round in 0..40 {
         let id = format!("s{round}");
         support::submit(&url, job("small", &id, 300)).await.unwrap();
@@ -247,7 +248,7 @@
         let id = format!("a.s{round}");
         support::reaches(&url, &id, Stage::Ended).await;
     }
-    assert_eq!(site.endpoints["h1r1w1"].starts().len(), before);
+    assert_eq!(site.endpoints["h1r1w1"].started_tasks().len(), before);
     site.kill_agent("h1r1w1");
 }
 
@@ -275,13 +276,14 @@
     let site = support::start(3).await;
     let urls: Vec<String> = site.entries.keys().map(|e| site.url(e)).collect();
     let path = "/v1/config/accounts/a";
-    let item = support::call(&urls[0], OPERATOR, Method::GET, path, None);
+    let item =
+        support::call(&urls[0], OPERATOR_TOKEN, Method::GET, path, None);
     let on = item.await.unwrap().body["revision"].clone();
     let edits = urls.iter().enumerate().map(|(at, url)| {
         let value = support::account(10 + at as u32);
         let edit = format!("race-{at}");
         let body = json!({"value": value, "revision": on, "edit": edit});
-        support::call(url, OPERATOR, Method::PUT, path, Some(body))
+        support::call(url, OPERATOR_TOKEN, Method::PUT, path, Some(body))
     });
     let answers = futures_util::future::join_all(edits).await;
     let won = answers
@@ -326,7 +328,7 @@
     let answer = support::submit(&url, waiting("small", "s", 10)).await;
     assert_eq!(outcome(&answer.unwrap()), Some(Outcome::Done));
     for endpoint in ["h1r1w1", "h1r1w2"] {
-        site.endpoints[endpoint].set_bad(true);
+        site.endpoints[endpoint].set_failing(true);
     }
     for round in 0..40 {
         let id = format!("b{round}");
@@ -364,7 +366,7 @@
         assert_eq!(status.end.unwrap().outcome, Outcome::Cancelled);
     }
     support::until("every task to stop", || async {
-        let running = site.endpoints.values().map(|e| e.running().len());
+        let running = site.endpoints.values().map(|e| e.running_tasks().len());
         (running.sum::<usize>() == 0).then_some(())
     })
     .await;
@@ -466,10 +468,11 @@
     narrow["queue"] = json!(100);
     narrow["rate"] = json!(10_000);
     let path = "/v1/config/accounts/a";
-    let item = support::call(&url, OPERATOR, Method::GET, path, None);
+    let item = support::call(&url, OPERATOR_TOKEN, Method::GET, path, None);
     let on = item.await.unwrap().body["revision"].clone();
     let body = json!({"value": narrow, "revision": on, "edit": "narrow"});
-    let put = support::call(&url, OPERATOR, Method::PUT, path, Some(body));
+    let put =
+        support::call(&url, OPERATOR_TOKEN, Method::PUT, path, Some(body));
     assert_eq!(put.await.unwrap().status, StatusCode::OK);
     let b = json!({"borrow": 8,
         "tokens": [landingvalve::util::digest::of(b"b-token")]});
@@ -527,7 +530,8 @@
         .unwrap();
     let status = support::reaches(&url, "a.r", Stage::Running).await;
     let worker = status.workers[0].to_string();
-    let places = landingvalve_standin::site::Plan::today(1).places();
+    let places =
+        landingvalve_standin::site::Config::with_entries(1).worker_places();
     let place = places.iter().find(|place| place[2] == worker).unwrap();
 
     site.kill_agent(&worker);
@@ -577,8 +581,8 @@
     })
     .await;
     let calls = site.store.calls();
-    let worst = calls.seconds.values().max().copied().unwrap();
+    let worst = calls.by_second.values().max().copied().unwrap();
     assert!(worst <= 200, "{worst} calls in one second");
-    let writes = calls.paths["/v3/kv/txn"];
+    let writes = calls.by_path["/v3/kv/txn"];
     assert!(writes < 100, "{writes} transactions");
 }
--- a/tests/it/session.rs
+++ b/tests/it/session.rs
@@ -3,7 +3,7 @@
 use expect_test::expect_file;
 use hyper::Method;
 use landingvalve::wire::entry::Stage;
-use landingvalve_standin::site::OPERATOR;
+use landingvalve_standin::site::OPERATOR_TOKEN;
 use serde_json::json;
 use serde_json::Value;
 
@@ -57,7 +57,7 @@
 
     async fn operator(&mut self, method: Method, path: &str, body: Value) {
         let body = (!body.is_null()).then_some(body);
-        self.call(OPERATOR, method, path, body).await;
+        self.call(OPERATOR_TOKEN, method, path, body).await;
     }
 }
 
--- a/tests/it/support.rs
+++ b/tests/it/support.rs
@@ -97,7 +97,8 @@
 /// Returns what an entry shows operators.
 pub async fn view(url: &str) -> Option<View> {
     let path = "/v1/status";
-    let answer = call(url, site::OPERATOR, Method::GET, path, None).await?;
+    let answer =
+        call(url, site::OPERATOR_TOKEN, Method::GET, path, None).await?;
     serde_json::from_value(answer.body).ok()
 }
 
@@ -107,7 +108,7 @@
         let body = json!({"value": value, "revision": 0, "edit": "setup"});
         let path = format!("/v1/config/{path}");
         let method = Method::PUT;
-        let token = site::OPERATOR;
+        let token = site::OPERATOR_TOKEN;
         let answer = call(url, token, method, &path, Some(body)).await?;
         (answer.status == StatusCode::OK).then_some(answer)
     })
@@ -135,7 +136,7 @@
     let of_job = format!("{job}@");
     site.endpoints
         .values()
-        .flat_map(|endpoint| endpoint.starts())
+        .flat_map(|endpoint| endpoint.started_tasks())
         .filter(|task| task.starts_with(&of_job))
         .count()
 }
@@ -143,7 +144,7 @@
 /// Starts a site with account `a` and templates `small`, `gang` and
 /// `report`, and waits until its planner has every worker.
 pub async fn start(entries: usize) -> Site {
-    let plan = site::Plan::today(entries);
+    let plan = site::Config::with_entries(entries);
     let site = Site::start(plan).await.expect("a site on loopback");
     let url = site.url("e1");
     put(&url, "accounts/a", account(64)).await;
--- a/tests/it/whole_path.rs
+++ b/tests/it/whole_path.rs
@@ -5,7 +5,7 @@
 use landingvalve::job::Outcome;
 use landingvalve::util::digest;
 use landingvalve::wire::entry::Status;
-use landingvalve_standin::site::OPERATOR;
+use landingvalve_standin::site::OPERATOR_TOKEN;
 use serde_json::json;
 
 use crate::support;
@@ -24,7 +24,7 @@
     assert_eq!(end.outcome, Outcome::Done);
     assert_eq!(end.output.as_deref(), Some("weights"));
     assert_eq!(end.digest, digest::of(b"weights"));
-    let starts = site.endpoints.values().flat_map(|e| e.starts());
+    let starts = site.endpoints.values().flat_map(|e| e.started_tasks());
     assert_eq!(starts.count(), 2, "a task on each of two workers");
 }
 
@@ -61,7 +61,7 @@
     let body = json!({"value": huge, "edit": "huge"});
     let path = "/v1/config/templates/huge";
     let method = Method::PUT;
-    let answer = support::call(&url, OPERATOR, method, path, Some(body));
+    let answer = support::call(&url, OPERATOR_TOKEN, method, path, Some(body));
     let answer = answer.await.unwrap();
     let problem = &answer.body["problems"][0];
     assert_eq!(problem["field"], "shape", "{answer:?}");
