--- a/crates/landingvalve-standin/src/bin/landingvalve-load.rs
+++ b/crates/landingvalve-standin/src/bin/landingvalve-load.rs
@@ -1,4 +1,4 @@
-//! Submits small jobs at a rate and prints how long their answers took.
+//! Submits jobs at a fixed rate and prints percentiles of their latency.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,31 +14,33 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// How long one answer may take.
-const LONGEST: Duration = Duration::from_secs(60);
+/// The timeout of one submission, which waits for its job to end.
+const SUBMISSION_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Submits jobs that are waited for.
+/// Submits jobs at a fixed rate, waits for each to end, and prints the
+/// latency percentiles.
 #[derive(Parser)]
 struct Args {
-    /// The entries, which take turns.
+    /// The URL of an entry; given several times, the entries are used in turn.
     #[arg(long, required = true)]
     entry: Vec<String>,
     /// The token of the client account.
     #[arg(long)]
     token: String,
-    /// The template.
+    /// The template of the jobs.
     #[arg(long, default_value = "small")]
     template: String,
-    /// How many jobs a second.
+    /// The number of jobs submitted per second.
     #[arg(long, default_value_t = 200)]
     rate: u32,
-    /// How many jobs.
+    /// The total number of jobs.
     #[arg(long, default_value_t = 1000)]
     count: u32,
-    /// How long each runs, in milliseconds.
+    /// The run time of each job, in milliseconds.
     #[arg(long, default_value_t = 1)]
     run_ms: u64,
-    /// Starts each request id, so that runs do not meet.
+    /// The prefix of the request ids; use another one for each invocation, so
+    /// that its requests are not taken for repeats of earlier ones.
     #[arg(long, default_value = "load")]
     prefix: String,
 }
@@ -47,35 +49,37 @@
 async fn main() {
     let args = Arc::new(Args::parse());
     let client = http::Client::new();
-    let (to, mut from) = mpsc::unbounded_channel();
-    let mut pace = tokio::time::interval(Duration::from_secs(1) / args.rate);
+    let (sender, mut receiver) = mpsc::unbounded_channel();
+    let mut ticks = tokio::time::interval(Duration::from_secs(1) / args.rate);
     for number in 0..args.count {
-        pace.tick().await;
-        let (args, client, to) = (args.clone(), client.clone(), to.clone());
+        ticks.tick().await;
+        let (args, client, sender) =
+            (args.clone(), client.clone(), sender.clone());
         tokio::spawn(async move {
-            let _ = to.send(one(&args, &client, number).await);
+            let _ = sender.send(submit(&args, &client, number).await);
         });
     }
-    drop(to);
-    let mut took = Vec::new();
+    drop(sender);
+    let mut latencies_us = Vec::new();
     let mut failed = 0;
-    while let Some(result) = from.recv().await {
+    while let Some(result) = receiver.recv().await {
         match result {
-            Some(time) => took.push(time.as_micros() as u64),
+            Some(latency) => latencies_us.push(latency.as_micros() as u64),
             None => failed += 1,
         }
     }
-    took.sort_unstable();
-    let ms = |percent| percentile(&took, percent) as f64 / 1e3;
+    latencies_us.sort_unstable();
+    let ms = |percent| percentile(&latencies_us, percent) as f64 / 1e3;
     println!(
         "{}",
-        json!({"done": took.len(), "failed": failed, "p50_ms": ms(50),
+        json!({"done": latencies_us.len(), "failed": failed, "p50_ms": ms(50),
             "p95_ms": ms(95), "p99_ms": ms(99)})
     );
 }
 
-/// Submits one job; returns how long its answer took, if it was done.
-async fn one(
+/// Submits one job and returns its latency, or `None` unless it ended with
+/// the outcome `done`.
+async fn submit(
     args: &Args,
     client: &http::Client,
     number: u32,
@@ -84,15 +88,15 @@
     let bearer = format!("Bearer {}", args.token);
     let mut headers = HeaderMap::new();
     headers.insert(AUTHORIZATION, HeaderValue::from_str(&bearer).ok()?);
-    let id = format!("{}-{number}", args.prefix);
-    let body = json!({"template": args.template, "request_id": id,
+    let request_id = format!("{}-{number}", args.prefix);
+    let body = json!({"template": args.template, "request_id": request_id,
         "wait": true, "parameters": {"run_ms": args.run_ms}});
     let url = format!("{entry}/v1/jobs");
-    let began = Instant::now();
-    let deadline = began + LONGEST;
+    let start = Instant::now();
+    let deadline = start + SUBMISSION_TIMEOUT;
     let body = body.to_string();
     let call = client.call(Method::POST, &url, headers, body, deadline);
     let reply = call.await.ok()?;
     let body: serde_json::Value = serde_json::from_slice(&reply.body).ok()?;
-    (body["end"]["outcome"] == "done").then(|| began.elapsed())
+    (body["end"]["outcome"] == "done").then(|| start.elapsed())
 }
--- a/crates/landingvalve-standin/src/bin/landingvalve-standin.rs
+++ b/crates/landingvalve-standin/src/bin/landingvalve-standin.rs
@@ -1,8 +1,9 @@
-//! Serves a stand-in platform for processes that run on their own.
+//! Serves a stand-in platform for agents and entries that run as separate
+//! processes.
 //!
-//! It prints one JSON object that says where everything is, and serves
-//! until it is ended. The list of VMs names agents and entries at ports
-//! counted up from a base, where they are to be started.
+//! The program prints one JSON object with all addresses, and serves until it
+//! is interrupted. The list of VMs names agents and entries at consecutive
+//! ports from a base port; whoever uses the program starts them there.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,26 +19,27 @@
 use landingvalve_standin::Vms;
 use serde_json::json;
 
-/// Serves a stand-in platform.
+/// Serves a stand-in platform: a store, a list of VMs and endpoints.
 #[derive(Parser)]
 struct Args {
-    /// How many workers, eight to a rack.
+    /// The number of workers, eight per rack.
     #[arg(long, default_value_t = 11)]
     workers: u16,
-    /// How many entries.
+    /// The number of entries.
     #[arg(long, default_value_t = 3)]
     entries: u16,
-    /// The port of the first agent; entries' follow the agents'.
+    /// The port of the first agent; the ports of the entries follow those of
+    /// the agents.
     #[arg(long, default_value_t = 21_000)]
     port: u16,
 }
 
-/// Shows the calls that the store has had.
-struct Calls {
+/// Serves the call counts of the store.
+struct CallCounter {
     store: Store,
 }
 
-impl http::Handler for Calls {
+impl http::Handler for CallCounter {
     async fn handle(&self, _request: http::Request) -> http::Response {
         let calls = self.store.calls();
         let body = json!({"paths": calls.by_path, "seconds": calls.by_second});
@@ -72,8 +74,8 @@
     let mut entries = Vec::new();
     for number in 0..args.entries {
         let name = format!("e{number}");
-        let peers = args.port + args.workers + 2 * number;
-        let address = format!("127.0.0.1:{peers}");
+        let peers_port = args.port + args.workers + 2 * number;
+        let address = format!("127.0.0.1:{peers_port}");
         vms.put(Vm {
             name: name.as_str().into(),
             role: Role::Entry,
@@ -82,17 +84,17 @@
             rack: "r0".into(),
             address: address.clone(),
         });
-        let callers = format!("127.0.0.1:{}", peers + 1);
+        let callers_address = format!("127.0.0.1:{}", peers_port + 1);
         entries.push(json!({"name": name, "peers": address,
-            "callers": callers}));
+            "callers": callers_address}));
     }
     let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
-    let calls = Arc::new(Calls { store });
-    let calls = http::Server::start(loopback, calls).await?;
+    let counter = Arc::new(CallCounter { store });
+    let counter = http::Server::start(loopback, counter).await?;
     println!(
         "{}",
         json!({"store": store_url, "vms": vms.url(),
-            "calls": format!("http://{}", calls.address()),
+            "calls": format!("http://{}", counter.address()),
             "workers": workers, "entries": entries})
     );
     tokio::signal::ctrl_c().await
--- a/crates/landingvalve-standin/src/body.rs
+++ b/crates/landingvalve-standin/src/body.rs
@@ -1,4 +1,4 @@
-//! A body that is sent line by line.
+//! A streaming response body.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -10,13 +10,14 @@
 use hyper::body::Frame;
 use tokio::sync::mpsc;
 
-/// A body whose pieces come from a channel.
-pub struct Lines {
-    /// The pieces.
-    pub from: mpsc::UnboundedReceiver<Bytes>,
+/// A body whose chunks are received from a channel; the body ends when the
+/// channel closes.
+pub struct Stream {
+    /// The receiving half of the channel.
+    pub chunks: mpsc::UnboundedReceiver<Bytes>,
 }
 
-impl Body for Lines {
+impl Body for Stream {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -24,8 +25,8 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.from
+        self.chunks
             .poll_recv(context)
-            .map(|piece| piece.map(|bytes| Ok(Frame::data(bytes))))
+            .map(|chunk| chunk.map(|bytes| Ok(Frame::data(bytes))))
     }
 }
--- a/crates/landingvalve-standin/src/endpoint.rs
+++ b/crates/landingvalve-standin/src/endpoint.rs
@@ -1,7 +1,7 @@
-//! An endpoint that runs tasks under leases, for as long as each is told.
+//! An endpoint that simulates tasks under leases.
 //!
-//! A task's parameters say how it goes: `run_ms` for how long it runs,
-//! `fail` for whether it fails at its end, `output` for what it answers.
+//! Parameters of a task control the simulation: `run_ms` is the run time,
+//! `fail` makes the task fail at its end, `output` is the output.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,38 +20,43 @@
 use landingvalve::http;
 use tokio::time::Instant;
 
-/// How long a task runs that is not told.
+/// The run time in ms of a task without the parameter `run_ms`.
 const DEFAULT_RUN_MS: u64 = 200;
-/// How long a task lasts on an endpoint that fails each of them.
-const BAD_RUN: Duration = Duration::from_millis(100);
-/// The largest request.
-const MAX_REQUEST: usize = 1 << 20;
+/// The longest run time of a task on an endpoint that fails every task.
+const MAX_FAILING_RUN: Duration = Duration::from_millis(100);
+/// The limit of a request body, in bytes.
+const MAX_REQUEST_BYTES: usize = 1 << 20;
 
 struct Run {
     start: Start,
-    began: Instant,
-    lease: Instant,
-    ends: Instant,
+    started_at: Instant,
+    /// When the lease expires. A task that would run longer stops there.
+    lease_expiry: Instant,
+    /// When the task ends unless it is stopped earlier.
+    ends_at: Instant,
     fails: bool,
     state: State,
+    /// How long the task had run when it was stopped; 0 before.
     kept_ms: u64,
 }
 
 #[derive(Default)]
-struct Data {
-    tasks: BTreeMap<TaskId, Run>,
-    starts: Vec<TaskId>,
-    bad: bool,
+struct Tasks {
+    runs: BTreeMap<TaskId, Run>,
+    /// Every task ever started, in order of the starts.
+    started: Vec<TaskId>,
+    /// Whether tasks started from now on fail.
+    failing: bool,
 }
 
 #[derive(Default)]
-struct Shared {
-    data: Mutex<Data>,
+struct Service {
+    tasks: Mutex<Tasks>,
 }
 
-/// An endpoint that listens.
+/// A running endpoint.
 pub struct Endpoint {
-    shared: Arc<Shared>,
+    service: Arc<Service>,
     server: http::Server,
 }
 
@@ -60,64 +65,66 @@
     ///
     /// # Errors
     ///
-    /// If no port can be had.
+    /// If no port is available.
     pub async fn start() -> std::io::Result<Endpoint> {
-        let shared = Arc::new(Shared::default());
+        let service = Arc::new(Service::default());
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
-        let server = http::Server::start(address, shared.clone()).await?;
-        Ok(Endpoint { shared, server })
+        let server = http::Server::start(address, service.clone()).await?;
+        Ok(Endpoint { service, server })
     }
 
-    /// Returns where the endpoint listens.
+    /// Returns the URL of the endpoint.
     pub fn url(&self) -> String {
         format!("http://{}", self.server.address())
     }
 
-    /// Sets whether the endpoint fails each task from now on.
-    pub fn set_failing(&self, bad: bool) {
-        self.shared.lock().bad = bad;
+    /// Sets whether tasks started from now on fail, within 100 ms.
+    pub fn set_failing(&self, failing: bool) {
+        self.service.lock().failing = failing;
     }
 
-    /// Returns the names of all tasks ever started, in order.
+    /// Returns the names of all tasks ever started, in order of the starts.
     pub fn started_tasks(&self) -> Vec<TaskId> {
-        self.shared.lock().starts.clone()
+        self.service.lock().started.clone()
     }
 
-    /// Returns the names of the tasks that run now.
+    /// Returns the names of the running tasks.
     pub fn running_tasks(&self) -> Vec<TaskId> {
-        let mut data = self.shared.lock();
-        data.settle();
-        data.tasks
+        let mut tasks = self.service.lock();
+        tasks.update();
+        tasks
+            .runs
             .iter()
             .filter(|(_, run)| run.state == State::Running)
             .map(|(task, _)| task.clone())
             .collect()
     }
 
-    /// Stops at once with all tasks, as a VM that is lost.
+    /// Stops the endpoint and all its tasks at once, as if its VM were lost.
     pub fn kill(self) {
         self.server.kill();
     }
 }
 
-impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Data> {
-        self.data.lock().unwrap_or_else(PoisonError::into_inner)
+impl Service {
+    fn lock(&self) -> MutexGuard<'_, Tasks> {
+        self.tasks.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Data {
-    /// Brings every task to where it is by now.
-    fn settle(&mut self) {
+impl Tasks {
+    /// Updates the state of every running task to the present time.
+    fn update(&mut self) {
         let now = Instant::now();
         let running = self
-            .tasks
+            .runs
             .values_mut()
             .filter(|run| run.state == State::Running);
         for run in running {
-            let lapsed = run.lease < run.ends && run.lease <= now;
-            run.state = match run.ends <= now {
-                _ if lapsed => State::Stopped,
+            let expired =
+                run.lease_expiry < run.ends_at && run.lease_expiry <= now;
+            run.state = match run.ends_at <= now {
+                _ if expired => State::Stopped,
                 true if run.fails => State::Failed,
                 true => State::Done,
                 false => State::Running,
@@ -125,27 +132,29 @@
         }
     }
 
+    /// Starts a task, unless a task of that name was started before.
     fn start(&mut self, start: Start) -> Task {
         let now = Instant::now();
-        let bad = self.bad;
+        let failing = self.failing;
         let name = start.task.clone();
-        if !self.tasks.contains_key(&name) {
-            self.starts.push(name.clone());
-            let run = run(start, now, bad);
-            self.tasks.insert(name.clone(), run);
+        if !self.runs.contains_key(&name) {
+            self.started.push(name.clone());
+            let run = new_run(start, now, failing);
+            self.runs.insert(name.clone(), run);
         }
-        self.settle();
-        report(&self.tasks[&name])
+        self.update();
+        report(&self.runs[&name])
     }
 
+    /// Renews the leases of tasks; unknown names are left out of the reply.
     fn renew(&mut self, names: &[TaskId]) -> Vec<Task> {
-        self.settle();
+        self.update();
         let now = Instant::now();
         let mut known = Vec::new();
         for name in names {
-            if let Some(run) = self.tasks.get_mut(name) {
+            if let Some(run) = self.runs.get_mut(name) {
                 let seconds = run.start.lease_seconds;
-                run.lease = now + Duration::from_secs(seconds);
+                run.lease_expiry = now + Duration::from_secs(seconds);
                 known.push(report(run));
             }
         }
@@ -153,17 +162,19 @@
     }
 
     fn stop(&mut self, name: &str) -> Option<Task> {
-        self.settle();
-        let run = self.tasks.get_mut(name)?;
+        self.update();
+        let run = self.runs.get_mut(name)?;
         if run.state == State::Running {
             run.state = State::Stopped;
-            run.kept_ms = run.began.elapsed().as_millis() as u64;
+            run.kept_ms = run.started_at.elapsed().as_millis() as u64;
         }
         Some(report(run))
     }
 }
 
-fn run(start: Start, now: Instant, bad: bool) -> Run {
+/// Returns the run of a new task. A checkpoint holds the ms that earlier runs
+/// of the task completed; the new run lasts for the rest.
+fn new_run(start: Start, now: Instant, failing: bool) -> Run {
     let number = |name: &str| start.parameters[name].as_u64();
     let run_ms = number("run_ms").unwrap_or(DEFAULT_RUN_MS);
     let done_ms: u64 = start
@@ -171,13 +182,18 @@
         .as_deref()
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
-    let left = Duration::from_millis(run_ms.saturating_sub(done_ms));
+    let remaining = Duration::from_millis(run_ms.saturating_sub(done_ms));
     let fails = start.parameters["fail"].as_bool().unwrap_or(false);
     Run {
-        began: now,
-        lease: now + Duration::from_secs(start.lease_seconds),
-        ends: now + if bad { BAD_RUN.min(left) } else { left },
-        fails: fails || bad,
+        started_at: now,
+        lease_expiry: now + Duration::from_secs(start.lease_seconds),
+        ends_at: now
+            + if failing {
+                MAX_FAILING_RUN.min(remaining)
+            } else {
+                remaining
+            },
+        fails: fails || failing,
         state: State::Running,
         kept_ms: 0,
         start,
@@ -187,7 +203,7 @@
 fn report(run: &Run) -> Task {
     let output = run.start.parameters["output"].as_str();
     let output = output.unwrap_or(&run.start.run).to_owned();
-    let before: u64 = run
+    let done_ms: u64 = run
         .start
         .checkpoint
         .as_deref()
@@ -199,47 +215,49 @@
         state: run.state,
         accelerators: run.start.accelerators,
         output: (run.state == State::Done).then_some(output),
-        checkpoint: stopped.then(|| (before + run.kept_ms).to_string()),
+        checkpoint: stopped.then(|| (done_ms + run.kept_ms).to_string()),
         kept_ms: run.kept_ms,
         note: run.start.note.clone(),
     }
 }
 
-impl http::Handler for Shared {
+impl http::Handler for Service {
     async fn handle(&self, request: http::Request) -> http::Response {
         let method = request.method().clone();
         let path = request.uri().path().to_owned();
-        let Ok(body) = http::read(request, MAX_REQUEST).await else {
+        let Ok(body) = http::read(request, MAX_REQUEST_BYTES).await else {
             return http::text(StatusCode::PAYLOAD_TOO_LARGE, "too large");
         };
-        let mut data = self.lock();
+        let mut tasks = self.lock();
         let parts: Vec<&str> =
             path.split('/').filter(|part| !part.is_empty()).collect();
         match (method, &parts[..]) {
             (Method::GET, ["tasks"]) => {
-                data.settle();
-                let tasks: Vec<Task> =
-                    data.tasks.values().map(report).collect();
-                http::json(StatusCode::OK, &tasks)
+                tasks.update();
+                let list: Vec<Task> =
+                    tasks.runs.values().map(report).collect();
+                http::json(StatusCode::OK, &list)
             }
             (Method::POST, ["tasks"]) => match serde_json::from_slice(&body) {
-                Ok(start) => http::json(StatusCode::OK, &data.start(start)),
+                Ok(start) => http::json(StatusCode::OK, &tasks.start(start)),
                 Err(error) => bad_request(&error),
             },
             (Method::POST, ["tasks", "renew"]) => {
                 match serde_json::from_slice::<Vec<TaskId>>(&body) {
                     Ok(names) => {
-                        http::json(StatusCode::OK, &data.renew(&names))
+                        http::json(StatusCode::OK, &tasks.renew(&names))
                     }
                     Err(error) => bad_request(&error),
                 }
             }
-            (Method::POST, ["tasks", name, "stop"]) => match data.stop(name) {
-                Some(task) => http::json(StatusCode::OK, &task),
-                None => not_found(),
-            },
+            (Method::POST, ["tasks", name, "stop"]) => {
+                match tasks.stop(name) {
+                    Some(task) => http::json(StatusCode::OK, &task),
+                    None => not_found(),
+                }
+            }
             (Method::DELETE, ["tasks", name]) => {
-                match data.tasks.remove(*name) {
+                match tasks.runs.remove(*name) {
                     Some(_) => http::json(StatusCode::OK, &()),
                     None => not_found(),
                 }
--- a/crates/landingvalve-standin/src/lib.rs
+++ b/crates/landingvalve-standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for the platform: its store, its list of VMs, its endpoints.
+//! Stand-ins for the platform: its store, its list of VMs and its endpoints.
 //!
-//! They speak the published protocols over loopback, count what they are
-//! asked, and break on demand: a store that is down, slow or loses its
-//! answers, an endpoint that fails each task, a VM that goes.
+//! The stand-ins implement the published protocols over loopback, and inject
+//! faults on demand: a store that is down, slow or loses replies, an endpoint
+//! that fails every task, a VM that disappears. The store counts its calls.
 
 pub mod body;
 pub mod endpoint;
--- a/crates/landingvalve-standin/src/site.rs
+++ b/crates/landingvalve-standin/src/site.rs
@@ -1,7 +1,8 @@
-//! A whole site in one process: store, list, entries, agents, endpoints.
+//! A whole site in one process: store, list of VMs, entries, agents and
+//! endpoints.
 //!
-//! The entries and agents are the very ones that the programs run; they
-//! talk over loopback TCP. Each can be killed, stopped or added.
+//! The entries and agents are those of the real programs; all parts talk over
+//! loopback TCP. Parts can be added and killed one by one.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,10 +22,10 @@
 use crate::Store;
 use crate::Vms;
 
-/// The token of the operators of a stand-in site.
+/// The operators' token at a stand-in site.
 pub const OPERATOR_TOKEN: &str = "operator-token";
 
-/// A site that cannot be started.
+/// A failure to start a part of a site, described for people.
 #[derive(Debug)]
 pub struct Error(String);
 
@@ -36,28 +37,28 @@
 
 impl std::error::Error for Error {}
 
-fn failed(error: impl std::fmt::Display) -> Error {
+fn start_error(error: impl std::fmt::Display) -> Error {
     Error(error.to_string())
 }
 
-/// How large a site is.
+/// The size and the settings of a site.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// How many entries.
+    /// The number of entries.
     pub entries: usize,
-    /// How many workers in each rack, by hall.
+    /// The number of workers in each rack, by hall.
     pub halls: Vec<Vec<usize>>,
-    /// How many accelerators each worker has.
+    /// The number of accelerators of each worker.
     pub accelerators: u32,
-    /// What the operators weigh.
+    /// The planner's policy.
     pub policy: Policy,
-    /// Where logs go.
+    /// The logger of all processes, which disables logs by default.
     pub log: slog::Logger,
 }
 
 impl Config {
-    /// Returns the size of the first users' sites: 11 workers of 8
-    /// accelerators, three to a rack, in three halls.
+    /// Returns the configuration of a site of 11 workers with 8 accelerators
+    /// each, at most three per rack, in three halls.
     pub fn with_entries(entries: usize) -> Config {
         Config {
             entries,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Returns the place of each worker: hall, rack and name.
+    /// Returns the hall, the rack and the name of each worker.
     pub fn worker_places(&self) -> Vec<[String; 3]> {
         let mut worker_places = Vec::new();
         for (hall, racks) in self.halls.iter().enumerate() {
@@ -85,12 +86,12 @@
     }
 }
 
-/// A site that runs.
+/// A running site.
 pub struct Site {
-    plan: Config,
+    config: Config,
     /// The store.
     pub store: Store,
-    /// The list.
+    /// The list of VMs.
     pub vms: Vms,
     /// The entries, by name.
     pub entries: BTreeMap<String, Entry>,
@@ -106,25 +107,26 @@
     /// # Errors
     ///
     /// If a part cannot listen.
-    pub async fn start(plan: Config) -> Result<Site, Error> {
+    pub async fn start(config: Config) -> Result<Site, Error> {
         let mut site = Site {
-            store: Store::start().await.map_err(failed)?,
-            vms: Vms::start().await.map_err(failed)?,
+            store: Store::start().await.map_err(start_error)?,
+            vms: Vms::start().await.map_err(start_error)?,
             entries: BTreeMap::new(),
             agents: BTreeMap::new(),
             endpoints: BTreeMap::new(),
-            plan,
+            config,
         };
-        for place in site.plan.worker_places() {
+        for place in site.config.worker_places() {
             site.add_worker(&place).await?;
         }
-        for number in 1..=site.plan.entries {
+        for number in 1..=site.config.entries {
             site.add_entry(&format!("e{number}")).await?;
         }
         Ok(site)
     }
 
-    /// Starts a worker: an endpoint and its agent.
+    /// Starts an endpoint and its agent at a place of
+    /// [`Config::worker_places`].
     ///
     /// # Errors
     ///
@@ -133,16 +135,17 @@
         &mut self,
         place: &[String; 3],
     ) -> Result<(), Error> {
-        let endpoint = Endpoint::start().await.map_err(failed)?;
+        let endpoint = Endpoint::start().await.map_err(start_error)?;
         self.endpoints.insert(place[2].clone(), endpoint);
         self.add_agent(place).await
     }
 
-    /// Starts an agent beside an endpoint that runs.
+    /// Starts an agent for the running endpoint at a place of
+    /// [`Config::worker_places`].
     ///
     /// # Errors
     ///
-    /// If it cannot listen.
+    /// If there is no endpoint at that place, or the agent cannot listen.
     pub async fn add_agent(
         &mut self,
         place: &[String; 3],
@@ -151,16 +154,16 @@
         let endpoint = self
             .endpoints
             .get(worker)
-            .ok_or_else(|| failed("no endpoint of that name"))?;
+            .ok_or_else(|| start_error("no endpoint of that name"))?;
         let agent = Agent::start(agent::Config {
             worker: worker.as_str().into(),
-            accelerators: self.plan.accelerators,
+            accelerators: self.config.accelerators,
             listen_address: loopback(),
             endpoint_url: endpoint.url(),
             log: self.log(worker),
         })
         .await
-        .map_err(failed)?;
+        .map_err(start_error)?;
         self.vms.put(Vm {
             name: worker.as_str().into(),
             role: Role::Endpoint,
@@ -177,7 +180,7 @@
     ///
     /// # Errors
     ///
-    /// If it cannot listen.
+    /// If the entry cannot listen.
     pub async fn add_entry(&mut self, name: &str) -> Result<(), Error> {
         let entry = Entry::start(entry::Config {
             name: name.to_owned(),
@@ -186,13 +189,13 @@
             store_url: self.store.url(),
             vms_url: self.vms.url(),
             cell: "site".to_owned(),
-            accelerators: self.plan.accelerators,
-            policy: self.plan.policy.clone(),
+            accelerators: self.config.accelerators,
+            policy: self.config.policy.clone(),
             operator_token_digest: digest::of(OPERATOR_TOKEN.as_bytes()),
             log: self.log(name),
         })
         .await
-        .map_err(failed)?;
+        .map_err(start_error)?;
         self.vms.put(Vm {
             name: name.into(),
             role: Role::Entry,
@@ -207,16 +210,16 @@
 
     fn log(&self, process: &str) -> slog::Logger {
         let process = process.to_owned();
-        self.plan.log.new(slog::o!("process" => process))
+        self.config.log.new(slog::o!("process" => process))
     }
 
-    /// Returns where callers reach an entry.
+    /// Returns the URL of an entry for its callers.
     pub fn url(&self, entry: &str) -> String {
         let address = self.entries.get(entry).map(Entry::callers_address);
         format!("http://{}", address.unwrap_or_else(loopback))
     }
 
-    /// Returns the name of the entry that hosts the planner, if one does.
+    /// Returns the name of the entry that hosts the planner, if any.
     pub fn planner(&self) -> Option<String> {
         self.entries
             .iter()
@@ -224,21 +227,23 @@
             .map(|(name, _)| name.clone())
     }
 
-    /// Kills an entry's process.
+    /// Ends an entry without a shutdown, as if its process were killed.
     pub fn kill_entry(&mut self, name: &str) {
         if let Some(entry) = self.entries.remove(name) {
             entry.kill();
         }
     }
 
-    /// Kills an agent's process; what runs at its endpoint goes on.
+    /// Ends an agent without a shutdown, as if its process were killed; the
+    /// tasks of its endpoint continue.
     pub fn kill_agent(&mut self, worker: &str) {
         if let Some(agent) = self.agents.remove(worker) {
             agent.kill();
         }
     }
 
-    /// Loses a worker's VM with all that runs there.
+    /// Ends a worker's agent and endpoint and removes its VM from the list, as
+    /// if the VM were lost.
     pub fn lose_worker(&mut self, worker: &str) {
         self.kill_agent(worker);
         if let Some(endpoint) = self.endpoints.remove(worker) {
@@ -247,7 +252,8 @@
         self.vms.remove(worker);
     }
 
-    /// Stops everything, as planned.
+    /// Shuts the entries down by the deadline, one after another, then ends
+    /// the agents.
     pub async fn stop(self, deadline: Instant) {
         for entry in self.entries.into_values() {
             entry.stop(deadline).await;
--- a/crates/landingvalve-standin/src/store.rs
+++ b/crates/landingvalve-standin/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: compare-and-swap, leases and watches, with faults on demand.
+//! A store with compare-and-swap, leases and watches, and faults on demand.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,41 +18,43 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use crate::body::Lines;
+use crate::body::Stream;
 
-/// The largest value that the store holds.
-const MAX_VALUE: usize = 1 << 20;
-/// How often lapsed leases are looked for.
-const LEASE_TICK: Duration = Duration::from_millis(50);
+/// The largest value that clients may store, in bytes. Request bodies are
+/// limited to four times as much.
+const MAX_VALUE_BYTES: usize = 1 << 20;
+/// How often the store checks for expired leases.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What is wrong with the store.
+/// The faults of the store; the default is a store without faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Fault {
-    /// It answers nothing but an error, and breaks its watches.
+    /// Whether every call fails; when set, open watches are closed as well.
     pub down: bool,
-    /// It takes this much longer over each answer.
+    /// An extra delay before each call is processed.
     pub delay: Duration,
-    /// It loses the answers of so many writes that took effect.
+    /// The number of transactions to come that succeed but whose reply is
+    /// replaced by a gateway timeout.
     pub lost_replies: u32,
 }
 
-/// Calls that the store has had.
+/// The numbers of calls that the store received.
 #[derive(Clone, Debug, Default)]
 pub struct Calls {
-    /// By path.
+    /// Calls by path.
     pub by_path: BTreeMap<String, u64>,
-    /// All calls, by whole seconds since the store started.
+    /// Calls of all paths, by whole seconds since the store started.
     pub by_second: BTreeMap<u64, u64>,
 }
 
 #[derive(Default)]
-struct Data {
+struct State {
     revision: i64,
     keys: BTreeMap<Vec<u8>, api::KeyValue>,
     leases: BTreeMap<i64, Lease>,
-    granted: i64,
-    log: Vec<(i64, api::WatchEvent)>,
-    watches: Vec<Watcher>,
+    last_lease: i64,
+    history: Vec<(i64, api::WatchEvent)>,
+    watches: Vec<Watch>,
     fault: Fault,
     calls: Calls,
 }
@@ -62,22 +64,22 @@
     deadline: Instant,
 }
 
-struct Watcher {
+struct Watch {
     key: Vec<u8>,
     end: Vec<u8>,
-    to: mpsc::UnboundedSender<Bytes>,
+    chunks: mpsc::UnboundedSender<Bytes>,
 }
 
-struct Shared {
-    data: Mutex<Data>,
+struct Service {
+    state: Mutex<State>,
     started: Instant,
 }
 
-/// A store that listens.
+/// A running store.
 pub struct Store {
-    shared: Arc<Shared>,
+    service: Arc<Service>,
     server: http::Server,
-    leases: JoinHandle<()>,
+    lease_expiry: JoinHandle<()>,
 }
 
 impl Store {
@@ -85,45 +87,46 @@
     ///
     /// # Errors
     ///
-    /// If no port can be had.
+    /// If no port is available.
     pub async fn start() -> std::io::Result<Store> {
-        let shared = Arc::new(Shared {
-            data: Mutex::default(),
+        let service = Arc::new(Service {
+            state: Mutex::default(),
             started: Instant::now(),
         });
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
-        let server = http::Server::start(address, shared.clone()).await?;
-        let leases = tokio::spawn(lapse(shared.clone()));
+        let server = http::Server::start(address, service.clone()).await?;
+        let lease_expiry = tokio::spawn(run_lease_expiry(service.clone()));
         Ok(Store {
-            shared,
+            service,
             server,
-            leases,
+            lease_expiry,
         })
     }
 
-    /// Returns where the store listens.
+    /// Returns the URL of the store.
     pub fn url(&self) -> String {
         format!("http://{}", self.server.address())
     }
 
-    /// Sets what is wrong with the store from now on.
+    /// Replaces the faults of the store.
     pub fn set_fault(&self, fault: Fault) {
-        let mut data = self.shared.lock();
-        data.fault = fault;
+        let mut state = self.service.lock();
+        state.fault = fault;
         if fault.down {
-            data.watches.clear();
+            state.watches.clear();
         }
     }
 
-    /// Returns the calls that the store has had.
+    /// Returns the numbers of calls so far.
     pub fn calls(&self) -> Calls {
-        self.shared.lock().calls.clone()
+        self.service.lock().calls.clone()
     }
 
-    /// Returns the values of all keys that start with `prefix`.
+    /// Returns the keys that start with `prefix`, each with its value.
     pub fn values(&self, prefix: &str) -> Vec<(String, Vec<u8>)> {
-        let data = self.shared.lock();
-        data.keys
+        let state = self.service.lock();
+        state
+            .keys
             .range(prefix.as_bytes().to_vec()..)
             .take_while(|(key, _)| key.starts_with(prefix.as_bytes()))
             .map(|(key, kv)| {
@@ -133,49 +136,51 @@
             .collect()
     }
 
-    /// Ends every lease at once, as if each holder had been paused.
+    /// Ends every lease at once, as if its holder had been paused for longer
+    /// than its time to live.
     pub fn expire_leases(&self) {
-        let mut data = self.shared.lock();
-        let ids: Vec<i64> = data.leases.keys().copied().collect();
+        let mut state = self.service.lock();
+        let ids: Vec<i64> = state.leases.keys().copied().collect();
         for id in ids {
-            data.end_lease(id);
+            state.end_lease(id);
         }
     }
 }
 
 impl Drop for Store {
     fn drop(&mut self) {
-        self.leases.abort();
+        self.lease_expiry.abort();
     }
 }
 
-impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Data> {
-        self.data.lock().unwrap_or_else(PoisonError::into_inner)
+impl Service {
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-async fn lapse(shared: Arc<Shared>) {
+/// Ends expired leases, forever.
+async fn run_lease_expiry(service: Arc<Service>) {
     loop {
-        tokio::time::sleep(LEASE_TICK).await;
+        tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
         let now = Instant::now();
-        let mut data = shared.lock();
-        let lapsed: Vec<i64> = data
+        let mut state = service.lock();
+        let expired: Vec<i64> = state
             .leases
             .iter()
             .filter(|(_, lease)| lease.deadline <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in lapsed {
-            data.end_lease(id);
+        for id in expired {
+            state.end_lease(id);
         }
     }
 }
 
-impl http::Handler for Shared {
+impl http::Handler for Service {
     async fn handle(&self, request: http::Request) -> http::Response {
         let path = request.uri().path().to_owned();
-        let fault = self.count(&path);
+        let fault = self.count_call(&path);
         if !fault.delay.is_zero() {
             tokio::time::sleep(fault.delay).await;
         }
@@ -183,7 +188,7 @@
             let status = StatusCode::SERVICE_UNAVAILABLE;
             return http::text(status, "the store is down");
         }
-        let Ok(body) = http::read(request, 4 * MAX_VALUE).await else {
+        let Ok(body) = http::read(request, 4 * MAX_VALUE_BYTES).await else {
             return http::text(StatusCode::PAYLOAD_TOO_LARGE, "too large");
         };
         match &*path {
@@ -203,23 +208,25 @@
     }
 }
 
+/// Parses a request, processes it with `process`, and returns the reply.
 fn reply<Q: DeserializeOwned, A: serde::Serialize>(
     body: &[u8],
-    answer: impl FnOnce(Q) -> A,
+    process: impl FnOnce(Q) -> A,
 ) -> http::Response {
     match serde_json::from_slice(body) {
-        Ok(request) => http::json(StatusCode::OK, &answer(request)),
+        Ok(request) => http::json(StatusCode::OK, &process(request)),
         Err(error) => http::text(StatusCode::BAD_REQUEST, error.to_string()),
     }
 }
 
-impl Shared {
-    fn count(&self, path: &str) -> Fault {
+impl Service {
+    /// Counts a call and returns the faults at that time.
+    fn count_call(&self, path: &str) -> Fault {
         let second = self.started.elapsed().as_secs();
-        let mut data = self.lock();
-        *data.calls.by_path.entry(path.to_owned()).or_default() += 1;
-        *data.calls.by_second.entry(second).or_default() += 1;
-        data.fault
+        let mut state = self.lock();
+        *state.calls.by_path.entry(path.to_owned()).or_default() += 1;
+        *state.calls.by_second.entry(second).or_default() += 1;
+        state.fault
     }
 
     fn txn(&self, body: &[u8]) -> http::Response {
@@ -230,14 +237,14 @@
                 return http::text(status, error.to_string());
             }
         };
-        let mut data = self.lock();
-        let answer = data.txn(&request);
-        if answer.succeeded && data.fault.lost_replies > 0 {
-            data.fault.lost_replies -= 1;
+        let mut state = self.lock();
+        let response = state.txn(&request);
+        if response.succeeded && state.fault.lost_replies > 0 {
+            state.fault.lost_replies -= 1;
             let status = StatusCode::GATEWAY_TIMEOUT;
-            return http::text(status, "the answer is lost");
+            return http::text(status, "the reply is lost");
         }
-        http::json(StatusCode::OK, &answer)
+        http::json(StatusCode::OK, &response)
     }
 
     fn watch(&self, body: &[u8]) -> http::Response {
@@ -248,41 +255,42 @@
                 return http::text(status, error.to_string());
             }
         };
-        let (to, from) = mpsc::unbounded_channel();
-        let mut data = self.lock();
+        let (sender, receiver) = mpsc::unbounded_channel();
+        let mut state = self.lock();
         let create = request.create_request;
         let created = api::WatchResponse {
-            header: data.header(),
+            header: state.header(),
             created: true,
             ..Default::default()
         };
-        let _ = to.send(line(created));
-        let missed: Vec<api::WatchEvent> = data
-            .log
+        let _ = sender.send(line(created));
+        let missed: Vec<api::WatchEvent> = state
+            .history
             .iter()
-            .filter(|(at, _)| *at >= create.start_revision.max(1))
+            .filter(|(revision, _)| *revision >= create.start_revision.max(1))
             .filter(|_| create.start_revision > 0)
             .map(|(_, event)| event.clone())
             .filter(|event| {
-                within(&event.kv.key, &create.key, &create.range_end)
+                in_range(&event.kv.key, &create.key, &create.range_end)
             })
             .collect();
         if !missed.is_empty() {
-            let _ = to.send(line(api::WatchResponse {
-                header: data.header(),
+            let _ = sender.send(line(api::WatchResponse {
+                header: state.header(),
                 events: missed,
                 ..Default::default()
             }));
         }
-        data.watches.push(Watcher {
+        state.watches.push(Watch {
             key: create.key,
             end: create.range_end,
-            to,
+            chunks: sender,
         });
-        http::Response::new(Lines { from }.boxed_unsync())
+        http::Response::new(Stream { chunks: receiver }.boxed_unsync())
     }
 }
 
+/// Returns a message of a watch as one line of JSON.
 fn line(result: api::WatchResponse) -> Bytes {
     let line = api::WatchLine { result };
     let mut bytes = serde_json::to_vec(&line).unwrap_or_default();
@@ -290,14 +298,16 @@
     bytes.into()
 }
 
-fn within(key: &[u8], first: &[u8], end: &[u8]) -> bool {
+/// Returns whether a key is in the range from `first` to `end` exclusive; an
+/// empty `end` stands for the single key `first`.
+fn in_range(key: &[u8], first: &[u8], end: &[u8]) -> bool {
     match end.is_empty() {
         true => key == first,
         false => key >= first && key < end,
     }
 }
 
-impl Data {
+impl State {
     fn header(&self) -> api::Header {
         api::Header {
             revision: self.revision,
@@ -336,9 +346,10 @@
         }
     }
 
+    /// Returns whether a condition of a transaction holds.
     fn holds(&self, compare: &api::Compare) -> bool {
         let kv = self.keys.get(&compare.key);
-        let (actual, wanted) = match compare.target {
+        let (actual, expected) = match compare.target {
             api::Target::Version => (kv.map(|kv| kv.version), compare.version),
             api::Target::Create => {
                 (kv.map(|kv| kv.create_revision), compare.create_revision)
@@ -349,28 +360,28 @@
         };
         let actual = actual.unwrap_or(0);
         match compare.result {
-            api::Relation::Equal => actual == wanted,
-            api::Relation::Greater => actual > wanted,
-            api::Relation::Less => actual < wanted,
+            api::Relation::Equal => actual == expected,
+            api::Relation::Greater => actual > expected,
+            api::Relation::Less => actual < expected,
         }
     }
 
     fn txn(&mut self, request: &api::TxnRequest) -> api::TxnResponse {
         let succeeded = request.compare.iter().all(|c| self.holds(c));
-        let steps = match succeeded {
+        let operations = match succeeded {
             true => &request.success,
             false => &request.failure,
         };
-        let writes = steps
+        let writes = operations
             .iter()
-            .any(|step| !matches!(step, api::RequestOp::Range(_)));
+            .any(|operation| !matches!(operation, api::RequestOp::Range(_)));
         if writes {
             self.revision += 1;
         }
         let mut events = Vec::new();
-        let responses = steps
+        let responses = operations
             .iter()
-            .map(|step| self.step(step, &mut events))
+            .map(|operation| self.apply(operation, &mut events))
             .collect();
         self.publish(events);
         api::TxnResponse {
@@ -380,12 +391,14 @@
         }
     }
 
-    fn step(
+    /// Applies one operation of a transaction at the present revision, and
+    /// adds the event of a change to `events`.
+    fn apply(
         &mut self,
-        step: &api::RequestOp,
+        operation: &api::RequestOp,
         events: &mut Vec<api::WatchEvent>,
     ) -> api::ResponseOp {
-        match step {
+        match operation {
             api::RequestOp::Range(range) => {
                 api::ResponseOp::Range(self.range(range))
             }
@@ -396,13 +409,13 @@
                 })
             }
             api::RequestOp::DeleteRange(delete) => {
-                let gone = self.keys.remove(&delete.key).is_some();
-                if gone {
+                let existed = self.keys.remove(&delete.key).is_some();
+                if existed {
                     events.push(self.deletion(delete.key.clone()));
                 }
                 api::ResponseOp::DeleteRange(api::DeleteRangeResponse {
                     header: self.header(),
-                    deleted: i64::from(gone),
+                    deleted: i64::from(existed),
                 })
             }
         }
@@ -441,8 +454,8 @@
         &mut self,
         request: &api::LeaseGrantRequest,
     ) -> api::LeaseGrantResponse {
-        self.granted += 1;
-        let id = self.granted;
+        self.last_lease += 1;
+        let id = self.last_lease;
         self.leases.insert(
             id,
             Lease {
@@ -477,6 +490,7 @@
         }
     }
 
+    /// Ends a lease and deletes its keys, all at one revision.
     fn end_lease(&mut self, id: i64) {
         if self.leases.remove(&id).is_none() {
             return;
@@ -499,32 +513,36 @@
         self.publish(events);
     }
 
+    /// Adds events of the present revision to the history and sends them to
+    /// the watches of their keys.
     fn publish(&mut self, events: Vec<api::WatchEvent>) {
         let revision = self.revision;
         let header = self.header();
-        self.log
+        self.history
             .extend(events.iter().map(|e| (revision, e.clone())));
-        self.watches.retain(|watcher| {
+        self.watches.retain(|watch| {
             let events: Vec<api::WatchEvent> = events
                 .iter()
                 .filter(|event| {
-                    within(&event.kv.key, &watcher.key, &watcher.end)
+                    in_range(&event.kv.key, &watch.key, &watch.end)
                 })
                 .cloned()
                 .collect();
             if events.is_empty() {
-                return !watcher.to.is_closed();
+                return !watch.chunks.is_closed();
             }
             let response = api::WatchResponse {
                 header: header.clone(),
                 events,
                 ..Default::default()
             };
-            watcher.to.send(line(response)).is_ok()
+            watch.chunks.send(line(response)).is_ok()
         });
     }
 }
 
+/// Returns when a lease of `ttl` seconds, at least one, expires if it is not
+/// renewed.
 fn deadline(ttl: i64) -> Instant {
     Instant::now() + Duration::from_secs(ttl.max(1) as u64)
 }
--- a/crates/landingvalve-standin/src/vms.rs
+++ b/crates/landingvalve-standin/src/vms.rs
@@ -1,4 +1,4 @@
-//! The list of live and leaving VMs.
+//! The platform's list of VMs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 use landingvalve::vms::Vm;
 
 #[derive(Default)]
-struct Shared {
+struct Service {
     vms: Mutex<Vec<Vm>>,
 }
 
-/// A list that listens.
+/// A running server of the list of VMs.
 pub struct Vms {
-    shared: Arc<Shared>,
+    service: Arc<Service>,
     server: http::Server,
 }
 
@@ -26,27 +26,27 @@
     ///
     /// # Errors
     ///
-    /// If no port can be had.
+    /// If no port is available.
     pub async fn start() -> std::io::Result<Vms> {
-        let shared = Arc::new(Shared::default());
+        let service = Arc::new(Service::default());
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
-        let server = http::Server::start(address, shared.clone()).await?;
-        Ok(Vms { shared, server })
+        let server = http::Server::start(address, service.clone()).await?;
+        Ok(Vms { service, server })
     }
 
-    /// Returns where the list can be had.
+    /// Returns the URL of the server.
     pub fn url(&self) -> String {
         format!("http://{}", self.server.address())
     }
 
-    /// Puts a VM on the list, in place of one of the same name.
+    /// Adds a VM to the list, replacing one of the same name.
     pub fn put(&self, vm: Vm) {
         let mut vms = self.lock();
         vms.retain(|other| other.name != vm.name);
         vms.push(vm);
     }
 
-    /// Shows a VM as leaving.
+    /// Changes the state of a VM to leaving.
     pub fn mark_leaving(&self, name: &str) {
         let mut vms = self.lock();
         for vm in vms.iter_mut().filter(|vm| &*vm.name == name) {
@@ -54,20 +54,20 @@
         }
     }
 
-    /// Takes a VM off the list.
+    /// Removes a VM from the list.
     pub fn remove(&self, name: &str) {
         self.lock().retain(|vm| &*vm.name != name);
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Vm>> {
-        self.shared
+        self.service
             .vms
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl http::Handler for Shared {
+impl http::Handler for Service {
     async fn handle(&self, request: http::Request) -> http::Response {
         match request.uri().path() {
             "/vms" => {
