--- a/crates/landingvalve-cli/src/client.rs
+++ b/crates/landingvalve-cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to an entry, as any caller or operator makes them.
+//! An HTTP client of the public interface of an entry.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 use serde_json::Value;
 use tokio::time::Instant;
 
-/// How long a call may take; one that waits for a job takes longer.
-const CALL: Duration = Duration::from_secs(15);
-/// How long a call that waits for a job may take.
-const WAIT: Duration = Duration::from_secs(320);
+/// The timeout of a call that doesn't wait for a job.
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
+/// The timeout of a submission that waits for the job to end.
+const WAITING_CALL_TIMEOUT: Duration = Duration::from_secs(320);
 
-/// An entry, and as whom to call it.
+/// A client of one entry that authenticates with one token.
 #[derive(Clone)]
 pub struct Client {
     http: http::Client,
@@ -25,36 +25,37 @@
     token: String,
 }
 
-/// An answer in JSON.
-pub struct Answer {
-    /// Its status.
+/// A response with a JSON body.
+pub struct Response {
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Its body.
+    /// The body, null if the body of the response was not JSON.
     pub body: Value,
 }
 
-impl Answer {
-    /// Returns the body of a good answer.
+impl Response {
+    /// Parses the body of a successful response.
     ///
     /// # Errors
     ///
-    /// What the entry said, if the answer is not a good one.
-    pub fn good<T: DeserializeOwned>(self) -> eyre::Result<T> {
+    /// If the status is not a success (the error holds the status and the
+    /// reason that the entry gave), or the body is not a `T`.
+    pub fn parse<T: DeserializeOwned>(self) -> eyre::Result<T> {
         match self.status.is_success() {
             true => Ok(serde_json::from_value(self.body)?),
             false => Err(eyre::eyre!("{}", self.error())),
         }
     }
 
-    /// Returns what the entry said of a call that it did not carry out.
+    /// Returns the status and the reason of a failed call.
     pub fn error(&self) -> String {
-        let said = self.body["error"].as_str().unwrap_or("no reason given");
-        format!("{}: {said}", self.status.as_u16())
+        let reason = self.body["error"].as_str().unwrap_or("no reason given");
+        format!("{}: {reason}", self.status.as_u16())
     }
 }
 
 impl Client {
-    /// Returns a client of an entry.
+    /// Returns a client of the entry at a URL.
     pub fn new(entry: &str, token: &str) -> Client {
         Client {
             http: http::Client::new(),
@@ -63,34 +64,39 @@
         }
     }
 
-    /// Calls a path that answers in JSON.
+    /// Calls a path whose responses are JSON. A body with `"wait": true` gets
+    /// the longer timeout.
     ///
     /// # Errors
     ///
-    /// If no answer comes.
+    /// If no response arrives before the timeout.
     pub async fn call(
         &self,
         method: Method,
         path: &str,
         body: Option<&Value>,
-    ) -> eyre::Result<Answer> {
+    ) -> eyre::Result<Response> {
         let waits = body.is_some_and(|body| body["wait"] == true);
-        let limit = if waits { WAIT } else { CALL };
-        let reply = self.send(method, path, body, limit).await?;
+        let timeout = if waits {
+            WAITING_CALL_TIMEOUT
+        } else {
+            CALL_TIMEOUT
+        };
+        let reply = self.send(method, path, body, timeout).await?;
         let body = serde_json::from_slice(&reply.body);
-        Ok(Answer {
+        Ok(Response {
             status: reply.status,
             body: body.unwrap_or(Value::Null),
         })
     }
 
-    /// Returns the bytes of a path.
+    /// Returns the response of a path with its body as bytes.
     ///
     /// # Errors
     ///
-    /// If no answer comes.
+    /// If no response arrives before the timeout.
     pub async fn fetch(&self, path: &str) -> eyre::Result<http::Reply> {
-        self.send(Method::GET, path, None, CALL).await
+        self.send(Method::GET, path, None, CALL_TIMEOUT).await
     }
 
     async fn send(
@@ -98,14 +104,14 @@
         method: Method,
         path: &str,
         body: Option<&Value>,
-        limit: Duration,
+        timeout: Duration,
     ) -> eyre::Result<http::Reply> {
         let mut headers = HeaderMap::new();
         let bearer = format!("Bearer {}", self.token);
         headers.insert(AUTHORIZATION, HeaderValue::from_str(&bearer)?);
         let body = body.map(Value::to_string).unwrap_or_default();
         let url = format!("{}{path}", self.entry);
-        let deadline = Instant::now() + limit;
+        let deadline = Instant::now() + timeout;
         let call = self.http.call(method, &url, headers, body, deadline);
         Ok(call.await?)
     }
--- a/crates/landingvalve-cli/src/configuration.rs
+++ b/crates/landingvalve-cli/src/configuration.rs
@@ -1,4 +1,4 @@
-//! `landingvalve config`: templates and client accounts.
+//! `landingvalve config`: shows and edits templates and client accounts.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -11,19 +11,20 @@
 use serde_json::json;
 use serde_json::Value;
 
-use crate::client::Answer;
 use crate::client::Client;
+use crate::client::Response;
 use crate::out::outln;
 
-/// How often an edit is sent again under its name while no answer comes.
-const TRIES: usize = 4;
+/// How often an edit is sent, always under the same id, while the store is
+/// unavailable.
+const MAX_EDIT_ATTEMPTS: usize = 4;
 
 /// A kind of item.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum Kind {
-    /// A client account.
+    /// Client accounts.
     Accounts,
-    /// A template.
+    /// Templates of jobs.
     Templates,
 }
 
@@ -36,66 +37,68 @@
     }
 }
 
-/// What to do with the configuration.
+/// The subcommands of `landingvalve config`.
 #[derive(Subcommand)]
 pub enum Command {
     /// Show the whole configuration, or one item.
     Show {
-        /// The kind of item.
+        /// The kind of the item.
         kind: Option<Kind>,
-        /// The item.
+        /// The name of the item.
         name: Option<String>,
     },
     /// Set fields of an item, as FIELD=JSON.
     ///
     /// Example: landingvalve config set accounts bots borrow=48
     Set {
-        /// The kind of item.
+        /// The kind of the item.
         kind: Kind,
-        /// The item.
+        /// The name of the item.
         name: String,
-        /// The fields.
-        #[arg(required = true, value_parser = field)]
+        /// The fields to set, each as FIELD=JSON.
+        #[arg(required = true, value_parser = parse_field)]
         fields: Vec<(String, Value)>,
-        /// Names the edit: made again, it is the same edit.
+        /// The id of the edit; an edit repeated under the same id is made
+        /// once.
         #[arg(long)]
         edit: Option<String>,
     },
-    /// Put a whole item from a file of JSON.
+    /// Replace a whole item by the JSON in a file.
     Edit {
-        /// The kind of item.
+        /// The kind of the item.
         kind: Kind,
-        /// The item.
+        /// The name of the item.
         name: String,
-        /// The file.
+        /// The file with the item.
         file: PathBuf,
-        /// The revision that the edit was made on, 0 for a new item; the
-        /// present one unless given.
+        /// The revision of the item that the edit is based on, 0 for a new
+        /// item; by default the current revision.
         #[arg(long)]
         revision: Option<i64>,
-        /// Names the edit: made again, it is the same edit.
+        /// The id of the edit; an edit repeated under the same id is made
+        /// once.
         #[arg(long)]
         edit: Option<String>,
     },
-    /// Check an item from a file of JSON without putting it.
+    /// Check an item in a JSON file without changing the configuration.
     Check {
-        /// The kind of item.
+        /// The kind of the item.
         kind: Kind,
-        /// The item.
+        /// The name of the item.
         name: String,
-        /// The file.
+        /// The file with the item.
         file: PathBuf,
     },
     /// Show the last edits of an item.
     History {
-        /// The kind of item.
+        /// The kind of the item.
         kind: Kind,
-        /// The item.
+        /// The name of the item.
         name: String,
     },
 }
 
-fn field(text: &str) -> Result<(String, Value), String> {
+fn parse_field(text: &str) -> Result<(String, Value), String> {
     let (name, value) = text
         .split_once('=')
         .ok_or_else(|| format!("{text:?} is not FIELD=JSON"))?;
@@ -104,11 +107,12 @@
     Ok((name.to_owned(), value))
 }
 
-/// Does what the arguments ask.
+/// Runs a subcommand.
 ///
 /// # Errors
 ///
-/// If the entry does not answer, or refuses.
+/// If the entry does not respond or rejects the request, or a file cannot be
+/// read.
 pub async fn run(
     client: &Client,
     command: Command,
@@ -117,11 +121,11 @@
     match command {
         Command::Show { kind, name } => {
             let path = match (kind, name) {
-                (Some(kind), Some(name)) => path(kind, &name),
+                (Some(kind), Some(name)) => item_path(kind, &name),
                 _ => "/v1/config".to_owned(),
             };
-            let answer = client.call(Method::GET, &path, None).await?;
-            print(&answer.good()?, json)
+            let response = client.call(Method::GET, &path, None).await?;
+            print(&response.parse()?, json)
         }
         Command::Set {
             kind,
@@ -131,11 +135,11 @@
         } => {
             let current = current(client, kind, &name).await?;
             let mut value = current["item"]["value"].clone();
-            for (field, to) in fields {
-                value[field] = to;
+            for (field, field_value) in fields {
+                value[field] = field_value;
             }
-            let on = current["revision"].as_i64().unwrap_or(0);
-            put(client, kind, &name, value, on, edit, json).await
+            let base = current["revision"].as_i64().unwrap_or(0);
+            put(client, kind, &name, value, base, edit, json).await
         }
         Command::Edit {
             kind,
@@ -144,21 +148,22 @@
             revision,
             edit,
         } => {
-            let value = read(&file)?;
-            let on = match revision {
+            let value = read_json(&file)?;
+            let base = match revision {
                 Some(revision) => revision,
                 None => {
                     let current = current(client, kind, &name).await?;
                     current["revision"].as_i64().unwrap_or(0)
                 }
             };
-            put(client, kind, &name, value, on, edit, json).await
+            put(client, kind, &name, value, base, edit, json).await
         }
         Command::Check { kind, name, file } => {
-            let body = json!({"value": read(&file)?});
+            let body = json!({"value": read_json(&file)?});
             let path = format!("/v1/config/check/{}/{name}", kind.name());
-            let answer = client.call(Method::POST, &path, Some(&body)).await?;
-            print(&answer.good()?, json)
+            let response =
+                client.call(Method::POST, &path, Some(&body)).await?;
+            print(&response.parse()?, json)
         }
         Command::History { kind, name } => {
             let current = current(client, kind, &name).await?;
@@ -167,40 +172,42 @@
     }
 }
 
-fn path(kind: Kind, name: &str) -> String {
+fn item_path(kind: Kind, name: &str) -> String {
     format!("/v1/config/{}/{name}", kind.name())
 }
 
-fn read(file: &PathBuf) -> eyre::Result<Value> {
+fn read_json(file: &PathBuf) -> eyre::Result<Value> {
     let name = || file.display().to_string();
     let text = std::fs::read_to_string(file).wrap_err_with(name)?;
     serde_json::from_str(&text).wrap_err_with(name)
 }
 
-/// Returns an item and its revision; an empty one if it is not there.
+/// Returns an item and its revision: an empty item with revision 0 if there
+/// is none of that name.
 async fn current(
     client: &Client,
     kind: Kind,
     name: &str,
 ) -> eyre::Result<Value> {
-    let path = path(kind, name);
-    let answer = client.call(Method::GET, &path, None).await?;
-    match answer.status {
+    let path = item_path(kind, name);
+    let response = client.call(Method::GET, &path, None).await?;
+    match response.status {
         StatusCode::NOT_FOUND => {
             Ok(json!({"revision": 0, "item": {"value": {}}}))
         }
-        _ => answer.good(),
+        _ => response.parse(),
     }
 }
 
-/// Puts an item. While the store does not answer the same edit is sent
-/// again under the same name.
+/// Replaces an item that has the revision `base`. While the entry replies
+/// that the service is unavailable, the edit is sent again under the same id,
+/// so that an attempt whose reply was lost is not made twice.
 async fn put(
     client: &Client,
     kind: Kind,
     name: &str,
     value: Value,
-    on: i64,
+    base: i64,
     edit: Option<String>,
     json: bool,
 ) -> eyre::Result<ExitCode> {
@@ -209,19 +216,19 @@
         let nanos = now.duration_since(std::time::SystemTime::UNIX_EPOCH);
         format!("cli-{:x}", nanos.unwrap_or_default().as_nanos())
     });
-    let body = json!({"value": value, "revision": on, "edit": edit});
-    let path = path(kind, name);
-    let mut answer: Option<Answer> = None;
-    for _ in 0..TRIES {
-        let made = client.call(Method::PUT, &path, Some(&body)).await?;
-        let lost = made.status == StatusCode::SERVICE_UNAVAILABLE;
-        answer = Some(made);
-        if !lost {
+    let body = json!({"value": value, "revision": base, "edit": edit});
+    let path = item_path(kind, name);
+    let mut response: Option<Response> = None;
+    for _ in 0..MAX_EDIT_ATTEMPTS {
+        let latest = client.call(Method::PUT, &path, Some(&body)).await?;
+        let unavailable = latest.status == StatusCode::SERVICE_UNAVAILABLE;
+        response = Some(latest);
+        if !unavailable {
             break;
         }
     }
-    match answer {
-        Some(answer) => print(&answer.good()?, json),
+    match response {
+        Some(response) => print(&response.parse()?, json),
         None => eyre::bail!("the edit was not sent"),
     }
 }
--- a/crates/landingvalve-cli/src/explain.rs
+++ b/crates/landingvalve-cli/src/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: what became of jobs, from the logs alone.
+//! `landingvalve explain`: reconstructs the course of jobs from logs.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -14,35 +14,37 @@
 use landingvalve::explain::Logs;
 use serde_json::json;
 
-/// What to explain, and from what.
+/// The arguments of `landingvalve explain`.
 #[derive(clap::Args)]
 pub struct Args {
-    /// List every job that was late, with its cause.
+    /// List every job that missed its objective, with the cause.
     #[arg(long)]
     late: bool,
-    /// List every job that failed or was refused, with its cause.
+    /// List every job that failed, was refused, or whose end is not in the
+    /// logs, with the cause.
     #[arg(long)]
     failed: bool,
-    /// A job, unless a list is asked for; then files with log lines of any
-    /// number of processes, or `-` for standard input.
+    /// The job's ID, unless --late or --failed is given, followed by files
+    /// with log lines of any number of processes, or `-` for standard input
+    /// (the default).
     #[arg(value_name = "ID | FILE")]
     names: Vec<String>,
 }
 
-/// Prints the life of a job, or a list of jobs.
+/// Prints the course of one job, or a list of jobs.
 pub fn run(args: &Args, as_json: bool) -> eyre::Result<ExitCode> {
     let list = args.late || args.failed;
     let (job, files) = match (list, args.names.split_first()) {
         (true, _) => (None, &args.names[..]),
         (false, Some((job, files))) => (Some(job.as_str()), files),
-        (false, None) => bail!("a job's name, --late or --failed: none given"),
+        (false, None) => bail!("expected a job's ID, --late or --failed"),
     };
     let logs = read(files)?;
     match job {
         Some(job) => {
             let Some(story) = logs.story(job) else {
                 let (lines, _) = logs.counts();
-                bail!("job {job}: in none of {lines} lines");
+                bail!("job {job}: none of {lines} lines names it");
             };
             print_story(job, story, as_json);
         }
@@ -53,9 +55,9 @@
 
 fn read(files: &[String]) -> eyre::Result<Logs> {
     let mut logs = Logs::default();
-    let standard = ["-".to_owned()];
+    let standard_input = ["-".to_owned()];
     let files = match files {
-        [] => &standard[..],
+        [] => &standard_input[..],
         files => files,
     };
     for name in files {
@@ -70,11 +72,11 @@
     }
     match logs.counts() {
         (lines, unread) if lines == unread => {
-            bail!("none of {lines} lines is a log line, expected JSON")
+            bail!("none of {lines} lines is a log line in JSON")
         }
         (_, 0) => {}
         (lines, unread) => {
-            eprintln!("{unread} of {lines} lines are no log lines");
+            eprintln!("{unread} of {lines} lines are not log lines; skipped");
         }
     }
     Ok(logs)
@@ -93,8 +95,8 @@
                 "message": line.message, "fields": line.fields})
         });
         let lines: Vec<_> = lines.collect();
-        let told = json!({"job": job, "lines": lines, "verdict": verdict});
-        println!("{told}");
+        let report = json!({"job": job, "lines": lines, "verdict": verdict});
+        println!("{report}");
         return;
     }
     for line in story.lines() {
@@ -106,10 +108,11 @@
             line.shown()
         );
     }
-    println!("{}", sentence(job, &verdict));
+    println!("{}", summary(job, &verdict));
 }
 
-fn sentence(job: &str, verdict: &Verdict) -> String {
+/// Returns the outcome of a job and its cause in one line.
+fn summary(job: &str, verdict: &Verdict) -> String {
     let took = seconds(verdict.took_ms);
     let objective = seconds(verdict.objective_ms);
     let cost = seconds(verdict.cost_ms);
@@ -125,7 +128,8 @@
         End::Cancelled => format!("job {job}: cancelled after {took} s"),
         End::Refused => format!("job {job}: refused for {took} s: {cause}"),
         End::Open => format!(
-            "job {job}: no end is told, {took} s after its start: {cause}"
+            "job {job}: not ended in the logs, which end {took} s after \
+             its submission: {cause}"
         ),
     }
 }
@@ -134,22 +138,24 @@
     format!("{:.2}", ms as f64 / 1000.0)
 }
 
+/// Prints the selected jobs, and the number of jobs and the time lost by
+/// cause.
 fn print_list(logs: &Logs, args: &Args, as_json: bool) {
-    let asked = |end: End| match end {
+    let is_selected = |end: End| match end {
         End::Late => args.late,
         End::Failed | End::Refused | End::Open => args.failed,
         End::InTime | End::Cancelled => false,
     };
-    let told = logs.stories().map(|(job, story)| (job, story.verdict()));
-    let told: Vec<_> = told.filter(|(_, v)| asked(v.end)).collect();
+    let jobs = logs.stories().map(|(job, story)| (job, story.verdict()));
+    let jobs: Vec<_> = jobs.filter(|(_, v)| is_selected(v.end)).collect();
     let mut table: BTreeMap<Cause, (usize, u64)> = BTreeMap::new();
-    for (_, verdict) in &told {
+    for (_, verdict) in &jobs {
         let row = table.entry(verdict.cause).or_default();
         row.0 += 1;
         row.1 += verdict.cost_ms;
     }
     if as_json {
-        let jobs = told
+        let jobs = jobs
             .iter()
             .map(|(job, verdict)| json!({"job": job, "verdict": verdict}));
         let jobs: Vec<_> = jobs.collect();
@@ -160,8 +166,8 @@
         println!("{}", json!({"jobs": jobs, "causes": causes}));
         return;
     }
-    for (job, verdict) in &told {
-        println!("{}", sentence(job, verdict));
+    for (job, verdict) in &jobs {
+        println!("{}", summary(job, verdict));
     }
     println!("{:>6} {:>9}  cause", "jobs", "cost s");
     for (cause, (jobs, ms)) in &table {
--- a/crates/landingvalve-cli/src/job.rs
+++ b/crates/landingvalve-cli/src/job.rs
@@ -1,4 +1,4 @@
-//! `landingvalve job`: submit, follow and cancel jobs.
+//! `landingvalve job`: submits, shows and cancels jobs.
 
 use std::process::ExitCode;
 
@@ -14,50 +14,51 @@
 use crate::client::Client;
 use crate::out::outln;
 
-/// What to do with jobs.
+/// The subcommands of `landingvalve job`.
 #[derive(Subcommand)]
 pub enum Command {
     /// Submit a job.
     ///
     /// Example: landingvalve job submit replay --set battle=b17 --wait
     Submit {
-        /// The template.
+        /// The template of the job.
         template: String,
-        /// A parameter, as NAME=VALUE; the value is JSON or a string.
-        #[arg(long, value_name = "NAME=VALUE", value_parser = parameter)]
+        /// A parameter as NAME=VALUE; a value that is not JSON is a string.
+        #[arg(long, value_name = "NAME=VALUE", value_parser = parse_parameter)]
         set: Vec<(String, Value)>,
-        /// Names the request: sent again, it is the same job.
+        /// The id of the request; a request repeated under the same id
+        /// submits one job.
         #[arg(long)]
         request_id: Option<String>,
-        /// Wait for the end.
+        /// Wait until the job ends.
         #[arg(long)]
         wait: bool,
     },
-    /// Show a job.
+    /// Show the status of a job.
     Status {
-        /// The job.
+        /// The job's ID.
         job: String,
     },
-    /// Print a job's whole answer.
+    /// Print the whole answer of a job.
     Answer {
-        /// The job.
+        /// The job's ID.
         job: String,
     },
-    /// Take a job back.
+    /// Cancel a job.
     Cancel {
-        /// The job.
+        /// The job's ID.
         job: String,
     },
     /// Show the account's jobs.
     List,
-    /// Show what has happened to a job.
+    /// Show the log of a job.
     Logs {
-        /// The job.
+        /// The job's ID.
         job: String,
     },
 }
 
-fn parameter(text: &str) -> Result<(String, Value), String> {
+fn parse_parameter(text: &str) -> Result<(String, Value), String> {
     let (name, value) = text
         .split_once('=')
         .ok_or_else(|| format!("{text:?} is not NAME=VALUE"))?;
@@ -65,11 +66,11 @@
     Ok((name.to_owned(), value))
 }
 
-/// Does what the arguments ask.
+/// Runs a subcommand.
 ///
 /// # Errors
 ///
-/// If the entry does not answer, or refuses.
+/// If the entry does not respond, or rejects the request.
 pub async fn run(
     client: &Client,
     command: Command,
@@ -86,8 +87,9 @@
             let body = json!({"template": template, "wait": wait,
                 "request_id": request_id, "parameters": parameters});
             let path = "/v1/jobs";
-            let answer = client.call(Method::POST, path, Some(&body)).await?;
-            show(&answer.good()?, json)
+            let response =
+                client.call(Method::POST, path, Some(&body)).await?;
+            show(&response.parse()?, json)
         }
         Command::Status { job } => {
             show(&status(client, Method::GET, &job).await?, json)
@@ -111,8 +113,8 @@
         Command::Logs { job } => {
             let status = status(client, Method::GET, &job).await?;
             for line in status.log {
-                let at = landingvalve::util::millis(line.time);
-                outln!("{at} {}", line.text);
+                let time_ms = landingvalve::util::millis(line.time);
+                outln!("{time_ms} {}", line.text);
             }
             Ok(ExitCode::SUCCESS)
         }
@@ -125,27 +127,27 @@
     job: &str,
 ) -> eyre::Result<Status> {
     let path = format!("/v1/jobs/{job}");
-    client.call(method, &path, None).await?.good()
+    client.call(method, &path, None).await?.parse()
 }
 
 async fn list(client: &Client, json: bool) -> eyre::Result<ExitCode> {
-    let answer = client.call(Method::GET, "/v1/jobs", None).await?;
-    let jobs: Vec<Status> = answer.good()?;
+    let response = client.call(Method::GET, "/v1/jobs", None).await?;
+    let jobs: Vec<Status> = response.parse()?;
     if json {
         outln!("{}", serde_json::to_string(&jobs)?);
         return Ok(ExitCode::SUCCESS);
     }
     for status in &jobs {
-        outln!("{}", line(status));
+        outln!("{}", summary(status));
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// Prints a job; the exit code says whether it ended well.
+/// Prints a job. Returns exit code 3 if the job ended without success.
 fn show(status: &Status, json: bool) -> eyre::Result<ExitCode> {
     match json {
         true => outln!("{}", serde_json::to_string(status)?),
-        false => outln!("{}", line(status)),
+        false => outln!("{}", summary(status)),
     }
     Ok(match &status.end {
         Some(end) if end.outcome != Outcome::Done => ExitCode::from(3),
@@ -153,8 +155,8 @@
     })
 }
 
-/// Returns a job in one line.
-pub fn line(status: &Status) -> String {
+/// Returns a job's id, stage or outcome, and workers in one line.
+pub fn summary(status: &Status) -> String {
     let workers: Vec<&str> = status.workers.iter().map(|w| &**w).collect();
     let stage = match (&status.end, status.stage) {
         (Some(end), _) if end.reason.is_empty() => end.outcome.to_string(),
--- a/crates/landingvalve-cli/src/main.rs
+++ b/crates/landingvalve-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of landingvalve.
+//! The command line client of landingvalve.
 
 mod client;
 mod configuration;
@@ -18,7 +18,7 @@
 
 use crate::client::Client;
 
-/// Drive a landingvalve system, or try one out.
+/// Submit jobs to a landingvalve system, operate it, or try one out.
 ///
 /// Examples:
 ///   landingvalve try --once
@@ -32,13 +32,13 @@
     #[command(subcommand)]
     command: Command,
     #[command(flatten)]
-    target: Target,
+    options: Options,
 }
 
-/// Where to send requests, and as whom.
+/// The options that all subcommands share.
 #[derive(clap::Args)]
-struct Target {
-    /// An entry.
+struct Options {
+    /// The URL of an entry.
     #[arg(
         long,
         global = true,
@@ -55,7 +55,7 @@
         hide_env_values = true
     )]
     token: String,
-    /// Print JSON.
+    /// Print JSON instead of text.
     #[arg(long, global = true)]
     json: bool,
 }
@@ -70,11 +70,11 @@
     /// Show and change templates and client accounts.
     #[command(subcommand)]
     Config(configuration::Command),
-    /// Show cells, workers, guarantees and who lags.
+    /// Show the cell, its workers and guarantees, and entries that lag behind.
     Status,
-    /// Tell from logs alone what became of a job, or of many.
+    /// Explain from logs the course of a job, or why jobs were late or failed.
     Explain(explain::Args),
-    /// Print completions for a shell.
+    /// Print a completion script for a shell.
     Completions {
         /// The shell.
         shell: Shell,
@@ -94,8 +94,8 @@
 }
 
 async fn run(args: Args) -> eyre::Result<ExitCode> {
-    let json = args.target.json;
-    let client = Client::new(&args.target.entry, &args.target.token);
+    let json = args.options.json;
+    let client = Client::new(&args.options.entry, &args.options.token);
     match args.command {
         Command::Try(args) => trial::run(args).await,
         Command::Job(command) => job::run(&client, command, json).await,
--- a/crates/landingvalve-cli/src/out.rs
+++ b/crates/landingvalve-cli/src/out.rs
@@ -1,11 +1,12 @@
-//! Standard output, which may be a pipe that its reader has closed.
+//! Writes to standard output, which may be a pipe closed by its reader.
 
 use std::fmt::Arguments;
 use std::io::ErrorKind;
 use std::io::Write;
 
-/// Writes a line; ends the process, without a word, if nobody reads on.
-pub fn line(text: Arguments<'_>) {
+/// Writes a line; exits silently if the reader has closed the pipe (code 0)
+/// or the write fails otherwise (code 1).
+pub fn write_line(text: Arguments<'_>) {
     let written = writeln!(std::io::stdout(), "{text}");
     match written.map_err(|error| error.kind()) {
         Ok(()) => {}
@@ -14,10 +15,10 @@
     }
 }
 
-/// Writes a line as `println!` does, but for a closed pipe.
+/// Writes a line as `println!` does, without a panic on a closed pipe.
 macro_rules! outln {
     ($($arg:tt)*) => {
-        $crate::out::line(format_args!($($arg)*))
+        $crate::out::write_line(format_args!($($arg)*))
     };
 }
 
--- a/crates/landingvalve-cli/src/picture.rs
+++ b/crates/landingvalve-cli/src/picture.rs
@@ -1,4 +1,4 @@
-//! A picture of racks and accelerators, by client account.
+//! A text picture of who uses the accelerators of each rack.
 
 use std::collections::BTreeMap;
 use std::io::IsTerminal;
@@ -6,15 +6,16 @@
 use landingvalve::wire::entry::CellView;
 use landingvalve::wire::entry::WorkerView;
 
-/// The colours of accounts on a terminal.
-const COLOURS: [u8; 6] = [32, 33, 34, 35, 36, 31];
+/// The terminal color codes of accounts, used in turn.
+const COLOR_CODES: [u8; 6] = [32, 33, 34, 35, 36, 31];
 
-/// Returns a picture of the cell: a line a worker, a letter an accelerator.
+/// Returns a picture of the cell: one line per worker, one character per
+/// accelerator.
 ///
-/// A capital letter is an accelerator in use by an account; a small letter
-/// is a free one in an account's home block; a dot is free for all.
-pub fn draw(cell: &CellView, colour: bool) -> String {
-    let letters = letters(cell);
+/// A capital letter marks an accelerator in use by an account, a small letter
+/// a free one in an account's home block, a dot a free one without an owner.
+pub fn draw(cell: &CellView, color: bool) -> String {
+    let labels = labels(cell);
     let mut text = String::new();
     let mut rack = "";
     for worker in &cell.workers {
@@ -23,7 +24,7 @@
             text.push_str(&format!("rack {rack}\n"));
         }
         let marks: String = (0..cell.accelerators)
-            .map(|at| mark(worker, at, &letters, colour))
+            .map(|index| mark(worker, index, &labels, color))
             .collect();
         let state = match (&*worker.presence, &*worker.health) {
             ("up", "good") => String::new(),
@@ -31,7 +32,7 @@
         };
         text.push_str(&format!("  {:<8} {marks}{state}\n", worker.worker));
     }
-    let legend: Vec<String> = letters
+    let legend: Vec<String> = labels
         .iter()
         .map(|(account, (letter, _))| format!("{letter} {account}"))
         .collect();
@@ -39,9 +40,11 @@
     text
 }
 
-type Letters = BTreeMap<String, (char, u8)>;
+/// The letter and the color code of each account.
+type Labels = BTreeMap<String, (char, u8)>;
 
-fn letters(cell: &CellView) -> Letters {
+/// Returns the labels of all accounts with a guarantee or a running job.
+fn labels(cell: &CellView) -> Labels {
     let owners = cell.guarantees.iter().map(|g| g.account.to_string());
     let users = cell
         .workers
@@ -51,38 +54,39 @@
     let mut accounts: Vec<String> = owners.chain(users).collect();
     accounts.sort();
     accounts.dedup();
-    let letters = ('A'..='Z').zip(COLOURS.iter().cycle());
+    let letters = ('A'..='Z').zip(COLOR_CODES.iter().cycle());
     accounts
         .into_iter()
-        .zip(letters.map(|(letter, colour)| (letter, *colour)))
+        .zip(letters.map(|(letter, code)| (letter, *code)))
         .collect()
 }
 
 fn mark(
     worker: &WorkerView,
-    at: u32,
-    letters: &Letters,
-    colour: bool,
+    index: u32,
+    labels: &Labels,
+    color: bool,
 ) -> String {
-    let bit = 1 << at;
+    let bit = 1 << index;
     let user = worker.jobs.iter().find(|job| job.mask & bit != 0);
     let home = worker.homes.iter().find(|home| home.mask & bit != 0);
-    let letter = |account: &str| letters.get(account).copied();
+    let label = |account: &str| labels.get(account).copied();
     let (mark, code) = match (user, home) {
-        (Some(user), _) => letter(&user.account).unwrap_or(('#', 0)),
+        (Some(user), _) => label(&user.account).unwrap_or(('#', 0)),
         (None, Some(home)) => {
-            let (letter, code) = letter(&home.account).unwrap_or(('.', 0));
+            let (letter, code) = label(&home.account).unwrap_or(('.', 0));
             (letter.to_ascii_lowercase(), code)
         }
         (None, None) => ('.', 0),
     };
-    match colour && code != 0 {
+    match color && code != 0 {
         true => format!("\x1b[{code}m{mark}\x1b[0m"),
         false => mark.to_string(),
     }
 }
 
-/// Returns whether standard output is a terminal that shows colours.
-pub fn has_colour() -> bool {
+/// Returns whether to color the output: standard output is a terminal, and
+/// the environment doesn't set `NO_COLOR`.
+pub fn has_color() -> bool {
     std::io::stdout().is_terminal() && std::env::var_os("NO_COLOR").is_none()
 }
--- a/crates/landingvalve-cli/src/status.rs
+++ b/crates/landingvalve-cli/src/status.rs
@@ -1,4 +1,4 @@
-//! `landingvalve status`: cells, workers, guarantees and who lags.
+//! `landingvalve status`: shows entries, the cell, workers and guarantees.
 
 use std::process::ExitCode;
 
@@ -14,10 +14,10 @@
 ///
 /// # Errors
 ///
-/// If the entry does not answer, or refuses.
+/// If the entry does not respond, or rejects the request.
 pub async fn run(client: &Client, json: bool) -> eyre::Result<ExitCode> {
-    let answer = client.call(Method::GET, "/v1/status", None).await?;
-    let view: View = answer.good()?;
+    let response = client.call(Method::GET, "/v1/status", None).await?;
+    let view: View = response.parse()?;
     if json {
         outln!("{}", serde_json::to_string(&view)?);
         return Ok(ExitCode::SUCCESS);
@@ -26,19 +26,19 @@
     for entry in &view.entries {
         let lag = match entry.revision {
             Some(revision) if revision == view.revision => String::new(),
-            Some(revision) => format!("  lags at {revision}"),
-            None => "  does not answer".to_owned(),
+            Some(revision) => format!("  lags behind at {revision}"),
+            None => "  does not respond".to_owned(),
         };
         outln!("  {}{lag}", entry.address);
     }
     match &view.cell {
         Some(cell) => show(cell),
-        None => outln!("no planner answers"),
+        None => outln!("no planner responds"),
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// Prints a cell.
+/// Prints a cell: its planner, load, accelerators and guarantees.
 pub fn show(cell: &CellView) {
     outln!(
         "cell {}: planner {} at epoch {}, configuration {}",
@@ -53,14 +53,14 @@
         cell.waiting,
         cell.fragmentation
     );
-    let picture = picture::draw(cell, picture::has_colour());
+    let picture = picture::draw(cell, picture::has_color());
     outln!("{}", picture.trim_end());
     for guarantee in &cell.guarantees {
         let borrowers: Vec<&str> =
             guarantee.borrowers.iter().map(|job| &**job).collect();
         let state = match guarantee.placed {
             false => {
-                "NO PLACE: failures leave less than was guaranteed".to_owned()
+                "NOT PLACED: the remaining workers cannot hold it".to_owned()
             }
             true if borrowers.is_empty() => {
                 format!("{} in use", guarantee.used)
--- a/crates/landingvalve-cli/src/trial.rs
+++ b/crates/landingvalve-cli/src/trial.rs
@@ -1,4 +1,5 @@
-//! `landingvalve try`: a whole system in one process, at work.
+//! `landingvalve try`: runs a whole system in one process and shows jobs on
+//! it.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -24,23 +25,24 @@
 use crate::picture;
 use crate::status;
 
-/// How long the whole site may take to come up.
-const UP: Duration = Duration::from_secs(8);
-/// How long a planned stop may take.
-const STOP: Duration = Duration::from_secs(5);
-/// How often something is looked at.
-const LOOK: Duration = Duration::from_millis(60);
+/// The timeout of each phase: the configuration, the readiness of the site,
+/// and the jobs.
+const PHASE_TIMEOUT: Duration = Duration::from_secs(8);
+/// The timeout of the shutdown at the end.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
+/// The pause between two polls of the system.
+const POLL_INTERVAL: Duration = Duration::from_millis(60);
 
-/// How to try a system out.
+/// The arguments of `landingvalve try`.
 #[derive(clap::Args)]
 pub struct Args {
-    /// End once all answers are in, instead of serving until Ctrl-C.
+    /// Exit when the jobs have ended, instead of serving until Ctrl-C.
     #[arg(long)]
     once: bool,
-    /// How many entries.
+    /// The number of entries, 1 to 9.
     #[arg(long, default_value_t = 3)]
     entries: usize,
-    /// Print the spans of one request, from its caller to its answer.
+    /// Print the spans of one request, from its caller to its end.
     #[arg(long)]
     trace: bool,
     /// Write the log of all processes to standard error.
@@ -48,11 +50,12 @@
     verbose: bool,
 }
 
-/// Runs a system and shows it at work.
+/// Runs a system, submits jobs and prints their course. Fails the process if
+/// a job does not succeed.
 ///
 /// # Errors
 ///
-/// If it does not come up.
+/// If the system does not start in time, or an entry does not respond.
 pub async fn run(args: Args) -> eyre::Result<ExitCode> {
     let spans = Collector::default();
     let telemetry = Telemetry::start("try", None, Some(spans.clone()))?;
@@ -64,14 +67,14 @@
     let site = Site::start(config).await?;
     let operator = Client::new(&site.url("e1"), site::OPERATOR_TOKEN);
     configure(&operator).await?;
-    let planner = ready(&operator).await?;
+    let planner = wait_until_ready(&operator).await?;
     println!(
         "A store, a list of VMs, {} entries and 11 agents are up; \
          the planner is at {planner}.",
         args.entries
     );
-    let good = jobs(&site, &operator).await?;
-    let code = match good {
+    let succeeded = run_jobs(&site, &operator).await?;
+    let code = match succeeded {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     };
@@ -81,12 +84,13 @@
     if !args.once {
         serve(&site, &operator).await?;
     }
-    site.stop(Instant::now() + STOP).await;
+    site.stop(Instant::now() + SHUTDOWN_TIMEOUT).await;
     tokio::task::spawn_blocking(|| telemetry.stop()).await?;
     Ok(code)
 }
 
-/// The client accounts of the trial, their tokens named after them.
+/// Returns the client accounts of the trial; the token of an account is its
+/// name followed by `-token`.
 fn accounts() -> Vec<(&'static str, Value)> {
     let shape = |accelerators: u32, within: &str| json!({"accelerators": accelerators, "within": within});
     let token = |name: &str| digest::of(format!("{name}-token").as_bytes());
@@ -109,17 +113,18 @@
     ]
 }
 
+/// Returns the templates of the trial.
 fn templates() -> Vec<(&'static str, Value)> {
     let parameters = json!({"run_ms": {"kind": "integer"},
         "output": {"kind": "string"}, "fail": {"kind": "boolean"}});
-    let template = |accelerators: u32, within: &str, more: Value| {
+    let template = |accelerators: u32, within: &str, options: Value| {
         let mut value = json!({"run_ms": 1000, "run": "task",
             "shape": {"accelerators": accelerators, "within": within},
             "parameters": parameters});
-        if let (Some(value), Some(more)) =
-            (value.as_object_mut(), more.as_object())
+        if let (Some(value), Some(options)) =
+            (value.as_object_mut(), options.as_object())
         {
-            value.extend(more.clone());
+            value.extend(options.clone());
         }
         value
     };
@@ -143,8 +148,10 @@
     ]
 }
 
+/// Writes the accounts and the templates, retrying until an entry accepts
+/// them.
 async fn configure(operator: &Client) -> eyre::Result<()> {
-    let deadline = Instant::now() + UP;
+    let deadline = Instant::now() + PHASE_TIMEOUT;
     let accounts = accounts().into_iter().map(|item| ("accounts", item));
     let templates = templates().into_iter().map(|item| ("templates", item));
     for (kind, (name, value)) in accounts.chain(templates) {
@@ -152,48 +159,48 @@
         let edit = format!("try-{name}");
         let body = json!({"value": value, "revision": 0, "edit": edit});
         loop {
-            let put = operator.call(Method::PUT, &path, Some(&body)).await?;
-            if put.status.is_success() {
+            let reply = operator.call(Method::PUT, &path, Some(&body)).await?;
+            if reply.status.is_success() {
                 break;
             }
-            eyre::ensure!(Instant::now() < deadline, "{}", put.error());
-            tokio::time::sleep(LOOK).await;
+            eyre::ensure!(Instant::now() < deadline, "{}", reply.error());
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     Ok(())
 }
 
-/// Waits until a planner has all workers up and all guarantees placed, and
-/// every entry the configuration; returns where it is.
-async fn ready(operator: &Client) -> eyre::Result<String> {
-    let deadline = Instant::now() + UP;
+/// Waits until the planner has all workers up and all guarantees placed, and
+/// all entries have the same configuration; returns the planner's address.
+async fn wait_until_ready(operator: &Client) -> eyre::Result<String> {
+    let deadline = Instant::now() + PHASE_TIMEOUT;
     loop {
         let view = view(operator).await?;
-        let same = view
+        let in_sync = view
             .entries
             .iter()
             .all(|entry| entry.revision == Some(view.revision));
         if let Some(cell) = &view.cell {
             let up = cell.workers.iter().filter(|w| w.presence == "up");
             let placed = cell.guarantees.iter().all(|g| g.placed);
-            if same && up.count() == 11 && placed && view.revision > 0 {
+            if in_sync && up.count() == 11 && placed && view.revision > 0 {
                 return Ok(cell.planner_address.clone());
             }
         }
         eyre::ensure!(Instant::now() < deadline, "the site is not ready");
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 async fn view(operator: &Client) -> eyre::Result<View> {
-    let answer = operator.call(Method::GET, "/v1/status", None).await?;
-    answer.good()
+    let response = operator.call(Method::GET, "/v1/status", None).await?;
+    response.parse()
 }
 
 /// Submits a replay, a gang and a report through different entries, and
-/// prints their lives. Returns whether all ended well.
-async fn jobs(site: &Site, operator: &Client) -> eyre::Result<bool> {
-    let wanted = [
+/// prints their course. Returns whether all succeeded.
+async fn run_jobs(site: &Site, operator: &Client) -> eyre::Result<bool> {
+    let submissions = [
         (
             "players",
             "replay",
@@ -212,80 +219,84 @@
     ];
     let names: Vec<String> = site.entries.keys().cloned().collect();
     let mut jobs = Vec::new();
-    for (at, (account, template, parameters)) in wanted.iter().enumerate() {
-        let entry = site.url(&names[at % names.len()]);
+    for (index, (account, template, parameters)) in
+        submissions.iter().enumerate()
+    {
+        let entry = site.url(&names[index % names.len()]);
         let client = Client::new(&entry, &format!("{account}-token"));
         let body = json!({"template": template, "parameters": parameters,
             "request_id": format!("try-{template}")});
         let path = "/v1/jobs";
-        let answer = client.call(Method::POST, path, Some(&body)).await?;
-        let status: Status = answer.good()?;
-        println!("{entry}  {}", job::line(&status));
+        let response = client.call(Method::POST, path, Some(&body)).await?;
+        let status: Status = response.parse()?;
+        println!("{entry}  {}", job::summary(&status));
         jobs.push((client, status));
     }
     follow(operator, jobs).await
 }
 
-/// Follows jobs until they end, and draws the site while they run.
+/// Prints each change of the jobs' stages until they end, and draws the site
+/// once while the gang runs. Returns whether all jobs succeeded.
 async fn follow(
     operator: &Client,
     mut jobs: Vec<(Client, Status)>,
 ) -> eyre::Result<bool> {
-    let deadline = Instant::now() + UP;
+    let deadline = Instant::now() + PHASE_TIMEOUT;
     let mut drawn = false;
     while Instant::now() < deadline {
-        let mut open = false;
-        for (client, seen) in &mut jobs {
-            let path = format!("/v1/jobs/{}", seen.job);
-            let answer = client.call(Method::GET, &path, None).await?;
-            let status: Status = answer.good()?;
-            if status.stage != seen.stage {
-                println!("  {}", job::line(&status));
+        let mut unfinished = false;
+        for (client, last_status) in &mut jobs {
+            let path = format!("/v1/jobs/{}", last_status.job);
+            let response = client.call(Method::GET, &path, None).await?;
+            let status: Status = response.parse()?;
+            if status.stage != last_status.stage {
+                println!("  {}", job::summary(&status));
             }
-            open |= status.end.is_none();
-            *seen = status;
+            unfinished |= status.end.is_none();
+            *last_status = status;
         }
         let retrain = jobs.iter().find(|(_, s)| &*s.template == "retrain");
-        let runs = retrain.is_some_and(|(_, s)| !s.workers.is_empty());
-        if runs && !drawn {
+        let is_running = retrain.is_some_and(|(_, s)| !s.workers.is_empty());
+        if is_running && !drawn {
             drawn = true;
             let view = view(operator).await?;
-            let cell = view.cell.wrap_err("no planner answers")?;
-            print!("{}", picture::draw(&cell, picture::has_colour()));
+            let cell = view.cell.wrap_err("no planner responds")?;
+            print!("{}", picture::draw(&cell, picture::has_color()));
         }
-        if !open {
+        if !unfinished {
             break;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    let mut good = true;
+    let mut succeeded = true;
     for (client, status) in &jobs {
-        good &= answered(client, status).await?;
+        succeeded &= print_answer(client, status).await?;
     }
-    Ok(good)
+    Ok(succeeded)
 }
 
-/// Prints a job's answer; returns whether it is whole.
-async fn answered(client: &Client, status: &Status) -> eyre::Result<bool> {
+/// Prints a job's answer; returns whether the job succeeded and the answer
+/// matches its digest.
+async fn print_answer(client: &Client, status: &Status) -> eyre::Result<bool> {
     let Some(end) = &status.end else {
-        println!("{}: has not ended", status.job);
+        println!("{}: not ended yet", status.job);
         return Ok(false);
     };
     let path = format!("/v1/jobs/{}/answer", status.job);
     let reply = client.fetch(&path).await?;
     let text = String::from_utf8_lossy(&reply.body);
-    let whole = digest::of(&reply.body) == end.digest;
+    let intact = digest::of(&reply.body) == end.digest;
     println!("{}: {}, answer {text:?}", status.job, end.outcome);
-    Ok(whole && end.outcome == Outcome::Done)
+    Ok(intact && end.outcome == Outcome::Done)
 }
 
-/// Prints the spans of the gang's request, each below the one above it.
+/// Prints the spans of the gang's request as a tree.
 fn print_trace(spans: &Collector) {
     let all = spans.spans();
     let is_gang = |span: &&Finished| {
-        let of_gang =
+        let names_gang =
             |(_, value): &(String, String)| value.contains("try-retrain");
-        span.name == "call" && span.attributes.iter().any(of_gang)
+        span.name == "call" && span.attributes.iter().any(names_gang)
     };
     let Some(root) = all.iter().find(is_gang) else {
         return;
@@ -293,20 +304,22 @@
     println!("spans of trace {}:", root.trace);
     let mut trace = spans.trace(&root.trace);
     trace.sort_by_key(|span| span.began);
-    print_below(&trace, &root.parent, root.began, 1);
+    print_children(&trace, &root.parent, root.began, 1);
 }
 
-fn print_below(
+/// Prints the spans below a parent, indented by `depth`; times are relative to
+/// `start`.
+fn print_children(
     trace: &[Finished],
     parent: &str,
     start: SystemTime,
     depth: usize,
 ) {
     for span in trace.iter().filter(|span| span.parent == parent) {
-        let at = span.began.duration_since(start).unwrap_or_default();
-        let took = span.ended.duration_since(span.began);
-        let took = took.unwrap_or_default();
-        let known: Vec<String> = span
+        let offset = span.began.duration_since(start).unwrap_or_default();
+        let duration = span.ended.duration_since(span.began);
+        let duration = duration.unwrap_or_default();
+        let attributes: Vec<String> = span
             .attributes
             .iter()
             .map(|(key, value)| format!("{key}={value}"))
@@ -315,15 +328,16 @@
             "{:indent$}{} at {:.1} ms, took {:.1} ms  {}",
             "",
             span.name,
-            at.as_secs_f64() * 1e3,
-            took.as_secs_f64() * 1e3,
-            known.join(" "),
+            offset.as_secs_f64() * 1e3,
+            duration.as_secs_f64() * 1e3,
+            attributes.join(" "),
             indent = 2 * depth,
         );
-        print_below(trace, &span.span, start, depth + 1);
+        print_children(trace, &span.span, start, depth + 1);
     }
 }
 
+/// Prints example commands and serves until Ctrl-C.
 async fn serve(site: &Site, operator: &Client) -> eyre::Result<()> {
     if let Some(cell) = view(operator).await?.cell {
         status::show(&cell);
