--- a/crates/landingvalve-soak/src/soak.rs
+++ b/crates/landingvalve-soak/src/soak.rs
@@ -234,7 +234,7 @@
             Fault::Crash(at) => self.workers[at].crash(),
             Fault::Worker(at, mode) => self.workers[at].set(mode),
             Fault::Store(mode) => self.store.set(mode),
-            Fault::Forget => self.store.forget(),
+            Fault::Forget => self.store.discard_history(),
             Fault::Configure(idle) => self.operators.change(idle),
         }
         self.under_way.push((fault, Instant::now() + lasts));
--- a/crates/landingvalve-soak/src/store.rs
+++ b/crates/landingvalve-soak/src/store.rs
@@ -158,7 +158,7 @@
     }
 
     /// Forgets the history.
-    pub fn forget(&self) {
+    pub fn discard_history(&self) {
         let mut data = lock(&self.0);
         data.forgotten = data.rev;
         data.events.clear();
