--- a/crates/landingvalve-cli/src/explain.rs
+++ b/crates/landingvalve-cli/src/explain.rs
@@ -128,8 +128,7 @@
         End::Cancelled => format!("job {job}: cancelled after {took} s"),
         End::Refused => format!("job {job}: refused for {took} s: {cause}"),
         End::Open => format!(
-            "job {job}: not ended in the logs, which end {took} s after \
-             its submission: {cause}"
+            "job {job}: no end in the logs, {took} s after submission: {cause}"
         ),
     }
 }
--- a/crates/landingvalve-soak/src/callers.rs
+++ b/crates/landingvalve-soak/src/callers.rs
@@ -1,5 +1,5 @@
-//! Callers: they submit, ask, cancel, and ask again where the answer was
-//! none.
+//! Callers, which submit, query and cancel jobs, and repeat a submission
+//! that was not accepted.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,36 +13,36 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-use crate::promise::JobId;
-use crate::promise::Promise;
+use crate::invariants::Checker;
+use crate::invariants::JobId;
 use crate::worker;
 
-/// The host that callers name.
-pub const CALLED: &str = "soak.example";
-/// What the paths of jobs start with.
+/// The value of the header `host` in all calls.
+pub const HOST_NAME: &str = "soak.example";
+/// The prefix of the paths of jobs.
 pub const PREFIX: &str = "/jobs/";
-/// The key of the one client account.
-pub const KEY: &str = "soak-key";
-/// How long a caller waits.
-const LIMIT: Duration = Duration::from_millis(3000);
-/// How often a submission is made again.
-const TRIES: u32 = 4;
-/// How long is waited before it is.
-const AGAIN: Duration = Duration::from_millis(300);
+/// The API key of the only client account.
+pub const API_KEY: &str = "soak-key";
+/// The timeout of a call; the header `deadline` holds the same time.
+const CALL_TIMEOUT: Duration = Duration::from_millis(3000);
+/// How often a submission is sent at most, until it is accepted.
+const MAX_SUBMIT_ATTEMPTS: u32 = 4;
+/// The pause between two attempts of a submission.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// A caller.
+/// A caller, who sends each call to a random entry.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// Its connections.
+    /// The HTTP client of the calls.
     pub http: http::Client,
-    /// The entries.
+    /// The addresses of the entries.
     pub entries: Vec<SocketAddr>,
-    /// What it sees is told here.
-    pub promise: Promise,
+    /// The checker, which gets every call and reply.
+    pub checker: Checker,
 }
 
 #[derive(Deserialize)]
-struct State {
+struct JobState {
     state: String,
 }
 
@@ -55,69 +55,70 @@
     ) -> Option<http::Reply> {
         let entry = self.entries[fastrand::usize(..self.entries.len())];
         let mut headers = HeaderMap::new();
-        headers.insert(HOST, HeaderValue::from_static(CALLED));
-        headers.insert("credential", HeaderValue::from_static(KEY));
+        headers.insert(HOST, HeaderValue::from_static(HOST_NAME));
+        headers.insert("credential", HeaderValue::from_static(API_KEY));
         headers.insert("deadline", HeaderValue::from_static("3000"));
         let url = format!("http://{entry}{PREFIX}{job}");
-        let deadline = Instant::now() + LIMIT;
-        let answer = self.http.call(method, &url, headers, body, deadline);
-        answer.await.ok()
+        let deadline = Instant::now() + CALL_TIMEOUT;
+        let reply = self.http.call(method, &url, headers, body, deadline);
+        reply.await.ok()
     }
 
-    /// Submits a job of one or two steps, until it is answered.
+    /// Submits a job of one or two steps, up to four times until it is
+    /// accepted; returns the job.
     pub async fn submit(&self, random: &mut fastrand::Rng) -> JobId {
         let job = format!("{:016x}", random.u64(..));
         let steps: Vec<u32> = (0..random.usize(1..=2))
             .map(|_| random.u32(1..=3))
             .collect();
         let accelerators = [1, 2, 4][random.usize(..3)];
-        let step = |(at, tasks): (usize, &u32)| {
+        let step = |(index, tasks): (usize, &u32)| {
             json!({"replicas": tasks, "cpu": 1000, "memMb": 1000,
                    "gpu": accelerators, "estimateMs": 300,
-                   "dependsOn": (0..at).collect::<Vec<_>>()})
+                   "dependsOn": (0..index).collect::<Vec<_>>()})
         };
         let body = json!({
             "spec": worker::spec(random.u64(50..900), accelerators),
             "steps": steps.iter().enumerate().map(step).collect::<Vec<_>>(),
         });
-        self.promise.submits(&job, steps);
-        for _ in 0..TRIES {
+        self.checker.record_submission(&job, steps);
+        for _ in 0..MAX_SUBMIT_ATTEMPTS {
             let body = body.to_string();
             let reply = self.call(Method::POST, &job, body).await;
             let status = reply.map(|reply| reply.status.as_u16());
-            self.promise.submitted(&job, status);
+            self.checker.record_submission_reply(&job, status);
             if matches!(status, Some(200..=299)) {
                 break;
             }
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         job
     }
 
-    /// Asks how a job stands.
-    pub async fn ask(&self, job: &str) {
-        let before = self.promise.state(job);
+    /// Queries the state of a job.
+    pub async fn query(&self, job: &str) {
+        let before = self.checker.last_state(job);
         let reply = self.call(Method::GET, job, String::new()).await;
         let Some(reply) = reply else {
             return;
         };
         match reply.status.as_u16() {
             200 => {
-                let state = serde_json::from_slice::<State>(&reply.body);
+                let state = serde_json::from_slice::<JobState>(&reply.body);
                 let state = state.map_or(String::new(), |s| s.state);
-                self.promise.told(job, Some(&state), &before);
+                self.checker.record_state(job, Some(&state), &before);
             }
-            410 => self.promise.told(job, None, &before),
+            410 => self.checker.record_state(job, None, &before),
             _ => {}
         }
     }
 
     /// Cancels a job.
     pub async fn cancel(&self, job: &str) {
-        self.promise.cancels(job);
+        self.checker.record_cancel(job);
         let reply = self.call(Method::DELETE, job, String::new()).await;
         if reply.is_some_and(|reply| reply.status.is_success()) {
-            self.promise.cancelled(job);
+            self.checker.record_cancel_reply(job);
         }
     }
 }
--- a/crates/landingvalve-soak/src/faults.rs
+++ b/crates/landingvalve-soak/src/faults.rs
@@ -1,101 +1,112 @@
-//! What goes wrong, drawn by a seed: in series, and overlapping.
+//! The faults of a soak, drawn from a seeded generator. Faults may overlap.
 
 use std::time::Duration;
 
 use crate::store;
 use crate::worker;
 
-/// Queues of a document that nearly fills the store's largest value.
-const MANY: usize = 4500;
+/// The number of idle queues with which the configuration nearly reaches the
+/// size limit of a value in the store.
+const MANY_IDLE_QUEUES: usize = 4500;
 
-/// What a fault strikes.
+/// A fault. Processes and workers are named by their index; the report counts
+/// faults under the variants' names.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// An entry is killed and started again after the fault's time.
+    /// An entry is killed, and restarted when the fault ends.
     KillEntry(usize),
-    /// An entry stands still.
+    /// An entry is suspended, and resumed when the fault ends.
     PauseEntry(usize),
-    /// An entry is asked to stop, and started again.
+    /// An entry gets a termination signal, and is restarted once it has
+    /// ended.
     StopEntry(usize),
-    /// All entries are killed.
+    /// All entries are killed, and restarted when the fault ends.
     KillEntries,
-    /// An agent is killed and started again.
+    /// An agent is killed, and restarted when the fault ends.
     KillAgent(usize),
-    /// An agent stands still.
+    /// An agent is suspended, and resumed when the fault ends.
     PauseAgent(usize),
-    /// Every process is killed.
+    /// All entries and agents are killed, and restarted when the fault ends.
     KillAll,
-    /// A worker begins another life.
+    /// A worker loses its tasks and begins another life.
     Crash(usize),
-    /// A worker fares badly.
+    /// A worker is in a faulty mode until the fault ends.
     Worker(usize, worker::Mode),
-    /// The store fares badly.
+    /// The store is in a faulty mode until the fault ends.
     Store(store::Mode),
-    /// The store forgets its history.
+    /// The store discards its history of events.
     Forget,
-    /// Operators change the configuration, and it has so many idle queues.
+    /// Operators write a new version of the configuration with this number of
+    /// idle queues.
     Configure(usize),
 }
 
-/// A fault, and how long it lasts.
+/// A fault with its times.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Strike {
-    /// What happens.
+pub struct Injection {
+    /// The fault.
     pub fault: Fault,
-    /// For how long.
-    pub lasts: Duration,
-    /// How long after it began the next begins.
-    pub next: Duration,
+    /// How long the fault lasts, if it doesn't take effect at once.
+    pub duration: Duration,
+    /// The time from the start of this fault to the start of the next.
+    pub next_after: Duration,
 }
 
-/// Draws the next fault for so many entries and workers.
+/// Draws the next fault for a fleet of `entries` entries and `workers`
+/// workers.
 pub fn draw(
     random: &mut fastrand::Rng,
     entries: usize,
     workers: usize,
-) -> Strike {
+) -> Injection {
     let entry = random.usize(..entries);
-    let at = random.usize(..workers);
+    let worker = random.usize(..workers);
     let share = 0.2 + 0.4 * random.f64();
-    let sound = worker::Mode::default();
+    let healthy = worker::Mode::default();
     let fault = match random.u32(..22) {
         0 | 1 => Fault::KillEntry(entry),
         2 => Fault::PauseEntry(entry),
         3 => Fault::StopEntry(entry),
         4 => Fault::KillEntries,
-        5 => Fault::KillAgent(at),
-        6 => Fault::PauseAgent(at),
+        5 => Fault::KillAgent(worker),
+        6 => Fault::PauseAgent(worker),
         7 => Fault::KillAll,
-        8 => Fault::Crash(at),
+        8 => Fault::Crash(worker),
         9 => Fault::Worker(
-            at,
+            worker,
             worker::Mode {
-                late: share,
-                ..sound
+                late_share: share,
+                ..healthy
             },
         ),
         10 => Fault::Worker(
-            at,
+            worker,
             worker::Mode {
                 fails: true,
-                ..sound
+                ..healthy
             },
         ),
-        11 => Fault::Worker(at, worker::Mode { cut: true, ..sound }),
-        12 => Fault::Store(store::Mode::Busy),
-        13 => Fault::Store(store::Mode::Silent),
+        11 => Fault::Worker(
+            worker,
+            worker::Mode {
+                unreachable: true,
+                ..healthy
+            },
+        ),
+        12 => Fault::Store(store::Mode::Unavailable),
+        13 => Fault::Store(store::Mode::Unresponsive),
         14 => {
             let ms = random.u64(50..400);
             Fault::Store(store::Mode::Slow(Duration::from_millis(ms)))
         }
-        15 => Fault::Store(store::Mode::Lossy(share)),
-        16 => Fault::Store(store::Mode::Late(share)),
+        15 => Fault::Store(store::Mode::LosesReplies(share)),
+        16 => Fault::Store(store::Mode::DelaysWrites(share)),
         17 => Fault::Forget,
-        _ => Fault::Configure([0, 500, MANY][random.usize(..3)]),
+        _ => Fault::Configure([0, 500, MANY_IDLE_QUEUES][random.usize(..3)]),
     };
-    Strike {
+    Injection {
         fault,
-        lasts: Duration::from_millis(random.u64(300..5000)),
-        next: Duration::from_millis(random.u64(200..2500)),
+        duration: Duration::from_millis(random.u64(300..5000)),
+        next_after: Duration::from_millis(random.u64(200..2500)),
     }
 }
--- a/crates/landingvalve-soak/src/fleet.rs
+++ b/crates/landingvalve-soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The programs under test, as processes of their own.
+//! The programs under test, each in its own process.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 /// A program with its settings, and its process while it runs.
 #[derive(Debug)]
 pub struct Program {
-    /// Its name.
+    /// The name of the program in the fleet, and of its settings and log.
     pub name: String,
     path: PathBuf,
     settings: PathBuf,
@@ -30,8 +30,8 @@
 }
 
 impl Program {
-    /// Returns a program that does not run yet; its settings and log go to
-    /// `folder`.
+    /// Returns a program that has not been started. The settings are written
+    /// to `folder`, and the log goes there too.
     ///
     /// # Errors
     ///
@@ -54,11 +54,11 @@
         })
     }
 
-    /// Starts the process, unless it runs.
+    /// Starts the process unless it is running.
     ///
     /// # Errors
     ///
-    /// If it cannot be started.
+    /// If the process cannot be started, or the log cannot be opened.
     pub fn start(&mut self) -> eyre::Result<()> {
         if self.child.is_some() {
             return Ok(());
@@ -80,31 +80,32 @@
         Ok(())
     }
 
-    /// Kills the process, if it runs.
+    /// Kills the process if it is running.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             self.paused = false;
-            // One that has ended by itself cannot be killed.
+            // The kill fails if the process has ended by itself.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Asks the process to stop.
-    pub fn term(&mut self) {
+    /// Sends the process a termination signal.
+    pub fn terminate(&mut self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// Lets the process stand still, or go on.
-    pub fn pause(&mut self, still: bool) {
-        self.paused = still;
-        self.signal(match still {
+    /// Suspends or resumes the process.
+    pub fn set_paused(&mut self, paused: bool) {
+        self.paused = paused;
+        self.signal(match paused {
             true => Signal::SIGSTOP,
             false => Signal::SIGCONT,
         });
     }
 
-    /// Returns whether the process has ended by itself; it is then gone.
+    /// Returns whether the process has ended by itself, and if so prepares the
+    /// program for another start.
     pub fn has_ended(&mut self) -> bool {
         let child = self.child.as_mut();
         let ended = child.is_some_and(|c| !matches!(c.try_wait(), Ok(None)));
@@ -118,7 +119,8 @@
         let id = self.child.as_ref().map(Child::id);
         let id = id.and_then(|id| i32::try_from(id).ok());
         if let Some(id) = id {
-            // Its process is ours and not waited for yet: the id is its own.
+            // The process is a child that has not been waited for, so its id
+            // cannot belong to another process.
             let _ = kill(Pid::from_raw(id), signal);
         }
     }
@@ -130,23 +132,25 @@
     }
 }
 
-/// Returns an address that nobody listens on, and that no other call has
-/// returned.
+/// Returns a loopback address that nobody listens on, and that no other call
+/// has returned.
 ///
-/// It is taken later, and again after each restart. Fleets of two processes
-/// would meet on one host, and two programs of a fleet on one port.
+/// A program binds the address later, and again after each restart. The host
+/// part is derived from the process id so that two soaks at the same time
+/// cannot use the same address; returned addresses are remembered so that two
+/// programs of a fleet don't get the same port.
 ///
 /// # Errors
 ///
-/// If there is none.
+/// If no address is available.
 pub fn free_address() -> eyre::Result<SocketAddr> {
-    static GIVEN: Mutex<BTreeSet<SocketAddr>> = Mutex::new(BTreeSet::new());
+    static RETURNED: Mutex<BTreeSet<SocketAddr>> = Mutex::new(BTreeSet::new());
     let [_, high, middle, low] = std::process::id().to_be_bytes();
-    let any = SocketAddr::from(([127, high, middle, low], 0));
+    let any_port = SocketAddr::from(([127, high, middle, low], 0));
     loop {
-        let listener = TcpListener::bind(any).wrap_err("a port")?;
+        let listener = TcpListener::bind(any_port).wrap_err("bind")?;
         let address = listener.local_addr()?;
-        if lock(&GIVEN).insert(address) {
+        if lock(&RETURNED).insert(address) {
             return Ok(address);
         }
     }
--- a/crates/landingvalve-soak/src/lib.rs
+++ b/crates/landingvalve-soak/src/lib.rs
@@ -1,16 +1,17 @@
-//! A soak of the real programs under faults.
+//! A soak test of the real programs under faults.
 //!
 //! Entries and agents run as separate processes on loopback, against
-//! stand-ins that speak the users' protocol: a [`store`] and [`worker`]s.
-//! [`faults`] are injected from outside, by a seed; [`operators`] change the
-//! configuration; [`callers`] submit, ask, cancel and ask again; [`promise`] checks what workers and callers
-//! see. [`soak`] ties it together and reports.
+//! stand-ins that implement the users' protocol: a [`store`] and [`worker`]s.
+//! [`faults`] are drawn from a seed and injected from outside; [`operators`]
+//! change the configuration; [`callers`] submit, query and cancel jobs;
+//! [`invariants`] checks what workers and callers observe. [`soak`] runs a
+//! whole test and reports the results.
 
 pub mod callers;
 pub mod faults;
 pub mod fleet;
+pub mod invariants;
 pub mod operators;
-pub mod promise;
 pub mod soak;
 pub mod store;
 pub mod worker;
@@ -19,7 +20,7 @@
 use std::sync::MutexGuard;
 use std::sync::PoisonError;
 
-/// Locks a state that stays good whatever panicked beside it.
+/// Locks a mutex whose value stays valid after a panic of another holder.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/landingvalve-soak/src/main.rs
+++ b/crates/landingvalve-soak/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the soak.
+//! The command line of the soak test.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,26 +8,27 @@
 use landingvalve_soak::soak;
 use landingvalve_soak::soak::Config;
 
-/// Runs the real programs on loopback under faults, and checks the promises.
+/// Runs the real programs on loopback under faults, and checks the
+/// scheduler's promises.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
-    /// The folder with the programs.
+    /// The folder of the programs under test.
     #[arg(long, default_value = "target/release")]
     programs: PathBuf,
-    /// What faults and jobs are drawn by; drawn itself if left out.
+    /// The first seed of faults and jobs; random by default.
     #[arg(long)]
     seed: Option<u64>,
-    /// How many seeds are played, one after the other.
+    /// The number of runs, one after the other with consecutive seeds.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// For how many seconds a seed has faults.
+    /// For how many seconds faults are injected in each run.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// How many entries run.
+    /// The number of entries.
     #[arg(long, default_value_t = 3)]
     entries: usize,
-    /// How many workers run, each with an agent.
+    /// The number of workers, each with an agent.
     #[arg(long, default_value_t = 4)]
     workers: usize,
 }
@@ -41,7 +42,7 @@
         let folder =
             format!("landingvalve-soak-{}-{seed}", std::process::id());
         let folder = std::env::temp_dir().join(folder);
-        let soaked = soak::run(Config {
+        let run = soak::run(Config {
             entry: args.programs.join("landingvalve-platform-entry"),
             agent: args.programs.join("landingvalve-platform-agent"),
             folder: folder.clone(),
@@ -50,9 +51,9 @@
             entries: args.entries,
             workers: args.workers,
         });
-        // Given up, a soak ends the processes that it started.
+        // Dropping a run kills the processes that it started.
         let report = tokio::select! {
-            report = soaked => report?,
+            report = run => report?,
             _ = tokio::signal::ctrl_c() => return Ok(ExitCode::FAILURE),
         };
         println!("{}", serde_json::to_string(&report)?);
--- a/crates/landingvalve-soak/src/operators.rs
+++ b/crates/landingvalve-soak/src/operators.rs
@@ -1,4 +1,5 @@
-//! Operators: they change the configuration, and whoever asks must meet it.
+//! Operators, which change the configuration and check that entries apply
+//! each version.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,26 +17,27 @@
 use serde_json::Value;
 use tokio::time::Instant;
 
-use crate::callers::CALLED;
-use crate::callers::KEY;
+use crate::callers::API_KEY;
+use crate::callers::HOST_NAME;
 use crate::callers::PREFIX;
+use crate::invariants::Checker;
 use crate::lock;
-use crate::promise::Promise;
 use crate::store::Store;
 
-/// Within which a change is in force, as the entries' settings say.
-const IN_FORCE: Duration = Duration::from_millis(2000);
-/// How long a question may take.
-const LIMIT: Duration = Duration::from_millis(3000);
+/// The time after which every entry must apply a new version, as in the
+/// entries' settings.
+const MAX_APPLY_TIME: Duration = Duration::from_millis(2000);
+/// The timeout of a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// A version that is written.
+/// A version that was written; violations print it.
 #[derive(Clone, Copy, Debug)]
 struct Version {
     number: u64,
     written: Instant,
 }
 
-/// The operators, and what they have written last.
+/// The operators, with the version that they wrote last; clones share it.
 #[derive(Clone)]
 pub struct Operators {
     store: Store,
@@ -43,7 +45,7 @@
 }
 
 impl Operators {
-    /// Writes the first configuration.
+    /// Writes the first version of the configuration to a store.
     pub fn new(store: Store) -> Operators {
         store.write("op/config", configuration(1, 0));
         let first = Version {
@@ -56,8 +58,8 @@
         }
     }
 
-    /// Writes the next version, with `idle` queues that nobody asks about.
-    pub fn change(&self, idle: usize) {
+    /// Writes the next version, with `idle` queues that no caller uses.
+    pub fn write_next_version(&self, idle: usize) {
         let mut last = lock(&self.last);
         let number = last.number + 1;
         self.store.write("op/config", configuration(number, idle));
@@ -67,57 +69,64 @@
         };
     }
 
-    /// Asks an entry for a queue that only the present version has, and for
-    /// one that it no longer has.
-    pub async fn probe(&self, entry: SocketAddr, promise: &Promise) {
+    /// Checks that an entry serves the queue of the present version and no
+    /// longer that of the version before. Does nothing while the present
+    /// version is too new to be required.
+    pub async fn probe(&self, entry: SocketAddr, checker: &Checker) {
         let asked = *lock(&self.last);
-        if asked.written.elapsed() <= IN_FORCE {
+        if asked.written.elapsed() <= MAX_APPLY_TIME {
             return;
         }
         let client = http::Client::new();
-        let old = ask(&client, entry, asked.number - 1).await;
+        let old = probe_version(&client, entry, asked.number - 1).await;
         if old == Some(200) {
-            promise.breaks("CONFIG", format!("{asked:?}: the one before"));
+            checker.record_violation(
+                "CONFIG",
+                format!("{asked:?}: the version before is still applied"),
+            );
         }
-        let new = ask(&client, entry, asked.number).await;
-        let still = lock(&self.last).number == asked.number;
-        if new == Some(404) && still {
-            promise.breaks("CONFIG", format!("{asked:?}: not there"));
+        let new = probe_version(&client, entry, asked.number).await;
+        let is_latest = lock(&self.last).number == asked.number;
+        if new == Some(404) && is_latest {
+            checker
+                .record_violation("CONFIG", format!("{asked:?}: not applied"));
         }
     }
 }
 
-/// Returns the status of the answer about a version's own queue.
-async fn ask(
+/// Returns the status of an entry's reply at the queue that only one version
+/// has.
+async fn probe_version(
     client: &http::Client,
     entry: SocketAddr,
     version: u64,
 ) -> Option<u16> {
     let mut headers = HeaderMap::new();
-    headers.insert(HOST, HeaderValue::from_static(CALLED));
-    let url = format!("http://{entry}{}", own(version));
-    let deadline = Instant::now() + LIMIT;
+    headers.insert(HOST, HeaderValue::from_static(HOST_NAME));
+    let url = format!("http://{entry}{}", version_path(version));
+    let deadline = Instant::now() + PROBE_TIMEOUT;
     let body = Bytes::new();
     let reply = client.call(Method::GET, &url, headers, body, deadline);
     reply.await.ok().map(|reply| reply.status.as_u16())
 }
 
-/// Returns where the queue is that only one version has.
-fn own(version: u64) -> String {
+/// Returns the path of the queue that only one version has.
+fn version_path(version: u64) -> String {
     format!("/version-{version}/")
 }
 
-/// Returns a configuration in base64: one queue for jobs and one of its own.
+/// Returns a configuration in base64: the queue of the jobs, a queue that
+/// only this version has, and idle queues.
 fn configuration(version: u64, idle: usize) -> String {
     let queue = |name: &str, prefix: &str, anonymous: bool| {
-        json!({"name": name, "host": CALLED, "pathPrefix": prefix,
+        json!({"name": name, "host": HOST_NAME, "pathPrefix": prefix,
             "kind": "non_idempotent", "timeoutMs": 3000,
             "targetLatencyMs": 1000, "priority": 1, "service": "pool",
             "maxAttempts": 50, "stretch": 3.0, "allowAnonymous": anonymous})
     };
     let mut queues = vec![
         queue("jobs", PREFIX, false),
-        queue("own", &own(version), true),
+        queue("own", &version_path(version), true),
     ];
     queues.extend((0..idle).map(|at| {
         let name = format!("idle-{at}");
@@ -128,7 +137,7 @@
         "routes": queues,
         "services": [{"name": "pool", "enforcesCapacity": true}],
         "limits": {"maxBodyBytes": 262_144},
-        "tenants": [{"name": "soak", "apiKeys": [KEY]}],
+        "tenants": [{"name": "soak", "apiKeys": [API_KEY]}],
     });
     let bytes = document.to_string().into_bytes();
     base64_text(&bytes)
--- a/crates/landingvalve-soak/src/soak.rs
+++ b/crates/landingvalve-soak/src/soak.rs
@@ -1,4 +1,5 @@
-//! One soak: the fleet, its faults, its callers, and the report.
+//! One run of the soak test: the fleet, its faults, its callers, and the
+//! report.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -14,116 +15,122 @@
 use crate::callers::Caller;
 use crate::faults;
 use crate::faults::Fault;
-use crate::faults::Strike;
+use crate::faults::Injection;
 use crate::fleet::free_address;
 use crate::fleet::Program;
+use crate::invariants::Checker;
+use crate::invariants::Counts;
+use crate::invariants::JobId;
 use crate::operators::Operators;
-use crate::promise::Counts;
-use crate::promise::JobId;
-use crate::promise::Promise;
 use crate::store;
 use crate::store::Store;
 use crate::worker;
 use crate::worker::Worker;
 
-/// How long an agent's tasks go on without a planner, in ms.
+/// The setting `survival_ms`: how long an agent's tasks continue without a
+/// planner, in ms.
 const SURVIVAL_MS: u64 = 5000;
-/// The longest lease of a worker, in ms.
+/// The setting `lease_ms`: the longest lease of a worker, in ms.
 const LEASE_MS: u64 = 3000;
-/// How long after the last fault everything must have ended.
-const SETTLE: Duration = Duration::from_secs(45);
-/// How often jobs are submitted, asked about and looked after.
-const ROUND: Duration = Duration::from_millis(120);
-/// How many jobs are open at most.
-const OPEN: usize = 40;
+/// The time after the last fault within which all accepted jobs must end.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(45);
+/// The pause after each round of calls.
+const ROUND_INTERVAL: Duration = Duration::from_millis(120);
+/// The number of open jobs from which on no more jobs are submitted.
+const MAX_OPEN_JOBS: usize = 40;
 
-/// What is soaked, and how.
+/// The configuration of a run.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The entry's program.
+    /// The path of the entry's program.
     pub entry: PathBuf,
-    /// The agent's program.
+    /// The path of the agent's program.
     pub agent: PathBuf,
-    /// Where settings and logs go.
+    /// The folder for settings and logs.
     pub folder: PathBuf,
-    /// What the faults and jobs are drawn by.
+    /// The seed of the faults and the jobs.
     pub seed: u64,
-    /// For how long there are faults.
+    /// For how long faults are injected.
     pub faults_for: Duration,
-    /// How many entries run.
+    /// The number of entries.
     pub entries: usize,
-    /// How many workers, each with its agent.
+    /// The number of workers, each with an agent.
     pub workers: usize,
 }
 
-/// What came of a soak.
+/// The results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// What the faults and jobs were drawn by.
+    /// The seed of the faults and the jobs.
     pub seed: u64,
     /// How often each kind of fault was injected.
     pub faults: BTreeMap<String, u32>,
-    /// What was seen.
+    /// The numbers of observed events.
     pub seen: Counts,
-    /// Calls of the store.
+    /// The number of calls that the store received.
     pub store_calls: u64,
-    /// How long after the last fault the last accepted job had ended.
+    /// The time in ms from the end of the faults until every accepted job had
+    /// ended, absent if some had not ended before the timeout.
     pub settled_ms: Option<u64>,
-    /// What was broken; nothing is as it should be.
+    /// The violations of the invariants; empty if the run passed.
     pub broken: Vec<String>,
 }
 
 struct Soak {
-    plan: Config,
-    /// Draws the faults, and nothing else: their order repeats.
-    chance: fastrand::Rng,
-    /// Draws what callers do.
-    random: fastrand::Rng,
+    config: Config,
+    /// The generator of the faults. Nothing else draws from it, so that a seed
+    /// repeats the sequence of faults.
+    fault_random: fastrand::Rng,
+    /// The generator of the callers' actions.
+    caller_random: fastrand::Rng,
     store: Store,
     operators: Operators,
     workers: Vec<Worker>,
     entries: Vec<Program>,
     agents: Vec<Program>,
     caller: Caller,
-    jobs: Vec<JobId>,
-    /// The faults under way, and when each ends.
-    under_way: Vec<(Fault, Instant)>,
-    faults: BTreeMap<String, u32>,
+    /// The jobs that had not ended when the run was over.
+    unfinished: Vec<JobId>,
+    /// The active faults, and when each ends.
+    active_faults: Vec<(Fault, Instant)>,
+    fault_counts: BTreeMap<String, u32>,
+    /// The servers of the stand-ins, which run until they are dropped.
     _servers: Vec<Server>,
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// Soaks.
+/// Runs the fleet under faults, then without faults until all jobs have
+/// ended, and reports the results.
 ///
 /// # Errors
 ///
 /// If the stand-ins or the programs cannot be started.
-pub async fn run(plan: Config) -> eyre::Result<Report> {
-    std::fs::create_dir_all(&plan.folder)?;
-    let mut soak = Soak::start(plan).await?;
-    let until = Instant::now() + soak.plan.faults_for;
-    let mut next = Instant::now() + Duration::from_secs(1);
-    while Instant::now() < until {
-        if Instant::now() >= next {
-            next = Instant::now() + soak.strike()?;
+pub async fn run(config: Config) -> eyre::Result<Report> {
+    std::fs::create_dir_all(&config.folder)?;
+    let mut soak = Soak::start(config).await?;
+    let faults_until = Instant::now() + soak.config.faults_for;
+    let mut next_fault = Instant::now() + Duration::from_secs(1);
+    while Instant::now() < faults_until {
+        if Instant::now() >= next_fault {
+            next_fault = Instant::now() + soak.inject_fault()?;
         }
-        soak.round(true).await?;
+        soak.run_round(true).await?;
     }
     let settled = soak.settle().await?;
     Ok(soak.report(settled))
 }
 
 impl Soak {
-    async fn start(plan: Config) -> eyre::Result<Soak> {
-        let promise = Promise::default();
-        let store = Store::new(plan.seed);
+    async fn start(config: Config) -> eyre::Result<Soak> {
+        let checker = Checker::default();
+        let store = Store::new(config.seed);
         let operators = Operators::new(store.clone());
         let server =
             Server::start(free_address()?, store.clone().into()).await?;
         let store_address = server.address();
         let mut soak = Soak {
-            chance: fastrand::Rng::with_seed(plan.seed),
-            random: fastrand::Rng::with_seed(plan.seed),
+            fault_random: fastrand::Rng::with_seed(config.seed),
+            caller_random: fastrand::Rng::with_seed(config.seed),
             store,
             operators,
             workers: Vec::new(),
@@ -132,34 +139,35 @@
             caller: Caller {
                 http: http::Client::new(),
                 entries: Vec::new(),
-                promise: promise.clone(),
+                checker: checker.clone(),
             },
-            jobs: Vec::new(),
-            under_way: Vec::new(),
-            faults: BTreeMap::new(),
+            unfinished: Vec::new(),
+            active_faults: Vec::new(),
+            fault_counts: BTreeMap::new(),
             _servers: vec![server],
             tasks: Vec::new(),
-            plan,
+            config,
         };
-        for at in 0..soak.plan.workers {
-            soak.add_worker(at, store_address.to_string(), &promise)
+        for at in 0..soak.config.workers {
+            soak.add_worker(at, store_address.to_string(), &checker)
                 .await?;
         }
-        for at in 0..soak.plan.entries {
+        for at in 0..soak.config.entries {
             soak.add_entry(at, &store_address.to_string())?;
         }
         Ok(soak)
     }
 
+    /// Starts a worker and its agent.
     async fn add_worker(
         &mut self,
         at: usize,
         store: String,
-        promise: &Promise,
+        checker: &Checker,
     ) -> eyre::Result<()> {
         let name = format!("w{at}");
-        let seed = self.plan.seed + 1 + at as u64;
-        let worker = Worker::new(&name, seed, promise.clone());
+        let seed = self.config.seed + 1 + at as u64;
+        let worker = Worker::new(&name, seed, checker.clone());
         let server =
             Server::start(free_address()?, worker.clone().into()).await?;
         let agent = free_address()?;
@@ -176,9 +184,9 @@
         program.start()?;
         self.agents.push(program);
         let http = http::Client::new();
-        self.tasks.push(tokio::spawn(worker.clone().work()));
+        self.tasks.push(tokio::spawn(worker.clone().run_tasks()));
         self.tasks
-            .push(tokio::spawn(worker.clone().report(http, agent)));
+            .push(tokio::spawn(worker.clone().send_heartbeats(http, agent)));
         self.workers.push(worker);
         self._servers.push(server);
         Ok(())
@@ -204,71 +212,76 @@
 
     fn program(&self, name: &str, settings: &str) -> eyre::Result<Program> {
         let path: &Path = match name.starts_with("entry") {
-            true => &self.plan.entry,
-            false => &self.plan.agent,
+            true => &self.config.entry,
+            false => &self.config.agent,
         };
-        Program::new(name, path, &self.plan.folder, settings)
+        Program::new(name, path, &self.config.folder, settings)
     }
 
-    /// Lets a fault begin; returns how long after it the next does.
-    fn strike(&mut self) -> eyre::Result<Duration> {
+    /// Draws and injects a fault; returns the time until the next fault.
+    fn inject_fault(&mut self) -> eyre::Result<Duration> {
         let (entries, workers) = (self.entries.len(), self.workers.len());
-        let Strike { fault, lasts, next } =
-            faults::draw(&mut self.chance, entries, workers);
+        let Injection {
+            fault,
+            duration,
+            next_after,
+        } = faults::draw(&mut self.fault_random, entries, workers);
         let kind = format!("{fault:?}");
         let kind = kind.split(['(', ' ']).next().unwrap_or_default();
-        *self.faults.entry(kind.to_owned()).or_default() += 1;
+        *self.fault_counts.entry(kind.to_owned()).or_default() += 1;
         match fault {
             Fault::KillEntry(at) => self.entries[at].kill(),
-            Fault::PauseEntry(at) => self.entries[at].pause(true),
-            Fault::StopEntry(at) => self.entries[at].term(),
+            Fault::PauseEntry(at) => self.entries[at].set_paused(true),
+            Fault::StopEntry(at) => self.entries[at].terminate(),
             Fault::KillEntries => {
                 self.entries.iter_mut().for_each(Program::kill);
             }
             Fault::KillAgent(at) => self.agents[at].kill(),
-            Fault::PauseAgent(at) => self.agents[at].pause(true),
+            Fault::PauseAgent(at) => self.agents[at].set_paused(true),
             Fault::KillAll => {
                 self.entries.iter_mut().for_each(Program::kill);
                 self.agents.iter_mut().for_each(Program::kill);
             }
             Fault::Crash(at) => self.workers[at].crash(),
-            Fault::Worker(at, mode) => self.workers[at].set(mode),
-            Fault::Store(mode) => self.store.set(mode),
+            Fault::Worker(at, mode) => self.workers[at].set_mode(mode),
+            Fault::Store(mode) => self.store.set_mode(mode),
             Fault::Forget => self.store.discard_history(),
-            Fault::Configure(idle) => self.operators.change(idle),
+            Fault::Configure(idle) => self.operators.write_next_version(idle),
         }
-        self.under_way.push((fault, Instant::now() + lasts));
-        Ok(next)
+        self.active_faults.push((fault, Instant::now() + duration));
+        Ok(next_after)
     }
 
-    /// Ends the faults that have lasted long enough.
-    fn mend(&mut self, all: bool) -> eyre::Result<()> {
+    /// Ends the faults whose time is over, or all faults, and restarts
+    /// programs that have ended by themselves.
+    fn end_faults(&mut self, all: bool) -> eyre::Result<()> {
         let now = Instant::now();
-        let (over, left) = std::mem::take(&mut self.under_way)
+        let (ended, active) = std::mem::take(&mut self.active_faults)
             .into_iter()
             .partition(|(_, until)| all || now >= *until);
-        self.under_way = left;
-        let over: Vec<(Fault, Instant)> = over;
-        for (fault, _) in over {
+        self.active_faults = active;
+        let ended: Vec<(Fault, Instant)> = ended;
+        for (fault, _) in ended {
             match fault {
                 Fault::KillEntry(at) => self.entries[at].start()?,
-                Fault::PauseEntry(at) => self.entries[at].pause(false),
+                Fault::PauseEntry(at) => self.entries[at].set_paused(false),
                 Fault::StopEntry(_) => {}
                 Fault::KillEntries => start_all(&mut self.entries)?,
                 Fault::KillAgent(at) => self.agents[at].start()?,
-                Fault::PauseAgent(at) => self.agents[at].pause(false),
+                Fault::PauseAgent(at) => self.agents[at].set_paused(false),
                 Fault::KillAll => {
                     start_all(&mut self.entries)?;
                     start_all(&mut self.agents)?;
                 }
                 Fault::Worker(at, _) => {
-                    self.workers[at].set(worker::Mode::default());
+                    self.workers[at].set_mode(worker::Mode::default());
                 }
-                Fault::Store(_) => self.store.set(store::Mode::Good),
+                Fault::Store(_) => self.store.set_mode(store::Mode::Healthy),
                 Fault::Crash(_) | Fault::Forget | Fault::Configure(_) => {}
             }
         }
-        // One that was asked to stop is started again once it has ended.
+        // An entry that was sent a termination signal is restarted once its
+        // process has ended.
         let programs = self.entries.iter_mut().chain(&mut self.agents);
         for program in programs {
             if program.has_ended() {
@@ -278,57 +291,61 @@
         Ok(())
     }
 
-    /// Lets callers do something, each beside the others.
-    async fn round(&mut self, submits: bool) -> eyre::Result<()> {
-        self.mend(!submits)?;
-        let open = self.caller.promise.open();
-        if submits && open.len() < OPEN {
+    /// Starts calls that run concurrently with those of other rounds: a
+    /// submission or, without `under_faults`, none; a query or a cancel; and a
+    /// probe of the configuration. Without `under_faults` all faults end.
+    async fn run_round(&mut self, under_faults: bool) -> eyre::Result<()> {
+        self.end_faults(!under_faults)?;
+        let open = self.caller.checker.open_jobs();
+        if under_faults && open.len() < MAX_OPEN_JOBS {
             let caller = self.caller.clone();
-            let mut random = self.random.fork();
+            let mut random = self.caller_random.fork();
             self.tasks.push(tokio::spawn(async move {
                 caller.submit(&mut random).await;
             }));
         }
-        if let Some(job) = self.pick(&open) {
+        if let Some(job) = self.pick_job(&open) {
             let caller = self.caller.clone();
-            let cancel = submits && self.random.u32(..12) == 0;
+            let cancel = under_faults && self.caller_random.u32(..12) == 0;
             self.tasks.push(tokio::spawn(async move {
                 match cancel {
                     true => caller.cancel(&job).await,
-                    false => caller.ask(&job).await,
+                    false => caller.query(&job).await,
                 }
             }));
         }
         let operators = self.operators.clone();
         let Caller {
-            entries, promise, ..
+            entries, checker, ..
         } = self.caller.clone();
         self.tasks.push(tokio::spawn(async move {
             let entry = entries[fastrand::usize(..entries.len())];
-            operators.probe(entry, &promise).await;
+            operators.probe(entry, &checker).await;
         }));
         self.tasks.retain(|task| !task.is_finished());
-        tokio::time::sleep(ROUND).await;
+        tokio::time::sleep(ROUND_INTERVAL).await;
         Ok(())
     }
 
-    fn pick(&mut self, open: &[JobId]) -> Option<JobId> {
+    /// Returns a random open job, if there is one.
+    fn pick_job(&mut self, open: &[JobId]) -> Option<JobId> {
         match open.len() {
             0 => None,
-            jobs => Some(open[self.random.usize(..jobs)].clone()),
+            jobs => Some(open[self.caller_random.usize(..jobs)].clone()),
         }
     }
 
-    /// Waits until every accepted job has ended; returns how long it took.
+    /// Waits without faults until every accepted job has ended; returns the
+    /// time this took, or `None` after the timeout.
     async fn settle(&mut self) -> eyre::Result<Option<Duration>> {
-        let began = Instant::now();
-        while began.elapsed() < SETTLE {
-            self.round(false).await?;
-            for job in self.caller.promise.open() {
-                self.caller.ask(&job).await;
+        let start = Instant::now();
+        while start.elapsed() < SETTLE_TIMEOUT {
+            self.run_round(false).await?;
+            for job in self.caller.checker.open_jobs() {
+                self.caller.query(&job).await;
             }
-            if self.caller.promise.open().is_empty() {
-                return Ok(Some(began.elapsed()));
+            if self.caller.checker.open_jobs().is_empty() {
+                return Ok(Some(start.elapsed()));
             }
         }
         Ok(None)
@@ -336,17 +353,20 @@
 
     fn report(&mut self, settled: Option<Duration>) -> Report {
         self.tasks.iter().for_each(JoinHandle::abort);
-        self.jobs = self.caller.promise.open();
-        let lost = self.jobs.iter().map(|job| format!("LOST: {job} is open"));
-        let mut broken = self.caller.promise.broken();
-        broken.extend(lost);
+        self.unfinished = self.caller.checker.open_jobs();
+        let lost = self
+            .unfinished
+            .iter()
+            .map(|job| format!("LOST: {job} has not ended"));
+        let mut violations = self.caller.checker.violations();
+        violations.extend(lost);
         Report {
-            seed: self.plan.seed,
-            faults: self.faults.clone(),
-            seen: self.caller.promise.counts(),
+            seed: self.config.seed,
+            faults: self.fault_counts.clone(),
+            seen: self.caller.checker.counts(),
             store_calls: self.store.calls(),
             settled_ms: settled.map(|time| time.as_millis() as u64),
-            broken,
+            broken: violations,
         }
     }
 }
--- a/crates/landingvalve-soak/src/store.rs
+++ b/crates/landingvalve-soak/src/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's store, with the faults that it may have.
+//! A stand-in for the platform's store, with faults on demand.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -21,31 +21,31 @@
 
 use crate::lock;
 
-/// How often a waiting watch looks for events.
-const LOOK: Duration = Duration::from_millis(5);
-/// How long an answer takes on a good day.
-const ANSWER: Duration = Duration::from_millis(2);
-/// The longest body of a call, in bytes.
-const MAX_BODY: usize = 2 << 20;
-/// How many events are remembered.
-const HISTORY: usize = 20_000;
+/// How often a watch without events checks for new ones.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The response time of the store without a fault.
+const RESPONSE_TIME: Duration = Duration::from_millis(2);
+/// The limit of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 2 << 20;
+/// The number of events kept in the history.
+const MAX_HISTORY_EVENTS: usize = 20_000;
 
-/// How the store fares.
+/// The behavior of the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
-    /// It answers.
-    Good,
-    /// It turns every call away: nothing is done.
-    Busy,
-    /// It says nothing.
-    Silent,
-    /// Each answer takes so long.
+    /// Every call is processed.
+    Healthy,
+    /// Every call is refused without effect.
+    Unavailable,
+    /// No call gets a response, and none has an effect.
+    Unresponsive,
+    /// Every response takes this long.
     Slow(Duration),
-    /// This share of the writes is done and not answered.
-    Lossy(f64),
-    /// This share of the writes is not answered, and done seconds later if
-    /// its condition then holds.
-    Late(f64),
+    /// This share of the transactions takes effect without a response.
+    LosesReplies(f64),
+    /// This share of the transactions gets no response and is executed
+    /// seconds later, if its conditions hold by then.
+    DelaysWrites(f64),
 }
 
 #[derive(Clone, Debug, Serialize)]
@@ -53,36 +53,40 @@
     #[serde(rename = "tlsKey")]
     key: String,
     value: String,
+    /// The revision of the last write.
     rev: u64,
-    made: u64,
+    /// The revision at which the key was created.
+    #[serde(rename = "made")]
+    created_rev: u64,
     lease: u64,
 }
 
 #[derive(Clone, Debug)]
 enum Event {
     Written(Row),
-    Gone(String, u64),
+    /// A deleted key, and the revision of the deletion.
+    Deleted(String, u64),
 }
 
 impl Event {
     fn rev(&self) -> u64 {
         match self {
             Event::Written(row) => row.rev,
-            Event::Gone(_, rev) => *rev,
+            Event::Deleted(_, rev) => *rev,
         }
     }
 
     fn key(&self) -> &str {
         match self {
             Event::Written(row) => &row.key,
-            Event::Gone(key, _) => key,
+            Event::Deleted(key, _) => key,
         }
     }
 
     fn json(&self) -> Value {
         match self {
             Event::Written(row) => json!(row),
-            Event::Gone(key, rev) => {
+            Event::Deleted(key, rev) => {
                 json!({"tlsKey": key, "rev": rev, "gone": true})
             }
         }
@@ -91,22 +95,23 @@
 
 struct Lease {
     ttl: Duration,
-    until: Instant,
+    expires_at: Instant,
 }
 
-struct Data {
+struct State {
     mode: Mode,
     random: fastrand::Rng,
     rev: u64,
     rows: BTreeMap<String, Row>,
     leases: HashMap<u64, Lease>,
+    /// The history of events, oldest first.
     events: Vec<Event>,
-    /// Up to this revision the history is forgotten.
-    forgotten: u64,
+    /// The last revision whose events are no longer in the history.
+    discarded_rev: u64,
     calls: u64,
 }
 
-/// A transaction as it is sent.
+/// The request body of a transaction.
 #[derive(Clone, Debug, Deserialize)]
 struct Txn {
     #[serde(rename = "expectedRev", default)]
@@ -133,71 +138,74 @@
     lease: u64,
 }
 
-/// The store.
+/// The store; clones share its state.
 #[derive(Clone)]
-pub struct Store(Arc<Mutex<Data>>);
+pub struct Store(Arc<Mutex<State>>);
 
 impl Store {
-    /// Returns an empty store whose faults are drawn by a seed.
+    /// Returns an empty store; the seed determines which transactions a
+    /// faulty mode affects.
     pub fn new(seed: u64) -> Store {
-        Store(Arc::new(Mutex::new(Data {
-            mode: Mode::Good,
+        Store(Arc::new(Mutex::new(State {
+            mode: Mode::Healthy,
             random: fastrand::Rng::with_seed(seed),
             rev: 1,
             rows: BTreeMap::new(),
             leases: HashMap::new(),
             events: Vec::new(),
-            forgotten: 0,
+            discarded_rev: 0,
             calls: 0,
         })))
     }
 
-    /// Sets how the store fares from now on.
-    pub fn set(&self, mode: Mode) {
+    /// Sets the behavior of the store from now on.
+    pub fn set_mode(&self, mode: Mode) {
         lock(&self.0).mode = mode;
     }
 
-    /// Forgets the history.
+    /// Discards the history: a watch from an earlier revision fails.
     pub fn discard_history(&self) {
-        let mut data = lock(&self.0);
-        data.forgotten = data.rev;
-        data.events.clear();
+        let mut state = lock(&self.0);
+        state.discarded_rev = state.rev;
+        state.events.clear();
     }
 
-    /// Returns how many calls came.
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> u64 {
         lock(&self.0).calls
     }
 
-    /// Writes as operators do: whatever the mode, and under any key; returns
-    /// the revision.
+    /// Writes a key as operators do, regardless of the mode; returns the
+    /// revision.
     pub fn write(&self, key: &str, value: String) -> u64 {
         let put = Put {
             key: key.to_owned(),
             value,
             lease: 0,
         };
-        let mut data = lock(&self.0);
-        data.apply(&[put], &[]);
-        data.rev
+        let mut state = lock(&self.0);
+        state.apply(&[put], &[]);
+        state.rev
     }
 }
 
-impl Data {
-    fn expire(&mut self) {
+impl State {
+    /// Ends the expired leases.
+    fn expire_leases(&mut self) {
         let now = Instant::now();
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, lease)| lease.until <= now)
+            .filter(|(_, lease)| lease.expires_at <= now)
             .map(|(id, _)| *id)
             .collect();
-        for lease in over {
-            self.end(lease);
+        for lease in expired {
+            self.end_lease(lease);
         }
     }
 
-    fn end(&mut self, lease: u64) {
+    /// Ends a lease and deletes its keys.
+    fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let keys: Vec<String> = self
             .rows
@@ -210,16 +218,18 @@
         }
     }
 
+    /// Writes and removes keys at the next revision.
     fn apply(&mut self, puts: &[Put], removed: &[String]) {
         self.rev += 1;
         let rev = self.rev;
         for put in puts {
-            let made = self.rows.get(&put.key).map_or(rev, |row| row.made);
+            let created_rev =
+                self.rows.get(&put.key).map_or(rev, |row| row.created_rev);
             let row = Row {
                 key: put.key.clone(),
                 value: put.value.clone(),
                 rev,
-                made,
+                created_rev,
                 lease: put.lease,
             };
             self.rows.insert(put.key.clone(), row.clone());
@@ -227,17 +237,19 @@
         }
         for key in removed {
             if self.rows.remove(key).is_some() {
-                self.events.push(Event::Gone(key.clone(), rev));
+                self.events.push(Event::Deleted(key.clone(), rev));
             }
         }
-        let more = self.events.len().saturating_sub(HISTORY);
-        for event in self.events.drain(..more) {
-            self.forgotten = self.forgotten.max(event.rev());
+        let excess = self.events.len().saturating_sub(MAX_HISTORY_EVENTS);
+        for event in self.events.drain(..excess) {
+            self.discarded_rev = self.discarded_rev.max(event.rev());
         }
     }
 
+    /// Executes a transaction. If a condition doesn't hold, the response lists
+    /// the rows of the keys with conditions.
     fn txn(&mut self, txn: &Txn) -> Response {
-        self.expire();
+        self.expire_leases();
         let current = |expected: &Expected| {
             self.rows.get(&expected.key).map_or(0, |row| row.rev)
         };
@@ -250,9 +262,9 @@
             let status = StatusCode::PRECONDITION_FAILED;
             return http::json(status, &json!({ "items": items }));
         }
-        let leased =
+        let has_valid_lease =
             |put: &Put| put.lease == 0 || self.leases.contains_key(&put.lease);
-        if !txn.put.iter().all(leased) {
+        if !txn.put.iter().all(has_valid_lease) {
             return http::text(StatusCode::NOT_FOUND, "no such lease");
         }
         self.apply(&txn.put, &txn.remove);
@@ -264,11 +276,12 @@
     http::json(StatusCode::OK, value)
 }
 
-/// Says nothing until the caller gives up.
-async fn silence() -> Response {
+/// Sends no response until the client gives up.
+async fn no_response() -> Response {
     std::future::pending().await
 }
 
+/// Returns the decoded parameters of a request's query.
 fn query(request: &Request) -> HashMap<String, String> {
     let query = request.uri().query().unwrap_or_default();
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -283,18 +296,18 @@
 impl Handler for Store {
     async fn handle(&self, request: Request) -> Response {
         let mode = {
-            let mut data = lock(&self.0);
-            data.calls += 1;
-            data.mode
+            let mut state = lock(&self.0);
+            state.calls += 1;
+            state.mode
         };
         match mode {
-            Mode::Silent => return silence().await,
-            Mode::Busy => {
+            Mode::Unresponsive => return no_response().await,
+            Mode::Unavailable => {
                 let status = StatusCode::SERVICE_UNAVAILABLE;
                 return http::text(status, "nothing was done");
             }
             Mode::Slow(time) => tokio::time::sleep(time).await,
-            _ => tokio::time::sleep(ANSWER).await,
+            _ => tokio::time::sleep(RESPONSE_TIME).await,
         }
         let path = request.uri().path().to_owned();
         let query = query(&request);
@@ -311,38 +324,42 @@
                 self.watch(&prefix, number("dependsOn"), wait).await
             }
             (Method::POST, "/api/kv-txn") => self.txn(request, mode).await,
-            (Method::POST, "/api/kv-lease") => self.lease(request).await,
-            (method, path) => self.keep(&method, path),
+            (Method::POST, "/api/kv-lease") => self.grant_lease(request).await,
+            (method, path) => self.renew_or_end_lease(&method, path),
         }
     }
 }
 
 impl Store {
     fn key(&self, key: &str) -> Response {
-        let mut data = lock(&self.0);
-        data.expire();
-        match data.rows.get(key) {
+        let mut state = lock(&self.0);
+        state.expire_leases();
+        match state.rows.get(key) {
             Some(row) => {
                 let mut value = json!(row);
-                value["at"] = json!(data.rev);
+                value["at"] = json!(state.rev);
                 ok(&value)
             }
             None => http::text(StatusCode::NOT_FOUND, "no such key"),
         }
     }
 
-    fn range(&self, prefix: &str, from: &str) -> Response {
-        let mut data = lock(&self.0);
-        data.expire();
-        let rows = data.rows.range(from.to_owned()..);
+    /// Returns a page of the rows whose keys start with `prefix` and follow
+    /// the key `after`.
+    fn range(&self, prefix: &str, after: &str) -> Response {
+        let mut state = lock(&self.0);
+        state.expire_leases();
+        let rows = state.rows.range(after.to_owned()..);
         let rows = rows.map(|(_, row)| row);
         let mut rows =
-            rows.filter(|row| row.key.starts_with(prefix) && row.key != from);
+            rows.filter(|row| row.key.starts_with(prefix) && row.key != after);
         let items: Vec<&Row> = rows.by_ref().take(500).collect();
         let more = rows.next().is_some();
-        ok(&json!({"items": items, "more": more, "at": data.rev}))
+        ok(&json!({"items": items, "more": more, "at": state.rev}))
     }
 
+    /// Returns the events below a prefix that follow the revision `after`, as
+    /// soon as there are any or once `wait` is over.
     async fn watch(
         &self,
         prefix: &str,
@@ -352,78 +369,80 @@
         let deadline = Instant::now() + wait;
         loop {
             {
-                let mut data = lock(&self.0);
-                data.expire();
-                if after < data.forgotten {
+                let mut state = lock(&self.0);
+                state.expire_leases();
+                if after < state.discarded_rev {
                     return http::text(StatusCode::GONE, "forgotten");
                 }
-                let news = data.events.iter().filter(|event| {
+                let new_events = state.events.iter().filter(|event| {
                     event.rev() > after && event.key().starts_with(prefix)
                 });
-                let events: Vec<Value> = news.map(Event::json).collect();
+                let events: Vec<Value> = new_events.map(Event::json).collect();
                 if !events.is_empty() || Instant::now() >= deadline {
-                    return ok(&json!({"events": events, "at": data.rev}));
+                    return ok(&json!({"events": events, "at": state.rev}));
                 }
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(WATCH_POLL_INTERVAL).await;
         }
     }
 
     async fn txn(&self, request: Request, mode: Mode) -> Response {
-        let txn: Txn = match body(request).await {
+        let txn: Txn = match parse_body(request).await {
             Ok(txn) => txn,
             Err(response) => return response,
         };
-        let lost = |share| lock(&self.0).random.f64() < share;
+        let is_affected = |share| lock(&self.0).random.f64() < share;
         match mode {
-            Mode::Lossy(share) if lost(share) => {
+            Mode::LosesReplies(share) if is_affected(share) => {
                 drop(lock(&self.0).txn(&txn));
-                silence().await
+                no_response().await
             }
-            Mode::Late(share) if lost(share) => {
+            Mode::DelaysWrites(share) if is_affected(share) => {
                 let store = self.clone();
                 let ms = lock(&self.0).random.u64(500..4000);
                 tokio::spawn(async move {
                     tokio::time::sleep(Duration::from_millis(ms)).await;
                     drop(lock(&store.0).txn(&txn));
                 });
-                silence().await
+                no_response().await
             }
             _ => lock(&self.0).txn(&txn),
         }
     }
 
-    async fn lease(&self, request: Request) -> Response {
+    async fn grant_lease(&self, request: Request) -> Response {
         #[derive(Deserialize)]
-        struct Wanted {
+        struct LeaseRequest {
             ttl_ms: u64,
         }
-        let wanted: Wanted = match body(request).await {
-            Ok(wanted) => wanted,
+        let lease_request: LeaseRequest = match parse_body(request).await {
+            Ok(lease_request) => lease_request,
             Err(response) => return response,
         };
-        let mut data = lock(&self.0);
-        data.rev += 1;
-        let lease = data.rev;
-        let ttl = Duration::from_millis(wanted.ttl_ms);
-        let until = Instant::now() + ttl;
-        data.leases.insert(lease, Lease { ttl, until });
-        ok(&json!({"lease": lease, "ttl_ms": wanted.ttl_ms}))
+        let mut state = lock(&self.0);
+        state.rev += 1;
+        let lease = state.rev;
+        let ttl = Duration::from_millis(lease_request.ttl_ms);
+        let expires_at = Instant::now() + ttl;
+        state.leases.insert(lease, Lease { ttl, expires_at });
+        ok(&json!({"lease": lease, "ttl_ms": lease_request.ttl_ms}))
     }
 
-    fn keep(&self, method: &Method, path: &str) -> Response {
-        let mut data = lock(&self.0);
-        data.expire();
+    /// Renews the lease named by the last segment of the path, or ends the
+    /// lease if the method is not POST.
+    fn renew_or_end_lease(&self, method: &Method, path: &str) -> Response {
+        let mut state = lock(&self.0);
+        state.expire_leases();
         let id = path.rsplit('/').next().and_then(|id| id.parse().ok());
         let id: u64 = id.unwrap_or(0);
-        match data.leases.get_mut(&id) {
+        match state.leases.get_mut(&id) {
             Some(lease) if *method == Method::POST => {
-                lease.until = Instant::now() + lease.ttl;
+                lease.expires_at = Instant::now() + lease.ttl;
                 let ttl = lease.ttl.as_millis() as u64;
                 ok(&json!({ "ttl_ms": ttl }))
             }
             Some(_) => {
-                data.end(id);
+                state.end_lease(id);
                 ok(&json!({}))
             }
             None => http::text(StatusCode::NOT_FOUND, "no such lease"),
@@ -431,11 +450,15 @@
     }
 }
 
-async fn body<T: serde::de::DeserializeOwned>(
+/// Reads and parses the body of a request; the error is the response to a
+/// bad request.
+async fn parse_body<T: serde::de::DeserializeOwned>(
     request: Request,
 ) -> Result<T, Response> {
-    let wrong = |error: String| http::text(StatusCode::BAD_REQUEST, error);
-    let body = http::read(request, MAX_BODY).await;
-    let body = body.map_err(|error| wrong(error.to_string()))?;
-    serde_json::from_slice(&body).map_err(|error| wrong(error.to_string()))
+    let bad_request =
+        |error: String| http::text(StatusCode::BAD_REQUEST, error);
+    let body = http::read(request, MAX_BODY_BYTES).await;
+    let body = body.map_err(|error| bad_request(error.to_string()))?;
+    serde_json::from_slice(&body)
+        .map_err(|error| bad_request(error.to_string()))
 }
--- a/crates/landingvalve-soak/src/worker.rs
+++ b/crates/landingvalve-soak/src/worker.rs
@@ -1,5 +1,5 @@
-//! A stand-in of a worker: it runs tasks under a lease, reports to the agent
-//! beside it, and fails on demand.
+//! A stand-in for a worker, which simulates tasks under a lease and sends
+//! heartbeats to its agent, with faults on demand.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,72 +19,80 @@
 use serde_json::Value;
 use tokio::time::Instant;
 
+use crate::invariants::Checker;
+use crate::invariants::Life;
+use crate::invariants::TaskId;
 use crate::lock;
-use crate::promise::Life;
-use crate::promise::Promise;
-use crate::promise::TaskId;
-
-/// How often a worker reports.
-const HEARTBEAT: Duration = Duration::from_millis(500);
-/// How often what runs is looked after.
-const TICK: Duration = Duration::from_millis(10);
-/// How long a report may take.
-const CALL: Duration = Duration::from_millis(1000);
-/// The longest lease that is taken, in ms.
-const LEASE_MS: u64 = 6000;
-/// The accelerators of a worker.
+
+/// How often a worker sends a heartbeat.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// How often running tasks, and polls that wait, are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The timeout of a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// The longest lease that a worker accepts, in ms.
+const MAX_LEASE_MS: u64 = 6000;
+/// The number of accelerators of a worker.
 pub const ACCELERATORS: i64 = 8;
-/// The longest body of a call, in bytes.
-const MAX_BODY: usize = 1 << 16;
+/// The limit of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 1 << 16;
 
-/// How a worker fares.
+/// The behavior of a worker; the default is a worker without faults.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Mode {
-    /// This share of the orders is not answered and carried out later.
-    pub late: f64,
-    /// Everything that runs fails.
+    /// The share of the orders and polls that get no response and are executed
+    /// seconds later.
+    pub late_share: f64,
+    /// Whether tasks that end now fail.
     pub fails: bool,
-    /// It neither reports nor answers, and runs on.
-    pub cut: bool,
+    /// Whether the worker neither sends heartbeats nor responds; its tasks
+    /// continue.
+    pub unreachable: bool,
 }
 
 struct Running {
     run: u32,
     accelerators: i64,
-    until: Instant,
+    ends_at: Instant,
 }
 
 struct Ended {
     number: u64,
     task: TaskId,
     run: u32,
-    how: &'static str,
+    outcome: &'static str,
 }
 
-struct Data {
+struct State {
     mode: Mode,
     random: fastrand::Rng,
     name: String,
-    /// Whether it starts again under the name that it had.
+    /// Whether every life has the same name.
     keeps_name: bool,
+    /// The number of lives so far, which is the number of the present life.
     lives: u32,
-    /// When this life began, in ms since 1970.
-    born: u64,
-    began: Instant,
+    /// The birth of this life, in ms since 1970.
+    birth_ms: u64,
+    life_start: Instant,
+    /// The number of the last heartbeat in this life.
     sequence: u64,
-    token: u64,
-    leased: Instant,
+    /// The highest fencing token in this life.
+    fencing_token: u64,
+    lease_expiry: Instant,
     running: BTreeMap<TaskId, Running>,
+    /// The ends that have not been acknowledged.
     ended: Vec<Ended>,
-    number: u64,
-    /// Ends up to this number came before the lease last ran out: by the
-    /// users' rules they do not count as noted later.
-    lapsed: u64,
+    /// The number of the last end.
+    last_end: u64,
+    /// The number of the last end before the lease last expired. By the users'
+    /// rules, ends up to this number do not count as acknowledged later.
+    last_end_before_expiry: u64,
+    /// The highest run of each task that must not be started again.
     barred: BTreeMap<TaskId, u32>,
-    promise: Promise,
+    checker: Checker,
 }
 
-/// An order, or a look.
+/// The request body of an order or a poll.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Order {
@@ -103,233 +111,251 @@
     wait_ms: u64,
 }
 
-/// What a task is told: how many ms it runs, and its accelerators.
+/// Returns the specification of a task with a run time in ms and a number of
+/// accelerators.
 pub fn spec(ms: u64, accelerators: i64) -> String {
     format!("{ms} {accelerators}")
 }
 
-fn present_ms() -> u64 {
-    let since = std::time::SystemTime::UNIX_EPOCH.elapsed();
-    since.unwrap_or_default().as_millis() as u64
+/// Returns the present time in ms since 1970.
+fn unix_ms() -> u64 {
+    let elapsed = std::time::SystemTime::UNIX_EPOCH.elapsed();
+    elapsed.unwrap_or_default().as_millis() as u64
 }
 
-/// A worker.
+/// A worker; clones share its state.
 #[derive(Clone)]
-pub struct Worker(Arc<Mutex<Data>>);
+pub struct Worker(Arc<Mutex<State>>);
 
 impl Worker {
-    /// Returns a worker that runs nothing; its faults are drawn by a seed.
-    pub fn new(name: &str, seed: u64, promise: Promise) -> Worker {
+    /// Returns a worker without tasks. The seed determines which calls a fault
+    /// delays; with an even seed every life has the same name.
+    pub fn new(name: &str, seed: u64, checker: Checker) -> Worker {
         let now = Instant::now();
-        Worker(Arc::new(Mutex::new(Data {
+        Worker(Arc::new(Mutex::new(State {
             mode: Mode::default(),
             random: fastrand::Rng::with_seed(seed),
             name: name.to_owned(),
             keeps_name: seed % 2 == 0,
             lives: 1,
-            born: present_ms(),
-            began: now,
+            birth_ms: unix_ms(),
+            life_start: now,
             sequence: 0,
-            token: 0,
-            leased: now,
+            fencing_token: 0,
+            lease_expiry: now,
             running: BTreeMap::new(),
             ended: Vec::new(),
-            number: 0,
-            lapsed: 0,
+            last_end: 0,
+            last_end_before_expiry: 0,
             barred: BTreeMap::new(),
-            promise,
+            checker,
         })))
     }
 
-    /// Sets how the worker fares from now on.
-    pub fn set(&self, mode: Mode) {
+    /// Sets the behavior of the worker from now on.
+    pub fn set_mode(&self, mode: Mode) {
         lock(&self.0).mode = mode;
     }
 
-    /// Ends this life, with all that runs; another begins at once.
+    /// Ends this life with all its tasks, and begins another at once.
     pub fn crash(&self) {
-        let mut data = lock(&self.0);
-        let life = data.life();
-        for task in data.running.keys() {
-            data.promise.ends(task, &life, false);
+        let mut state = lock(&self.0);
+        let life = state.life();
+        for task in state.running.keys() {
+            state.checker.record_end(task, &life, false);
         }
-        data.running.clear();
-        data.ended.clear();
-        data.barred.clear();
-        data.number = 0;
-        data.lapsed = 0;
-        data.token = 0;
-        data.sequence = 0;
-        data.lives += 1;
-        // Two births may fall in one millisecond, but differ.
-        data.born = present_ms().max(data.born + 1);
-        data.began = Instant::now();
+        state.running.clear();
+        state.ended.clear();
+        state.barred.clear();
+        state.last_end = 0;
+        state.last_end_before_expiry = 0;
+        state.fencing_token = 0;
+        state.sequence = 0;
+        state.lives += 1;
+        // Births must differ even if two fall into the same millisecond.
+        state.birth_ms = unix_ms().max(state.birth_ms + 1);
+        state.life_start = Instant::now();
     }
 
-    /// Looks after what runs, for ever.
-    pub async fn work(self) {
-        let mut tick = tokio::time::interval(TICK);
+    /// Ends tasks when they are due, forever.
+    pub async fn run_tasks(self) {
+        let mut tick = tokio::time::interval(POLL_INTERVAL);
         loop {
             tick.tick().await;
-            lock(&self.0).work(Instant::now());
+            lock(&self.0).update_tasks(Instant::now());
         }
     }
 
-    /// Reports to the agent at `agent`, for ever.
-    pub async fn report(self, http: http::Client, agent: SocketAddr) {
-        let mut beat = tokio::time::interval(HEARTBEAT);
+    /// Sends heartbeats to the agent at an address, forever.
+    pub async fn send_heartbeats(self, http: http::Client, agent: SocketAddr) {
+        let mut ticks = tokio::time::interval(HEARTBEAT_INTERVAL);
         loop {
-            beat.tick().await;
-            let (name, account) = {
-                let mut data = lock(&self.0);
-                if data.mode.cut {
+            ticks.tick().await;
+            let (name, heartbeat) = {
+                let mut state = lock(&self.0);
+                if state.mode.unreachable {
                     continue;
                 }
-                (data.called(), data.account())
+                (state.current_name(), state.heartbeat())
             };
             let url = format!("http://{agent}/api/pool/{name}");
-            let deadline = Instant::now() + CALL;
-            let body = account.to_string();
+            let deadline = Instant::now() + HEARTBEAT_TIMEOUT;
+            let body = heartbeat.to_string();
             let headers = HeaderMap::new();
-            // An agent that is down is told again half a second later.
+            // If the agent is down, the next heartbeat follows in half a
+            // second.
             let _ =
                 http.call(Method::PUT, &url, headers, body, deadline).await;
         }
     }
 }
 
-impl Data {
+impl State {
+    /// Returns the name of the present life.
     fn life(&self) -> Life {
         format!("{}-{}", self.name, self.lives)
     }
 
-    /// Returns the name that it is called by: perhaps that of earlier lives.
-    fn called(&self) -> String {
+    /// Returns the name that the worker reports to the agent, which may be
+    /// that of earlier lives.
+    fn current_name(&self) -> String {
         match self.keeps_name {
             true => self.name.clone(),
             false => self.life(),
         }
     }
 
-    fn time(&self) -> u64 {
-        1000 + self.began.elapsed().as_millis() as u64
+    /// Returns the time of the worker's own clock, in ms.
+    fn clock_ms(&self) -> u64 {
+        1000 + self.life_start.elapsed().as_millis() as u64
     }
 
-    fn account(&mut self) -> Value {
+    /// Returns the body of the next heartbeat.
+    fn heartbeat(&mut self) -> Value {
         self.sequence += 1;
         json!({
             "service": "pool", "address": "127.0.0.1:1", "zone": "hall",
             "version": "v1", "slots": 8, "state": "ready", "coldLeftMs": 0,
             "capacity": {"cpu": 64000, "memMb": 100_000,
                          "gpu": ACCELERATORS},
-            "labels": ["a", "r1"], "currentTimeMs": self.time(),
-            "sequence": self.sequence, "born": self.born,
+            "labels": ["a", "r1"], "currentTimeMs": self.clock_ms(),
+            "sequence": self.sequence, "born": self.birth_ms,
         })
     }
 
-    fn work(&mut self, now: Instant) {
-        let lapsed = now >= self.leased;
+    /// Ends the tasks that are due, and all tasks if the lease has expired.
+    fn update_tasks(&mut self, now: Instant) {
+        let lease_expired = now >= self.lease_expiry;
         let fails = self.mode.fails;
-        let over: Vec<TaskId> = self
+        let due: Vec<TaskId> = self
             .running
             .iter()
-            .filter(|(_, running)| lapsed || now >= running.until)
+            .filter(|(_, running)| lease_expired || now >= running.ends_at)
             .map(|(task, _)| task.clone())
             .collect();
-        for task in over {
-            let how = match (lapsed, fails) {
+        for task in due {
+            let outcome = match (lease_expired, fails) {
                 (true, _) => "lapsed",
                 (false, true) => "failed",
                 (false, false) => "done",
             };
-            self.end(&task, how);
+            self.end_task(&task, outcome);
         }
-        if lapsed {
-            self.lapsed = self.number;
+        if lease_expired {
+            self.last_end_before_expiry = self.last_end;
         }
     }
 
-    fn end(&mut self, task: &str, how: &'static str) {
+    fn end_task(&mut self, task: &str, outcome: &'static str) {
         let Some(running) = self.running.remove(task) else {
             return;
         };
-        self.number += 1;
+        self.last_end += 1;
         self.barred.insert(task.to_owned(), running.run);
-        self.promise.ends(task, &self.life(), how == "done");
+        self.checker
+            .record_end(task, &self.life(), outcome == "done");
         self.ended.push(Ended {
-            number: self.number,
+            number: self.last_end,
             task: task.to_owned(),
             run: running.run,
-            how,
+            outcome,
         });
     }
 
-    fn lease(&mut self, expires: Option<u64>) {
-        let Some(expires) = expires else {
+    /// Extends the lease up to a time of the worker's clock, in ms, within the
+    /// longest accepted lease.
+    fn extend_lease(&mut self, expires_at_ms: Option<u64>) {
+        let Some(expires_at_ms) = expires_at_ms else {
             return;
         };
-        let ms = expires.saturating_sub(self.time()).min(LEASE_MS);
-        let until = Instant::now() + Duration::from_millis(ms);
-        self.leased = self.leased.max(until);
+        let ms = expires_at_ms
+            .saturating_sub(self.clock_ms())
+            .min(MAX_LEASE_MS);
+        let expiry = Instant::now() + Duration::from_millis(ms);
+        self.lease_expiry = self.lease_expiry.max(expiry);
     }
 
-    fn answer(&self) -> Response {
-        let time = json!({ "currentTimeMs": self.time() });
+    fn accept(&self) -> Response {
+        let time = json!({ "currentTimeMs": self.clock_ms() });
         http::json(StatusCode::OK, &time)
     }
 
     fn refuse(&self, reason: &str) -> Response {
-        let body = json!({"currentTimeMs": self.time(), "reason": reason});
+        let body = json!({"currentTimeMs": self.clock_ms(), "reason": reason});
         http::json(StatusCode::CONFLICT, &body)
     }
 
+    /// Starts a task unless the order is too late or too old, or there is no
+    /// room; `late` if a fault delayed the order.
     fn start(&mut self, order: &Order, late: bool) -> Response {
-        let same = |running: &Running| running.run == order.run;
-        let expires = order.expires_at_ms.unwrap_or(0);
-        if expires <= self.time() {
+        let is_same_run = |running: &Running| running.run == order.run;
+        let expires_at_ms = order.expires_at_ms.unwrap_or(0);
+        if expires_at_ms <= self.clock_ms() {
             return self.refuse("late");
         }
-        self.lease(order.expires_at_ms);
-        if self.running.get(&order.task).is_some_and(same) {
-            return self.answer();
+        self.extend_lease(order.expires_at_ms);
+        if self.running.get(&order.task).is_some_and(is_same_run) {
+            return self.accept();
         }
         let barred = self.barred.get(&order.task).copied().unwrap_or(0);
         if order.run <= barred || self.running.contains_key(&order.task) {
             return self.refuse("old");
         }
-        let mut told = order.spec.split(' ');
-        let mut next = || told.next().and_then(|n| n.parse().ok());
+        let mut numbers = order.spec.split(' ');
+        let mut next = || numbers.next().and_then(|n| n.parse().ok());
         let ms: u64 = next().unwrap_or(100);
         let accelerators = next().unwrap_or(1) as i64;
         let used: i64 = self.running.values().map(|r| r.accelerators).sum();
         if used + accelerators > ACCELERATORS {
             return self.refuse("room");
         }
-        self.promise.starts(&order.task, &self.life(), late);
+        self.checker.record_start(&order.task, &self.life(), late);
         let running = Running {
             run: order.run,
             accelerators,
-            until: Instant::now() + Duration::from_millis(ms),
+            ends_at: Instant::now() + Duration::from_millis(ms),
         };
         self.running.insert(order.task.clone(), running);
-        self.answer()
+        self.accept()
     }
 
+    /// Stops a task, and bars its runs up to that of the order.
     fn stop(&mut self, order: &Order) -> Response {
         let running = self.running.get(&order.task);
         if running.is_some_and(|running| running.run <= order.run) {
-            self.end(&order.task, "stopped");
+            self.end_task(&order.task, "stopped");
         }
         let barred = self.barred.entry(order.task.clone()).or_default();
         *barred = (*barred).max(order.run);
-        self.answer()
+        self.accept()
     }
 
-    fn obey(&mut self, path: &str, order: &Order, late: bool) -> Response {
-        if order.fencing_token < self.token {
+    /// Executes an order unless its fencing token is out of date.
+    fn execute(&mut self, path: &str, order: &Order, late: bool) -> Response {
+        if order.fencing_token < self.fencing_token {
             return self.refuse("fence");
         }
-        self.token = order.fencing_token;
+        self.fencing_token = order.fencing_token;
         match path {
             "/api/run-start" => self.start(order, late),
             "/api/run-stop" => self.stop(order),
@@ -337,28 +363,32 @@
         }
     }
 
-    /// Takes a look in; returns whether it has something to tell at once,
-    /// or `None` if its token is too low.
-    fn look(&mut self, order: &Order) -> Option<bool> {
-        if order.fencing_token < self.token {
+    /// Applies the lease and the acknowledgments of a poll. Returns whether
+    /// there are ends to report at once, or `None` if the fencing token is out
+    /// of date.
+    fn poll(&mut self, order: &Order) -> Option<bool> {
+        if order.fencing_token < self.fencing_token {
             return None;
         }
-        self.token = order.fencing_token;
-        self.lease(order.expires_at_ms);
-        let (noted, left) = std::mem::take(&mut self.ended)
+        self.fencing_token = order.fencing_token;
+        self.extend_lease(order.expires_at_ms);
+        let (acknowledged, remaining) = std::mem::take(&mut self.ended)
             .into_iter()
             .partition(|end| end.number <= order.last_seen);
-        self.ended = left;
-        let noted: Vec<Ended> = noted;
-        let counts =
-            |end: &&Ended| end.how == "done" && end.number > self.lapsed;
-        for end in noted.iter().filter(counts) {
-            self.promise.noted(&end.task);
+        self.ended = remaining;
+        let acknowledged: Vec<Ended> = acknowledged;
+        let counts = |end: &&Ended| {
+            end.outcome == "done" && end.number > self.last_end_before_expiry
+        };
+        for end in acknowledged.iter().filter(counts) {
+            self.checker.record_acknowledged_end(&end.task);
         }
         Some(!self.ended.is_empty())
     }
 
-    fn lists(&self) -> Response {
+    /// Returns the response to a poll: the running tasks, and the ends that
+    /// have not been acknowledged.
+    fn snapshot(&self) -> Response {
         let running: Vec<Value> = self
             .running
             .iter()
@@ -367,9 +397,9 @@
         let finished: Vec<Value> = self
             .ended
             .iter()
-            .map(|e| json!([e.number, e.task, e.run, e.how, ""]))
+            .map(|e| json!([e.number, e.task, e.run, e.outcome, ""]))
             .collect();
-        let body = json!({"currentTimeMs": self.time(), "born": self.born,
+        let body = json!({"currentTimeMs": self.clock_ms(), "born": self.birth_ms,
                           "running": running, "finished": finished});
         http::json(StatusCode::OK, &body)
     }
@@ -378,82 +408,87 @@
 impl Handler for Worker {
     async fn handle(&self, request: Request) -> Response {
         let path = request.uri().path().to_owned();
-        let meant = request.headers().get("expected-instance");
-        let meant = meant.and_then(|life| life.to_str().ok());
-        let meant = meant.unwrap_or_default().to_owned();
-        let body = http::read(request, MAX_BODY).await;
+        let expected_name = request.headers().get("expected-instance");
+        let expected_name = expected_name.and_then(|name| name.to_str().ok());
+        let expected_name = expected_name.unwrap_or_default().to_owned();
+        let body = http::read(request, MAX_BODY_BYTES).await;
         let order = body.ok().and_then(|b| serde_json::from_slice(&b).ok());
         let Some(order): Option<Order> = order else {
             return http::text(StatusCode::BAD_REQUEST, "no order");
         };
-        let (cut, late) = {
-            let mut data = lock(&self.0);
-            let share = data.mode.late;
-            (data.mode.cut, data.random.f64() < share)
+        let (unreachable, late) = {
+            let mut state = lock(&self.0);
+            let share = state.mode.late_share;
+            (state.mode.unreachable, state.random.f64() < share)
         };
-        if cut {
+        if unreachable {
             return std::future::pending().await;
         }
-        if lock(&self.0).called() != meant {
+        if lock(&self.0).current_name() != expected_name {
             let status = StatusCode::MISDIRECTED_REQUEST;
-            return http::text(status, "another life");
+            return http::text(status, "the worker has another name");
         }
         match &*path {
-            "/api/hold" if late => self.look_late(order).await,
-            "/api/hold" => self.look(&order).await,
-            path if late => self.obey_late(path, order).await,
-            path => lock(&self.0).obey(path, &order, false),
+            "/api/hold" if late => self.poll_late(order).await,
+            "/api/hold" => self.poll(&order).await,
+            path if late => self.execute_late(path, order).await,
+            path => lock(&self.0).execute(path, &order, false),
         }
     }
 }
 
 impl Worker {
-    async fn look(&self, order: &Order) -> Response {
+    /// Responds to a poll as soon as there are ends to report, or once the
+    /// poll's time is over.
+    async fn poll(&self, order: &Order) -> Response {
         let deadline = Instant::now() + Duration::from_millis(order.wait_ms);
         loop {
             {
-                let mut data = lock(&self.0);
-                match data.look(order) {
-                    None => return data.refuse("fence"),
-                    Some(news) if news || Instant::now() >= deadline => {
-                        return data.lists();
+                let mut state = lock(&self.0);
+                match state.poll(order) {
+                    None => return state.refuse("fence"),
+                    Some(has_ends)
+                        if has_ends || Instant::now() >= deadline =>
+                    {
+                        return state.snapshot();
                     }
                     Some(_) => {}
                 }
             }
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Carries an order out seconds later, and never answers it.
-    async fn obey_late(&self, path: &str, order: Order) -> Response {
+    /// Executes an order seconds later, and never responds.
+    async fn execute_late(&self, path: &str, order: Order) -> Response {
         let path = path.to_owned();
-        self.later(move |data| drop(data.obey(&path, &order, true)));
+        self.run_later(move |state| drop(state.execute(&path, &order, true)));
         std::future::pending().await
     }
 
-    /// Does something seconds later, to whatever birth answers to the name
-    /// by then: a call names the worker.
-    fn later(&self, what: impl FnOnce(&mut Data) + Send + 'static) {
+    /// Runs an action seconds later, unless the worker has another name by
+    /// then. A call names the worker and not its birth, so the action may
+    /// reach a later life of the same name.
+    fn run_later(&self, action: impl FnOnce(&mut State) + Send + 'static) {
         let worker = self.clone();
-        let (ms, meant) = {
-            let mut data = lock(&self.0);
-            (data.random.u64(500..4000), data.called())
+        let (ms, expected_name) = {
+            let mut state = lock(&self.0);
+            (state.random.u64(500..4000), state.current_name())
         };
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(ms)).await;
-            let mut data = lock(&worker.0);
-            if data.called() == meant {
-                what(&mut data);
+            let mut state = lock(&worker.0);
+            if state.current_name() == expected_name {
+                action(&mut state);
             }
         });
     }
 
-    /// Takes a look in seconds later, and never answers it.
-    async fn look_late(&self, order: Order) -> Response {
-        self.later(move |data| {
-            // Nobody is told what it lists.
-            let _ = data.look(&order);
+    /// Processes a poll seconds later, and never responds.
+    async fn poll_late(&self, order: Order) -> Response {
+        self.run_later(move |state| {
+            // Nobody waits for the response.
+            let _ = state.poll(&order);
         });
         std::future::pending().await
     }
