--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -1,10 +1,10 @@
-//! The time of one decision, at several sizes of one cell.
+//! Benchmarks one decision of the planner for several sizes of a cell.
 //!
-//! `cargo bench --bench decide`. A cell is filled to nine tenths with jobs
-//! of 1 to 16 accelerators of 60 accounts; each turn ends one job and
-//! submits another.
+//! Run with `cargo bench --bench decide`. Nine tenths of the cell's
+//! accelerators are used by jobs of 1 to 16 accelerators from up to 60
+//! accounts. Each iteration ends one job and submits another.
 
-// The library's macro makes a public function without a comment.
+// criterion_group! defines a public function without a doc comment.
 #![allow(missing_docs)]
 
 use std::time::Duration;
@@ -24,10 +24,13 @@
 use landingvalve::site::Site;
 use landingvalve::site::Within;
 
-const ACCOUNTS: usize = 60;
-/// How many jobs may wait: a decision also looks at each of those.
-const WAITING: usize = 100;
+/// The largest number of accounts.
+const MAX_ACCOUNTS: usize = 60;
+/// The largest number of waiting jobs. The bound keeps iterations comparable,
+/// because a decision visits every waiting job.
+const MAX_WAITING: usize = 100;
 
+/// Returns an account of the cell; half of the accounts have a guarantee.
 fn account(number: usize, accounts: usize) -> (String, Account) {
     let guarantee = vec![Shape {
         accelerators: 8,
@@ -45,12 +48,14 @@
     plan: Plan,
     rng: Rng,
     now: SystemTime,
-    next: u64,
+    /// The number of jobs so far.
+    jobs: u64,
     accounts: usize,
     running: Vec<(job::Id, job::Attempt)>,
 }
 
 impl Cell {
+    /// Returns a cell with nine tenths of its accelerators in use.
     fn new(workers: usize) -> Cell {
         let mut site = Site::new(8).expect("8 is in range");
         for worker in 0..workers {
@@ -58,14 +63,14 @@
             let rack = format!("{hall}r{}", worker / 8);
             site.add(&hall, &rack, &format!("w{worker}")).expect("new");
         }
-        let up: Vec<Event> = site
+        let workers_up: Vec<Event> = site
             .workers()
             .iter()
             .map(|w| Event::WorkerUp {
                 worker: w.id.clone(),
             })
             .collect();
-        let accounts = ACCOUNTS.min(workers);
+        let accounts = MAX_ACCOUNTS.min(workers);
         let terms = (0..accounts).map(|number| {
             let (id, terms) = account(number, accounts);
             let account = id.as_str().into();
@@ -75,14 +80,14 @@
             plan: Plan::new(site, Policy::default()),
             rng: Rng::with_seed(1),
             now: SystemTime::UNIX_EPOCH,
-            next: 0,
+            jobs: 0,
             accounts,
             running: Vec::new(),
         };
-        cell.step(up.into_iter().chain(terms).collect());
-        let wanted = workers as u64 * 8 * 9 / 10;
+        cell.step(workers_up.into_iter().chain(terms).collect());
+        let target = workers as u64 * 8 * 9 / 10;
         let mut used = 0;
-        while used < wanted {
+        while used < target {
             let spec = cell.spec();
             used += u64::from(spec.shape.accelerators);
             cell.step(vec![Event::Submitted { spec }]);
@@ -90,8 +95,9 @@
         cell
     }
 
+    /// Returns the next job, of random size and account.
     fn spec(&mut self) -> job::Spec {
-        self.next += 1;
+        self.jobs += 1;
         let sizes = [1, 1, 2, 4, 8, 16];
         let accelerators = sizes[self.rng.usize(0..sizes.len())];
         let within = match accelerators > 8 {
@@ -100,7 +106,7 @@
         };
         let account = self.rng.usize(0..self.accounts);
         job::Spec {
-            id: format!("j{}", self.next).into(),
+            id: format!("j{}", self.jobs).into(),
             account: format!("a{account}").into(),
             template: "t".into(),
             shape: Shape {
@@ -116,6 +122,7 @@
         }
     }
 
+    /// Applies events and executes the commands of the decision.
     fn step(&mut self, events: Vec<Event>) {
         for command in self.plan.step(events, self.now) {
             match command {
@@ -130,10 +137,11 @@
         }
     }
 
-    fn turn(&mut self) {
+    /// Ends a random job and submits another.
+    fn run_iteration(&mut self) {
         self.now += Duration::from_secs(1);
         let mut events = Vec::new();
-        if self.plan.state().waiting.len() < WAITING {
+        if self.plan.state().waiting.len() < MAX_WAITING {
             let spec = self.spec();
             events.push(Event::Submitted { spec });
         }
@@ -151,7 +159,7 @@
     for workers in [11, 280, 2500] {
         let mut cell = Cell::new(workers);
         group.bench_function(format!("{workers} workers"), |bencher| {
-            bencher.iter(|| cell.turn());
+            bencher.iter(|| cell.run_iteration());
         });
     }
     group.finish();
--- a/benches/pass.rs
+++ b/benches/pass.rs
@@ -1,11 +1,13 @@
-//! The time of one pass of a planner, by workers and units that wait.
+//! Benchmarks one scheduling pass of the planner by the number of workers and
+//! of waiting units.
 //!
-//! `cargo bench --bench pass`. Workers have 8 accelerators each, 8 to a
-//! rack. They are full with gangs of 8 and steps of 40 tasks; more of both,
-//! and gangs of 25 whole workers, wait. A turn takes in one report and
-//! decides: one that lists nothing new, or the end of a task.
+//! Run with `cargo bench --bench pass`. There are 8 workers per rack, with 8
+//! accelerators each. All accelerators are in use by gangs of 8 tasks and
+//! steps of 40 tasks; more of both, and gangs of 25 whole workers, wait. Each
+//! iteration applies one report, which either lists no change or the end of
+//! a task, and runs a pass.
 
-// The library's macro makes a public function without a comment.
+// criterion_group! defines a public function without a doc comment.
 #![allow(missing_docs)]
 
 use std::time::Duration;
@@ -29,7 +31,7 @@
 use landingvalve::graph::Terms;
 use landingvalve::graph::WorkerReport;
 
-/// Workers, and units that wait.
+/// The numbers of workers and of waiting units.
 const SIZES: [(usize, usize); 6] = [
     (55, 100),
     (240, 100),
@@ -38,17 +40,21 @@
     (2500, 1000),
     (2500, 10_000),
 ];
-/// Workers to a rack.
-const RACK: usize = 8;
-/// Tasks of a wide step.
-const TASKS: u32 = 40;
+/// The number of workers in a rack.
+const WORKERS_PER_RACK: usize = 8;
+/// The number of tasks of a step without a gang.
+const WIDE_STEP_TASKS: u32 = 40;
 
 struct Cell {
-    book: Book,
+    scheduler: Book,
     now: Moment,
+    /// The number of jobs so far.
     jobs: usize,
+    /// The number of the last report.
     sequence: u64,
+    /// The running tasks of each worker.
     running: Vec<Vec<Running>>,
+    /// The number of the last end at each worker.
     ended: Vec<u64>,
 }
 
@@ -60,11 +66,14 @@
     }
 }
 
+/// Returns the step of a kind of job: 0 is a gang of 8 tasks with one
+/// accelerator each, 1 a wide step without a gang, 2 a gang of 25 whole
+/// workers, 3 a gang of half a rack.
 fn step(kind: usize) -> Step {
     let (replicas, resources, gang) = match kind {
         0 => (8, resources(1, 15_000), true),
         3 => (4, resources(8, 15_000), true),
-        1 => (TASKS, resources(1, 11_000), false),
+        1 => (WIDE_STEP_TASKS, resources(1, 11_000), false),
         _ => (25, resources(8, 52_000), true),
     };
     Step {
@@ -78,13 +87,15 @@
 }
 
 impl Cell {
+    /// Returns a cell with all accelerators in use and about `waiting` waiting
+    /// units.
     fn new(workers: usize, waiting: usize) -> Cell {
         let now = Moment {
             now: Instant::now(),
             wall: SystemTime::now(),
         };
         let mut cell = Cell {
-            book: Book::new(Terms::default(), now),
+            scheduler: Book::new(Terms::default(), now),
             now,
             jobs: 0,
             sequence: 0,
@@ -94,12 +105,12 @@
         for at in 0..workers {
             cell.report(at, None);
         }
-        // Wide steps to fill every accelerator, and some more of each kind.
-        let full = workers * 8 / TASKS as usize;
+        // Wide steps that use every accelerator, then jobs that wait.
+        let full = workers * 8 / WIDE_STEP_TASKS as usize;
         for _ in 0..full {
             cell.submit(1);
         }
-        let steps = waiting / TASKS as usize;
+        let steps = waiting / WIDE_STEP_TASKS as usize;
         for at in 0..steps {
             cell.submit(1);
             if at % 10 == 0 {
@@ -113,6 +124,7 @@
         cell
     }
 
+    /// Submits a job of one step of a kind, see [`step`].
     fn submit(&mut self, kind: usize) {
         self.jobs += 1;
         let job = Job {
@@ -131,9 +143,11 @@
             repeat: None,
             advice: None,
         };
-        self.book.accept(job, None, self.now);
+        self.scheduler.accept(job, None, self.now);
     }
 
+    /// Applies a report of the agent at `at`, with the end of a task if one
+    /// ended.
     fn report(&mut self, at: usize, ended: Option<Running>) {
         self.sequence += 1;
         let ended = ended.map(|running| {
@@ -158,7 +172,7 @@
                 pool: "pool".into(),
                 machine: None,
                 hall: "hall".into(),
-                rack: format!("rack{}", at / RACK).into(),
+                rack: format!("rack{}", at / WORKERS_PER_RACK).into(),
                 labels: Vec::new(),
                 capacity: Resources {
                     memory: 256_000,
@@ -174,19 +188,19 @@
                 refused: Vec::new(),
             }),
         };
-        self.book.report(report, self.now);
+        self.scheduler.report(report, self.now);
     }
 
-    /// Decides, writes, and lets every worker start what it is told.
+    /// Runs a pass, and carries out the orders of every worker.
     fn settle(&mut self) {
         self.pass();
         for at in 0..self.running.len() {
             let agent = format!("agent{at:04}").into();
-            let orders = self.book.orders(&agent);
+            let orders = self.scheduler.orders(&agent);
             for stop in &orders.stops {
-                let this =
+                let is_stopped =
                     |r: &Running| r.task == stop.task && r.run == stop.run;
-                self.running[at].retain(|running| !this(running));
+                self.running[at].retain(|running| !is_stopped(running));
             }
             for start in orders.starts {
                 self.running[at].push(Running {
@@ -201,13 +215,14 @@
         }
     }
 
+    /// Runs a pass, with the writes of records treated as done at once.
     fn pass(&mut self) {
         self.now.now += Duration::from_millis(1);
-        self.book.step(self.now);
-        for job in self.book.unwritten(usize::MAX) {
-            self.book.written(&job.id, job.version);
+        self.scheduler.step(self.now);
+        for job in self.scheduler.unwritten(usize::MAX) {
+            self.scheduler.written(&job.id, job.version);
         }
-        self.book.take_decisions();
+        self.scheduler.take_decisions();
     }
 }
 
@@ -237,7 +252,8 @@
             });
         });
     }
-    // A burst: more urgent gangs of half a rack than may stop others at once.
+    // A burst of more urgent gangs of half a rack than may preempt others at
+    // the same time.
     for urgent in [10, 40] {
         let mut cell = Cell::new(240, 100);
         for _ in 0..urgent {
@@ -245,7 +261,7 @@
         }
         let size = format!("240 workers, {urgent} urgent gangs");
         group.bench_function(BenchmarkId::new("a burst", &size), |bencher| {
-            bencher.iter(|| cell.book.clone().step(cell.now));
+            bencher.iter(|| cell.scheduler.clone().step(cell.now));
         });
     }
     group.finish();
