--- a/crates/landingvalve-cli/src/main.rs
+++ b/crates/landingvalve-cli/src/main.rs
@@ -62,9 +62,9 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a whole system in this process and show it at work.
+    /// Run a whole system in this process, with a few jobs as an example.
     Try(trial::Args),
-    /// Submit, follow and cancel jobs.
+    /// Submit, show and cancel jobs.
     #[command(subcommand)]
     Job(job::Command),
     /// Show and change templates and client accounts.
--- a/crates/landingvalve-cli/src/trial.rs
+++ b/crates/landingvalve-cli/src/trial.rs
@@ -42,7 +42,7 @@
     /// The number of entries, 1 to 9.
     #[arg(long, default_value_t = 3)]
     entries: usize,
-    /// Print the spans of one request, from its caller to its end.
+    /// Print the spans of one request's trace.
     #[arg(long)]
     trace: bool,
     /// Write the log of all processes to standard error.
--- a/crates/landingvalve-soak/src/fleet.rs
+++ b/crates/landingvalve-soak/src/fleet.rs
@@ -148,7 +148,7 @@
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     let any_port = SocketAddr::from(([127, high, middle, low], 0));
     loop {
-        let listener = TcpListener::bind(any_port).wrap_err("bind")?;
+        let listener = TcpListener::bind(any_port).wrap_err("bind a port")?;
         let address = listener.local_addr()?;
         if lock(&RETURNED).insert(address) {
             return Ok(address);
--- a/crates/landingvalve-soak/src/invariants.rs
+++ b/crates/landingvalve-soak/src/invariants.rs
@@ -95,8 +95,8 @@
 }
 
 impl Checker {
-    /// Records that a caller is about to submit a job with so many tasks in
-    /// each step.
+    /// Records that a caller is about to submit a job; `steps` holds the
+    /// number of tasks of each step.
     pub fn record_submission(&self, job: &str, steps: Vec<u32>) {
         let mut seen = lock(&self.0);
         seen.jobs.entry(job.to_owned()).or_insert(Job {
@@ -236,8 +236,8 @@
                 }
                 let earlier = steps.iter().enumerate().take(step);
                 let unfinished = earlier
-                    .filter(|(earlier, tasks)| {
-                        !seen.step_done(&id, *earlier, **tasks)
+                    .filter(|(index, tasks)| {
+                        !seen.step_done(&id, *index, **tasks)
                     })
                     .count();
                 if unfinished > 0 {
--- a/crates/landingvalve-soak/src/soak.rs
+++ b/crates/landingvalve-soak/src/soak.rs
@@ -27,10 +27,10 @@
 use crate::worker;
 use crate::worker::Worker;
 
-/// The setting `survival_ms`: how long an agent's tasks continue without a
-/// planner, in ms.
+/// The setting `survival_ms`: how long tasks continue without a planner, in
+/// ms.
 const SURVIVAL_MS: u64 = 5000;
-/// The setting `lease_ms`: the longest lease of a worker, in ms.
+/// The setting `lease_ms` of agents: the longest lease of a worker, in ms.
 const LEASE_MS: u64 = 3000;
 /// The time after the last fault within which all accepted jobs must end.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(45);
@@ -180,7 +180,8 @@
              [log]\nformat = json\nlevel = info\n",
             server.address(),
         );
-        let mut program = self.program(&format!("agent-{at}"), &settings)?;
+        let mut program =
+            self.new_program(&format!("agent-{at}"), &settings)?;
         program.start()?;
         self.agents.push(program);
         let http = http::Client::new();
@@ -203,14 +204,20 @@
             free_address()?,
             free_address()?,
         );
-        let mut program = self.program(&format!("entry-{at}"), &settings)?;
+        let mut program =
+            self.new_program(&format!("entry-{at}"), &settings)?;
         program.start()?;
         self.entries.push(program);
         self.caller.entries.push(callers);
         Ok(())
     }
 
-    fn program(&self, name: &str, settings: &str) -> eyre::Result<Program> {
+    /// Returns an entry or an agent, by the prefix of the name.
+    fn new_program(
+        &self,
+        name: &str,
+        settings: &str,
+    ) -> eyre::Result<Program> {
         let path: &Path = match name.starts_with("entry") {
             true => &self.config.entry,
             false => &self.config.agent,
@@ -291,9 +298,10 @@
         Ok(())
     }
 
-    /// Starts calls that run concurrently with those of other rounds: a
-    /// submission or, without `under_faults`, none; a query or a cancel; and a
-    /// probe of the configuration. Without `under_faults` all faults end.
+    /// Starts the calls of a round, which may overlap with those of other
+    /// rounds: a query of a job and a probe of the configuration and, only
+    /// with `under_faults`, a submission and at times a cancel instead of the
+    /// query. Without `under_faults` all active faults are ended first.
     async fn run_round(&mut self, under_faults: bool) -> eyre::Result<()> {
         self.end_faults(!under_faults)?;
         let open = self.caller.checker.open_jobs();
--- a/crates/landingvalve-soak/src/store.rs
+++ b/crates/landingvalve-soak/src/store.rs
@@ -175,7 +175,7 @@
         lock(&self.0).calls
     }
 
-    /// Writes a key as operators do, regardless of the mode; returns the
+    /// Writes any key as operators do, regardless of the mode; returns the
     /// revision.
     pub fn write(&self, key: &str, value: String) -> u64 {
         let put = Put {
--- a/crates/landingvalve-standin/src/bin/landingvalve-load.rs
+++ b/crates/landingvalve-standin/src/bin/landingvalve-load.rs
@@ -39,8 +39,8 @@
     /// The run time of each job, in milliseconds.
     #[arg(long, default_value_t = 1)]
     run_ms: u64,
-    /// The prefix of the request ids; use another one for each invocation, so
-    /// that its requests are not taken for repeats of earlier ones.
+    /// The prefix of the request ids; runs with the same prefix repeat each
+    /// other's requests.
     #[arg(long, default_value = "load")]
     prefix: String,
 }
--- a/crates/landingvalve-standin/src/bin/landingvalve-standin.rs
+++ b/crates/landingvalve-standin/src/bin/landingvalve-standin.rs
@@ -3,7 +3,7 @@
 //!
 //! The program prints one JSON object with all addresses, and serves until it
 //! is interrupted. The list of VMs names agents and entries at consecutive
-//! ports from a base port; whoever uses the program starts them there.
+//! ports from a base port, where the caller of the program starts them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/landingvalve-standin/src/endpoint.rs
+++ b/crates/landingvalve-standin/src/endpoint.rs
@@ -36,7 +36,7 @@
     ends_at: Instant,
     fails: bool,
     state: State,
-    /// How long the task had run when it was stopped; 0 before.
+    /// How long the task had run when a request stopped it; otherwise 0.
     kept_ms: u64,
 }
 
@@ -78,7 +78,7 @@
         format!("http://{}", self.server.address())
     }
 
-    /// Sets whether tasks started from now on fail, within 100 ms.
+    /// Sets whether tasks started from now on fail, after 100 ms at most.
     pub fn set_failing(&self, failing: bool) {
         self.service.lock().failing = failing;
     }
--- a/crates/landingvalve-standin/src/site.rs
+++ b/crates/landingvalve-standin/src/site.rs
@@ -71,18 +71,18 @@
 
     /// Returns the hall, the rack and the name of each worker.
     pub fn worker_places(&self) -> Vec<[String; 3]> {
-        let mut worker_places = Vec::new();
+        let mut places = Vec::new();
         for (hall, racks) in self.halls.iter().enumerate() {
             for (rack, workers) in racks.iter().enumerate() {
                 for worker in 0..*workers {
                     let hall = format!("h{}", hall + 1);
                     let rack = format!("{hall}r{}", rack + 1);
                     let worker = format!("{rack}w{}", worker + 1);
-                    worker_places.push([hall, rack, worker]);
+                    places.push([hall, rack, worker]);
                 }
             }
         }
-        worker_places
+        places
     }
 }
 
