--- a/crates/landingvalve-cli/src/configuration.rs
+++ b/crates/landingvalve-cli/src/configuration.rs
@@ -58,7 +58,7 @@
         /// The fields to set, each as FIELD=JSON.
         #[arg(required = true, value_parser = parse_field)]
         fields: Vec<(String, Value)>,
-        /// The id of the edit; an edit repeated under the same id is made
+        /// The id of the edit; an edit repeated under the same id takes effect
         /// once.
         #[arg(long)]
         edit: Option<String>,
@@ -75,7 +75,7 @@
         /// item; by default the current revision.
         #[arg(long)]
         revision: Option<i64>,
-        /// The id of the edit; an edit repeated under the same id is made
+        /// The id of the edit; an edit repeated under the same id takes effect
         /// once.
         #[arg(long)]
         edit: Option<String>,
@@ -201,7 +201,7 @@
 
 /// Replaces an item that has the revision `base`. While the entry replies
 /// that the service is unavailable, the edit is sent again under the same id,
-/// so that an attempt whose reply was lost is not made twice.
+/// so that an edit whose reply was lost takes effect once.
 async fn put(
     client: &Client,
     kind: Kind,
--- a/crates/landingvalve-cli/src/explain.rs
+++ b/crates/landingvalve-cli/src/explain.rs
@@ -39,21 +39,22 @@
         (false, Some((job, files))) => (Some(job.as_str()), files),
         (false, None) => bail!("expected a job's ID, --late or --failed"),
     };
-    let logs = read(files)?;
+    let logs = read_logs(files)?;
     match job {
         Some(job) => {
-            let Some(story) = logs.story(job) else {
+            let Some(history) = logs.story(job) else {
                 let (lines, _) = logs.counts();
                 bail!("job {job}: none of {lines} lines names it");
             };
-            print_story(job, story, as_json);
+            print_history(job, history, as_json);
         }
         None => print_list(&logs, args, as_json),
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn read(files: &[String]) -> eyre::Result<Logs> {
+/// Reads all files, or standard input if there are none.
+fn read_logs(files: &[String]) -> eyre::Result<Logs> {
     let mut logs = Logs::default();
     let standard_input = ["-".to_owned()];
     let files = match files {
@@ -82,15 +83,17 @@
     Ok(logs)
 }
 
-fn print_story(job: &str, story: &Story, as_json: bool) {
-    let began = story.began();
-    let verdict = story.verdict();
+/// Prints the log lines of a job, with times since its submission, and its
+/// outcome.
+fn print_history(job: &str, history: &Story, as_json: bool) {
+    let began = history.began();
+    let verdict = history.verdict();
     let after = |line: &landingvalve::explain::line::Line| {
         let after = began.and_then(|b| line.at.duration_since(b).ok());
         after.unwrap_or_default().as_secs_f64()
     };
     if as_json {
-        let lines = story.lines().into_iter().map(|line| {
+        let lines = history.lines().into_iter().map(|line| {
             json!({"after_s": after(line), "process": line.process,
                 "message": line.message, "fields": line.fields})
         });
@@ -99,7 +102,7 @@
         println!("{report}");
         return;
     }
-    for line in story.lines() {
+    for line in history.lines() {
         println!(
             "{:9.3} s  {:24} {}  {}",
             after(line),
@@ -145,7 +148,9 @@
         End::Failed | End::Refused | End::Open => args.failed,
         End::InTime | End::Cancelled => false,
     };
-    let jobs = logs.stories().map(|(job, story)| (job, story.verdict()));
+    let jobs = logs
+        .stories()
+        .map(|(job, history)| (job, history.verdict()));
     let jobs: Vec<_> = jobs.filter(|(_, v)| is_selected(v.end)).collect();
     let mut table: BTreeMap<Cause, (usize, u64)> = BTreeMap::new();
     for (_, verdict) in &jobs {
--- a/crates/landingvalve-soak/src/operators.rs
+++ b/crates/landingvalve-soak/src/operators.rs
@@ -73,23 +73,25 @@
     /// longer that of the version before. Does nothing while the present
     /// version is too new to be required.
     pub async fn probe(&self, entry: SocketAddr, checker: &Checker) {
-        let asked = *lock(&self.last);
-        if asked.written.elapsed() <= MAX_APPLY_TIME {
+        let version = *lock(&self.last);
+        if version.written.elapsed() <= MAX_APPLY_TIME {
             return;
         }
         let client = http::Client::new();
-        let old = probe_version(&client, entry, asked.number - 1).await;
+        let old = probe_version(&client, entry, version.number - 1).await;
         if old == Some(200) {
             checker.record_violation(
                 "CONFIG",
-                format!("{asked:?}: the version before is still applied"),
+                format!("{version:?}: the version before is still applied"),
             );
         }
-        let new = probe_version(&client, entry, asked.number).await;
-        let is_latest = lock(&self.last).number == asked.number;
+        let new = probe_version(&client, entry, version.number).await;
+        let is_latest = lock(&self.last).number == version.number;
         if new == Some(404) && is_latest {
-            checker
-                .record_violation("CONFIG", format!("{asked:?}: not applied"));
+            checker.record_violation(
+                "CONFIG",
+                format!("{version:?}: not applied"),
+            );
         }
     }
 }
