--- a/tests/it/admission.rs
+++ b/tests/it/admission.rs
@@ -28,12 +28,12 @@
 #[tokio::test(start_paused = true)]
 async fn a_caller_keeps_half_of_its_time_where_answers_are_lost() {
     let store = Memory::default();
-    store.lose(u32::MAX);
+    store.lose_answers(u32::MAX);
     // The first write lands unheard, and the next would show it; the store
     // turns every further call away.
     let lost = async {
         tokio::time::sleep(Duration::from_millis(10)).await;
-        store.refuse(u32::MAX);
+        store.reject_calls(u32::MAX);
     };
     let ((submitted, took), ()) = tokio::join!(submit(&store), lost);
     assert_eq!(submitted, Submitted::Unsure);
@@ -43,7 +43,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_caller_that_is_turned_away_hears_so_at_once() {
     let store = Memory::default();
-    store.refuse(u32::MAX);
+    store.reject_calls(u32::MAX);
     let (submitted, took) = submit(&store).await;
     assert_eq!(submitted, Submitted::Refused);
     assert!(took < Duration::from_millis(900), "{took:?}");
--- a/tests/it/advice.rs
+++ b/tests/it/advice.rs
@@ -27,7 +27,7 @@
 }
 
 fn ask(site: &mut Site) -> Option<Question> {
-    site.book.take_question(site.now)
+    site.scheduler.take_question(site.now)
 }
 
 /// Lets the service answer that a step may run on some lives.
@@ -37,7 +37,7 @@
         text: format!("ticket-{life}"),
     };
     let good = good.iter().map(ticket).collect();
-    site.book
+    site.scheduler
         .apply_advice(question, Some(good), site.now.monotonic);
     site.settle();
 }
@@ -57,7 +57,7 @@
     assert_eq!(ask(&mut site), None, "one question at a time");
     answer(&mut site, &question, &["w2-1"]);
     assert_eq!(busy(&site), ["w2"]);
-    site.pass(Duration::from_secs(1));
+    site.advance(Duration::from_secs(1));
     site.settle();
     assert_eq!(ask(&mut site), None, "who may not run it stays so");
 }
@@ -70,12 +70,12 @@
         life: "w3-1".into(),
         text: "leave".to_owned(),
     }];
-    site.book
+    site.scheduler
         .apply_advice(&question, Some(good), site.now.monotonic);
-    site.step();
-    site.write();
+    site.schedule();
+    site.write_progress();
     let agent = site.workers[2].agent.clone();
-    let starts = site.book.orders(&agent).starts;
+    let starts = site.scheduler.orders(&agent).starts;
     let tickets: Vec<Option<String>> =
         starts.into_iter().map(|start| start.ticket).collect();
     assert_eq!(tickets, [Some("leave".to_owned())]);
@@ -87,8 +87,8 @@
     let question = ask(&mut site).expect("leave is needed");
     answer(&mut site, &question, &["w1-1"]);
     assert_eq!(busy(&site), ["w1"]);
-    site.pass(Duration::from_secs(4));
-    site.end_all("asks");
+    site.advance(Duration::from_secs(4));
+    site.finish_job("asks");
     site.settle();
     assert_eq!(busy(&site), [""; 0], "its ticket has run out");
     let question = ask(&mut site).expect("leave is needed again");
@@ -105,12 +105,12 @@
         life: "w1-1".into(),
         text: "stale".to_owned(),
     }];
-    site.book
+    site.scheduler
         .apply_advice(&question, Some(good), site.now.monotonic);
-    site.step();
-    site.write();
+    site.schedule();
+    site.write_progress();
     let agent = site.workers[0].agent.clone();
-    let start = site.book.orders(&agent).starts.remove(0);
+    let start = site.scheduler.orders(&agent).starts.remove(0);
     let mut report = site.workers[0].report();
     if let Some(worker) = &mut report.worker {
         worker.refused.push(Refused {
@@ -119,7 +119,7 @@
             why: Refusal::Ticket,
         });
     }
-    site.book.apply_report(report, site.now);
+    site.scheduler.apply_report(report, site.now);
     let question = ask(&mut site).expect("leave is needed again");
     assert_eq!(question.lives, ["w1-1".into()]);
 }
@@ -128,9 +128,10 @@
 fn a_question_without_answer_is_put_again() {
     let mut site = site();
     let question = ask(&mut site).expect("leave is needed");
-    site.book.apply_advice(&question, None, site.now.monotonic);
+    site.scheduler
+        .apply_advice(&question, None, site.now.monotonic);
     assert_eq!(ask(&mut site), None, "not at once");
-    site.pass(Duration::from_millis(600));
+    site.advance(Duration::from_millis(600));
     site.settle();
     assert_eq!(ask(&mut site), Some(question));
 }
--- a/tests/it/births.rs
+++ b/tests/it/births.rs
@@ -25,18 +25,18 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-use crate::cell::agent;
-use crate::cell::agent_of;
+use crate::cell::deadline;
 use crate::cell::heartbeat;
 use crate::cell::job;
 use crate::cell::member;
-use crate::cell::reaches;
-use crate::cell::runs;
-use crate::cell::soon;
+use crate::cell::start_agent;
+use crate::cell::start_agent_named;
+use crate::cell::wait_for_running;
+use crate::cell::wait_for_stage;
 use crate::cell::Entry;
-use crate::cell::Fake;
+use crate::cell::FakeWorker;
 use crate::cell::Memory;
-use crate::cell::DONE;
+use crate::cell::SUCCEEDED;
 use crate::support::until;
 
 /// Returns how many workers were lost under each task of a job, as it is
@@ -58,16 +58,16 @@
 #[tokio::test]
 async fn what_ran_in_an_earlier_birth_begins_anew() {
     let store = Memory::default();
-    let worker = Fake::born();
+    let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
-    let agent = agent(&store, &worker);
-    admission.submit(&job("a"), soon()).await;
-    runs(&worker, 2).await;
-    worker.start_again();
-    runs(&worker, 2).await;
+    let agent = start_agent(&store, &worker);
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
+    worker.restart();
+    wait_for_running(&worker, 2).await;
     worker.end_all(RunOutcome::Done);
-    reaches(&admission, "a", DONE).await;
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
     agent.abort();
     entry.kill();
 }
@@ -75,24 +75,24 @@
 #[tokio::test]
 async fn what_a_later_birth_has_done_is_read_before_it_is_forgotten() {
     let store = Memory::default();
-    let worker = Fake::born();
+    let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
-    let agent = agent(&store, &worker);
+    let agent = start_agent(&store, &worker);
     for name in ["a", "b"] {
-        admission.submit(&job(name), soon()).await;
-        runs(&worker, 2).await;
+        admission.submit(&job(name), deadline()).await;
+        wait_for_running(&worker, 2).await;
         worker.end_all(RunOutcome::Done);
-        reaches(&admission, name, DONE).await;
+        wait_for_stage(&admission, name, SUCCEEDED).await;
     }
-    let forgotten = || async { (worker.ends() == 0).then_some(()) };
+    let forgotten = || async { (worker.listed_ends() == 0).then_some(()) };
     until("four ends are acknowledged", forgotten).await;
-    worker.start_again();
-    admission.submit(&job("c"), soon()).await;
-    runs(&worker, 2).await;
+    worker.restart();
+    admission.submit(&job("c"), deadline()).await;
+    wait_for_running(&worker, 2).await;
     worker.end_all(RunOutcome::Done);
-    reaches(&admission, "c", DONE).await;
-    let began = worker.began();
+    wait_for_stage(&admission, "c", SUCCEEDED).await;
+    let began = worker.started();
     let of_c = began.iter().filter(|start| start.starts_with('c'));
     assert!(of_c.clone().count() == 2, "{began:?}");
     agent.abort();
@@ -102,26 +102,27 @@
 #[tokio::test]
 async fn a_start_that_comes_late_to_a_later_birth_begins_nothing() {
     let store = Memory::default();
-    let (worker, other) = (Fake::born(), Fake::born());
+    let (worker, other) =
+        (FakeWorker::with_births(), FakeWorker::with_births());
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
     let lease = Duration::from_secs(6);
-    let first = agent_of("first", lease, &store, &worker);
-    worker.lose_starts(2);
-    admission.submit(&job("a"), soon()).await;
-    let lost = || async { (worker.lost_starts() == 2).then_some(()) };
+    let first = start_agent_named("first", lease, &store, &worker);
+    worker.leave_starts_unanswered(2);
+    admission.submit(&job("a"), deadline()).await;
+    let lost = || async { (worker.unanswered_starts() == 2).then_some(()) };
     until("two starts have no answer", lost).await;
     // While it is down nobody can ask again.
-    worker.mute(true);
+    worker.set_mute(true);
     passes(Duration::from_millis(2500)).await;
-    worker.fill(true);
-    worker.start_again();
-    worker.mute(false);
-    let second = agent_of("second", lease, &store, &other);
-    runs(&other, 2).await;
+    worker.set_full(true);
+    worker.restart();
+    worker.set_mute(false);
+    let second = start_agent_named("second", lease, &store, &other);
+    wait_for_running(&other, 2).await;
     // Calls name the worker, not its birth: it would take them.
-    worker.carry_out_late();
-    assert_eq!(worker.began(), Vec::<String>::new(), "begun twice");
+    worker.execute_late_starts();
+    assert_eq!(worker.started(), Vec::<String>::new(), "begun twice");
     first.abort();
     second.abort();
     entry.kill();
@@ -130,20 +131,24 @@
 #[tokio::test]
 async fn nothing_is_started_while_it_is_not_known_who_would_start_it() {
     let store = Memory::default();
-    let worker = Fake::born();
+    let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
-    let agent = agent(&store, &worker);
-    worker.lose_starts(2);
-    admission.submit(&job("a"), soon()).await;
-    let lost = || async { (worker.lost_starts() == 2).then_some(()) };
+    let agent = start_agent(&store, &worker);
+    worker.leave_starts_unanswered(2);
+    admission.submit(&job("a"), deadline()).await;
+    let lost = || async { (worker.unanswered_starts() == 2).then_some(()) };
     until("two starts have no answer", lost).await;
     // The worker may have gone down under them, and be back as another.
-    worker.hide(true);
+    worker.fail_polls(true);
     passes(Duration::from_millis(1000)).await;
-    assert_eq!(worker.began(), Vec::<String>::new(), "tried again blindly");
-    worker.hide(false);
-    runs(&worker, 2).await;
+    assert_eq!(
+        worker.started(),
+        Vec::<String>::new(),
+        "tried again blindly"
+    );
+    worker.fail_polls(false);
+    wait_for_running(&worker, 2).await;
     agent.abort();
     entry.kill();
 }
@@ -151,7 +156,8 @@
 #[tokio::test]
 async fn what_ran_begins_elsewhere_though_the_later_birth_never_answers() {
     let store = Memory::default();
-    let (worker, other) = (Fake::born(), Fake::born());
+    let (worker, other) =
+        (FakeWorker::with_births(), FakeWorker::with_births());
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
     let lease = Duration::from_secs(3);
@@ -161,15 +167,15 @@
         async move { member.run().await }
     });
     member.heartbeat(heartbeat(&worker, 1));
-    admission.submit(&job("a"), soon()).await;
-    runs(&worker, 2).await;
-    worker.start_again();
-    worker.mute(true);
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
+    worker.restart();
+    worker.set_mute(true);
     // One heartbeat of the later birth is all that is ever heard of it.
     passes(Duration::from_millis(2000)).await;
     member.heartbeat(heartbeat(&worker, 1));
-    let second = agent_of("second", lease, &store, &other);
-    runs(&other, 2).await;
+    let second = start_agent_named("second", lease, &store, &other);
+    wait_for_running(&other, 2).await;
     running.abort();
     second.abort();
     entry.kill();
@@ -181,21 +187,21 @@
 #[tokio::test]
 async fn a_birth_that_was_silent_for_long_is_used_once_it_speaks() {
     let store = Memory::default();
-    let worker = Fake::born();
+    let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
     let lease = Duration::from_secs(1);
-    let agent = agent_of("agent", lease, &store, &worker);
-    admission.submit(&job("a"), soon()).await;
-    runs(&worker, 2).await;
-    worker.lose_stops(true);
-    worker.start_again();
+    let agent = start_agent_named("agent", lease, &store, &worker);
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
+    worker.fail_stops(true);
+    worker.restart();
     passes(Duration::from_millis(1000)).await;
-    worker.mute(true);
+    worker.set_mute(true);
     passes(Duration::from_millis(4000)).await;
-    worker.mute(false);
-    worker.lose_stops(false);
-    runs(&worker, 2).await;
+    worker.set_mute(false);
+    worker.fail_stops(false);
+    wait_for_running(&worker, 2).await;
     agent.abort();
     entry.kill();
 }
@@ -203,7 +209,7 @@
 #[tokio::test]
 async fn a_late_heartbeat_of_an_earlier_birth_changes_nothing() {
     let store = Memory::default();
-    let worker = Fake::born();
+    let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
     let member = member("agent", &store, &worker);
@@ -212,18 +218,18 @@
         async move { member.run().await }
     });
     let earlier = heartbeat(&worker, 900);
-    worker.start_again();
+    worker.restart();
     member.heartbeat(heartbeat(&worker, 1));
-    admission.submit(&job("a"), soon()).await;
-    runs(&worker, 2).await;
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
     member.heartbeat(earlier.clone());
-    let looked = worker.looks();
-    let later = || async { (worker.looks() >= looked + 20).then_some(()) };
+    let looked = worker.polls();
+    let later = || async { (worker.polls() >= looked + 20).then_some(()) };
     until("several looks", later).await;
     member.heartbeat(earlier);
     worker.end_all(RunOutcome::Done);
-    reaches(&admission, "a", DONE).await;
-    let mut began = worker.began();
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
+    let mut began = worker.started();
     began.sort();
     assert_eq!(began, ["a.0.0.0 1", "a.0.0.1 1"]);
     running.abort();
@@ -233,7 +239,8 @@
 #[tokio::test]
 async fn a_late_goodbye_of_an_earlier_birth_ends_nothing() {
     let store = Memory::default();
-    let (worker, other) = (Fake::born(), Fake::born());
+    let (worker, other) =
+        (FakeWorker::with_births(), FakeWorker::with_births());
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
     let member = member("first", &store, &worker);
@@ -241,22 +248,23 @@
         let member = member.clone();
         async move { member.run().await }
     });
-    worker.start_again();
+    worker.restart();
     member.heartbeat(heartbeat(&worker, 1));
-    admission.submit(&job("a"), soon()).await;
-    runs(&worker, 2).await;
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
     // It names the worker, and that still answers.
     member.left("life");
-    let second = agent_of("second", Duration::from_secs(6), &store, &other);
+    let second =
+        start_agent_named("second", Duration::from_secs(6), &store, &other);
     passes(Duration::from_millis(2500)).await;
-    assert_eq!(other.began(), Vec::<String>::new(), "begun twice");
+    assert_eq!(other.started(), Vec::<String>::new(), "begun twice");
     // Nor is the worker out of use for ever.
     member.heartbeat(heartbeat(&worker, 2));
     worker.end_all(RunOutcome::Done);
-    reaches(&admission, "a", DONE).await;
-    other.fill(true);
-    admission.submit(&job("b"), soon()).await;
-    runs(&worker, 2).await;
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
+    other.set_full(true);
+    admission.submit(&job("b"), deadline()).await;
+    wait_for_running(&worker, 2).await;
     running.abort();
     second.abort();
     entry.kill();
@@ -265,9 +273,9 @@
 #[tokio::test]
 async fn what_was_placed_by_a_name_alone_goes_on_once_births_are_told() {
     let store = Memory::default();
-    let worker = Fake::born();
+    let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
-    admission.submit(&job("a"), soon()).await;
+    admission.submit(&job("a"), deadline()).await;
     // As an agent and a planner that know no births wrote and ordered it.
     let on = |index| {
         json!({ "run": 1, "on": [{ "agent": "agent", "life": "life" }],
@@ -281,11 +289,11 @@
     );
     store.swap(&[], vec![put]).await.expect("is written");
     let entry = Entry::start("entry", &store).await;
-    let agent = agent(&store, &worker);
-    runs(&worker, 2).await;
+    let agent = start_agent(&store, &worker);
+    wait_for_running(&worker, 2).await;
     worker.end_all(RunOutcome::Done);
-    reaches(&admission, "a", DONE).await;
-    let mut began = worker.began();
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
+    let mut began = worker.started();
     began.sort();
     assert_eq!(began, ["a.0.0.0 1", "a.0.0.1 1"], "another run was given");
     agent.abort();
@@ -298,18 +306,18 @@
 #[tokio::test]
 async fn nothing_is_acknowledged_while_it_is_not_known_who_would_forget_it() {
     let store = Memory::default();
-    let worker = Fake::born();
+    let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
-    let agent = agent(&store, &worker);
-    admission.submit(&job("a"), soon()).await;
-    runs(&worker, 2).await;
-    worker.show_once();
+    let agent = start_agent(&store, &worker);
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
+    worker.fail_polls_after_shown_end();
     worker.end_all(RunOutcome::Done);
-    reaches(&admission, "a", DONE).await;
-    let failed = || async { (worker.broken_off() >= 6).then_some(()) };
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
+    let failed = || async { (worker.failed_calls() >= 6).then_some(()) };
     until("several looks fail", failed).await;
-    assert_eq!(worker.acknowledged(), 0);
+    assert_eq!(worker.last_acknowledged(), 0);
     agent.abort();
     entry.kill();
 }
@@ -321,19 +329,19 @@
 #[tokio::test]
 async fn nothing_is_acknowledged_in_place_of_a_look_without_answer() {
     let store = Memory::default();
-    let worker = Fake::born();
+    let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
-    let agent = agent(&store, &worker);
-    admission.submit(&job("a"), soon()).await;
-    runs(&worker, 2).await;
-    worker.mute_once_shown();
+    let agent = start_agent(&store, &worker);
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
+    worker.mute_after_shown_end();
     // The note comes later than a moment after the end is shown.
-    store.lose(1);
+    store.lose_answers(1);
     worker.end_all(RunOutcome::Done);
-    reaches(&admission, "a", DONE).await;
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
     passes(Duration::from_millis(500)).await;
-    assert_eq!(worker.asked_to_forget(), 0);
+    assert_eq!(worker.acknowledged_while_mute(), 0);
     agent.abort();
     entry.kill();
 }
@@ -345,19 +353,19 @@
 #[tokio::test]
 async fn a_loss_counts_though_the_agent_has_started_again() {
     let store = Memory::default();
-    let worker = Fake::born();
+    let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
-    let first = agent(&store, &worker);
-    admission.submit(&job("a"), soon()).await;
-    runs(&worker, 2).await;
+    let first = start_agent(&store, &worker);
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
     first.abort();
-    let looked = worker.looks();
-    let second = agent(&store, &worker);
-    let looks = || async { (worker.looks() >= looked + 10).then_some(()) };
+    let looked = worker.polls();
+    let second = start_agent(&store, &worker);
+    let looks = || async { (worker.polls() >= looked + 10).then_some(()) };
     until("the new agent knows what runs", looks).await;
-    worker.start_again();
-    let began = || async { (worker.began().len() == 4).then_some(()) };
+    worker.restart();
+    let began = || async { (worker.started().len() == 4).then_some(()) };
     until("both tasks begin anew", began).await;
     assert_eq!(lost_under(&store, "a").await, [1, 1]);
     second.abort();
@@ -367,20 +375,20 @@
 #[tokio::test]
 async fn a_loss_counts_though_the_agent_has_never_seen_what_ran() {
     let store = Memory::default();
-    let worker = Fake::born();
+    let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
-    let first = agent(&store, &worker);
-    admission.submit(&job("a"), soon()).await;
-    runs(&worker, 2).await;
+    let first = start_agent(&store, &worker);
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
     first.abort();
     // The new agent hears its worker, and no look is answered.
-    worker.hide(true);
-    let second = agent(&store, &worker);
+    worker.fail_polls(true);
+    let second = start_agent(&store, &worker);
     passes(Duration::from_millis(700)).await;
-    worker.start_again();
-    worker.hide(false);
-    let began = || async { (worker.began().len() == 4).then_some(()) };
+    worker.restart();
+    worker.fail_polls(false);
+    let began = || async { (worker.started().len() == 4).then_some(()) };
     until("both tasks begin anew", began).await;
     assert_eq!(lost_under(&store, "a").await, [1, 1]);
     second.abort();
@@ -394,21 +402,21 @@
 #[tokio::test]
 async fn what_was_read_as_done_is_not_done_again_though_its_worker_goes() {
     let store = Memory::default();
-    let worker = Fake::born();
+    let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
-    let agent = agent(&store, &worker);
-    admission.submit(&job("a"), soon()).await;
-    runs(&worker, 2).await;
+    let agent = start_agent(&store, &worker);
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
     entry.kill();
     worker.end_all(RunOutcome::Done);
-    let looked = worker.looks();
-    let looks = || async { (worker.looks() >= looked + 3).then_some(()) };
+    let looked = worker.polls();
+    let looks = || async { (worker.polls() >= looked + 3).then_some(()) };
     until("the agent has read both ends", looks).await;
-    worker.start_again();
+    worker.restart();
     let next = Entry::start("next", &store).await;
-    reaches(&admission, "a", DONE).await;
-    let mut began = worker.began();
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
+    let mut began = worker.started();
     began.sort();
     assert_eq!(began, ["a.0.0.0 1", "a.0.0.1 1"], "done again");
     agent.abort();
@@ -418,27 +426,27 @@
 #[tokio::test]
 async fn a_look_that_comes_late_to_a_later_birth_forgets_no_end() {
     let store = Memory::default();
-    let worker = Fake::born();
+    let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
-    let agent = agent(&store, &worker);
-    admission.submit(&job("a"), soon()).await;
-    runs(&worker, 2).await;
+    let agent = start_agent(&store, &worker);
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
     worker.end_all(RunOutcome::Done);
-    reaches(&admission, "a", DONE).await;
-    let forgotten = || async { (worker.ends() == 0).then_some(()) };
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
+    let forgotten = || async { (worker.listed_ends() == 0).then_some(()) };
     until("both ends are acknowledged", forgotten).await;
-    let looked = worker.looks();
-    let later = || async { (worker.looks() >= looked + 5).then_some(()) };
+    let looked = worker.polls();
+    let later = || async { (worker.polls() >= looked + 5).then_some(()) };
     until("several looks", later).await;
-    let last = worker.acknowledged();
-    worker.start_again();
-    admission.submit(&job("b"), soon()).await;
-    runs(&worker, 2).await;
+    let last = worker.last_acknowledged();
+    worker.restart();
+    admission.submit(&job("b"), deadline()).await;
+    wait_for_running(&worker, 2).await;
     worker.end_all(RunOutcome::Done);
     // It was under way when the worker went down.
-    worker.acknowledge_late(last);
-    reaches(&admission, "b", DONE).await;
+    worker.apply_late_acknowledgement(last);
+    wait_for_stage(&admission, "b", SUCCEEDED).await;
     agent.abort();
     entry.kill();
 }
@@ -446,7 +454,11 @@
 #[tokio::test]
 async fn a_job_that_takes_workers_down_is_given_up_whatever_their_names() {
     let store = Memory::default();
-    let workers = [Fake::born(), Fake::born(), Fake::born()];
+    let workers = [
+        FakeWorker::with_births(),
+        FakeWorker::with_births(),
+        FakeWorker::with_births(),
+    ];
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
     let lease = Duration::from_secs(6);
@@ -454,14 +466,14 @@
     let agents: Vec<_> = names
         .iter()
         .zip(&workers)
-        .map(|(name, worker)| agent_of(name, lease, &store, worker))
+        .map(|(name, worker)| start_agent_named(name, lease, &store, worker))
         .collect();
     for worker in &workers {
-        worker.crash_under("bad");
+        worker.crash_on_start_of("bad");
     }
-    admission.submit(&job("bad"), soon()).await;
-    reaches(&admission, "bad", Stage::Ended(Outcome::Failed)).await;
-    let crashes: u32 = workers.iter().map(Fake::crashes).sum();
+    admission.submit(&job("bad"), deadline()).await;
+    wait_for_stage(&admission, "bad", Stage::Ended(Outcome::Failed)).await;
+    let crashes: u32 = workers.iter().map(FakeWorker::crashes).sum();
     // Both tasks at first, then one of them until it is told.
     assert!(crashes <= 5, "{crashes} workers were taken down");
     for agent in agents {
--- a/tests/it/broken.rs
+++ b/tests/it/broken.rs
@@ -42,7 +42,7 @@
     // One worker is taken away; the others tell that a member has ended.
     let gone = site.workers.remove(on[2]);
     end(&mut site, &on[..2], RunOutcome::Broken);
-    site.live(Duration::from_secs(4));
+    site.run_for(Duration::from_secs(4));
     assert_eq!(site.running("gang"), 3, "begun anew within 4 s");
     // Should it come back, what it tells of that run counts no more.
     let mut back = gone;
@@ -61,7 +61,7 @@
     let (mut site, on) = gang();
     site.workers[on[2]].silent = true;
     end(&mut site, &on[..2], RunOutcome::Broken);
-    site.live(Duration::from_secs(1));
+    site.run_for(Duration::from_secs(1));
     assert_eq!(site.running("gang"), 4, "three anew, and the old list");
 }
 
@@ -79,13 +79,13 @@
         let here = on(&site);
         end(&mut site, &here[..1], RunOutcome::Failed);
         end(&mut site, &here[1..], RunOutcome::Broken);
-        site.live(Duration::from_secs(6));
+        site.run_for(Duration::from_secs(6));
         assert_eq!(site.running("gang"), 3);
     }
     let here = on(&site);
     site.workers[here[2]].silent = true;
     end(&mut site, &here[..2], RunOutcome::Broken);
-    site.live(Duration::from_secs(4));
+    site.run_for(Duration::from_secs(4));
     assert_eq!(site.running("gang"), 1, "its leases have not run out");
 }
 
@@ -97,9 +97,9 @@
     end(&mut site, &on[..1], RunOutcome::Failed);
     site.settle();
     end(&mut site, &on[1..2], RunOutcome::Broken);
-    site.live(Duration::from_secs(8));
+    site.run_for(Duration::from_secs(8));
     assert_eq!(site.running("gang"), 0, "its leases have not run out");
-    site.live(Duration::from_secs(7));
+    site.run_for(Duration::from_secs(7));
     assert_eq!(site.running("gang"), 3);
 }
 
@@ -110,7 +110,7 @@
     site.workers.remove(on[1]);
     // One of the two has ended; the other may be running yet.
     end(&mut site, &on[..1], RunOutcome::Broken);
-    site.live(Duration::from_secs(8));
+    site.run_for(Duration::from_secs(8));
     assert_eq!(site.running("gang"), 0, "their leases have not run out");
 }
 
@@ -119,13 +119,13 @@
     let (mut site, on) = gang();
     let late = site.workers.remove(on[2]);
     end(&mut site, &on[..2], RunOutcome::Broken);
-    site.live(Duration::from_secs(1));
+    site.run_for(Duration::from_secs(1));
     assert_eq!(site.running("gang"), 0, "it may tell yet how it ended");
     let mut late = late;
     late.end(RunOutcome::Done, |_| true);
     site.workers.push(late);
     site.settle();
-    site.live(Duration::from_secs(3));
+    site.run_for(Duration::from_secs(3));
     assert_eq!(site.running("gang"), 0, "it was done after all");
 }
 
@@ -137,26 +137,26 @@
 fn a_worker_is_given_back_no_more_than_was_taken() {
     let mut site = Site::new(&[("w1", "r1"), ("w2", "r1")]);
     for worker in &mut site.workers {
-        site.book.apply_report(worker.report(), site.now);
+        site.scheduler.apply_report(worker.report(), site.now);
     }
     site.submit(job("gang", 1, vec![step(3, 4, true)], &site));
-    site.step();
-    site.write();
+    site.schedule();
+    site.write_progress();
     // One worker is told of its one member; of the other with two nothing is
     // heard for long.
-    let placed = site.book.progress("gang").expect("it has begun");
+    let placed = site.scheduler.progress("gang").expect("it has begun");
     let on: Vec<_> = placed.units.values().flat_map(|u| &u.on).collect();
     let on = |agent: &str| on.iter().filter(|p| &*p.agent == agent).count();
     let full = usize::from(on("w2") == 2);
     let silent = site.workers.remove(full);
     for _ in 0..40 {
-        site.pass(Duration::from_millis(500));
+        site.advance(Duration::from_millis(500));
         site.settle();
     }
-    site.book.cancel_job("gang", site.now);
+    site.scheduler.cancel_job("gang", site.now);
     site.settle();
     site.workers = vec![silent];
     site.submit(job("many", 1, vec![step(10, 1, false)], &site));
-    site.live(Duration::from_secs(3));
+    site.run_for(Duration::from_secs(3));
     assert_eq!(site.running("many"), 8);
 }
--- a/tests/it/burst.rs
+++ b/tests/it/burst.rs
@@ -48,8 +48,9 @@
     assert_eq!(all, WORKERS * 8, "the site is full");
     let guaranteed = (GANGS * RACK / 2 * 8) as i64;
     let account: SharedStr = "account".into();
-    site.book.set_guarantees([(account, guaranteed)].into());
-    site.pass(Duration::from_secs(1));
+    site.scheduler
+        .set_guarantees([(account, guaranteed)].into());
+    site.advance(Duration::from_secs(1));
     for at in 0..GANGS {
         let id = format!("urgent{at:02}");
         site.submit(job(&id, 0, vec![step(4, 8, true)], &site));
@@ -62,8 +63,8 @@
         };
         (0..5).map(took).min().expect("five")
     };
-    let copied = time(&mut || drop(site.book.clone()));
-    let passed = time(&mut || site.book.clone().run_pass(site.now));
+    let copied = time(&mut || drop(site.scheduler.clone()));
+    let passed = time(&mut || site.scheduler.clone().run_pass(site.now));
     println!("copied {copied:?}, passed {passed:?}");
     assert!(passed < copied * MOST, "{passed:?}, {copied:?} to copy");
     // All of them are given room at once, in racks of their own.
--- a/tests/it/cell.rs
+++ b/tests/it/cell.rs
@@ -84,24 +84,24 @@
 
 impl Memory {
     /// Loses the answers of so many writes.
-    pub fn lose(&self, answers: u32) {
+    pub fn lose_answers(&self, answers: u32) {
         self.lock().lose = answers;
     }
 
     /// Turns so many calls away.
-    pub fn refuse(&self, calls: u32) {
+    pub fn reject_calls(&self, calls: u32) {
         self.lock().refuse = calls;
     }
 
     /// Returns who holds the claim.
-    pub fn planner(&self) -> Option<Holder> {
+    pub fn claim_holder(&self) -> Option<Holder> {
         let data = self.lock();
         let (item, _) = data.items.get(keys::PLANNER)?;
         serde_json::from_slice(&item.value).ok()
     }
 
     /// Returns how many writes were asked for, and how many reads of a key.
-    pub fn calls(&self) -> (usize, usize) {
+    pub fn call_counts(&self) -> (usize, usize) {
         let data = self.lock();
         (data.writes, data.reads)
     }
@@ -349,20 +349,20 @@
 
 /// A worker whose tasks end when told.
 #[derive(Clone)]
-pub struct Fake {
+pub struct FakeWorker {
     tasks: Arc<Mutex<Tasks>>,
     started: Instant,
 }
 
-impl Fake {
-    pub fn new() -> Fake {
-        Fake {
+impl FakeWorker {
+    pub fn new() -> FakeWorker {
+        FakeWorker {
             tasks: Arc::default(),
             started: Instant::now(),
         }
     }
 
-    pub fn began(&self) -> Vec<String> {
+    pub fn started(&self) -> Vec<String> {
         self.lock().began.clone()
     }
 
@@ -371,18 +371,18 @@
     }
 
     /// Leaves the next starts without answer, and undone.
-    pub fn lose_starts(&self, count: u32) {
+    pub fn leave_starts_unanswered(&self, count: u32) {
         self.lock().late = count;
     }
 
     /// Returns how many starts were left without answer.
-    pub fn lost_starts(&self) -> u32 {
+    pub fn unanswered_starts(&self) -> u32 {
         self.lock().lost_starts
     }
 
     /// Carries out the starts that were left without answer, in whatever
     /// birth it is now.
-    pub fn carry_out_late(&self) {
+    pub fn execute_late_starts(&self) {
         let mut tasks = self.lock();
         for start in std::mem::take(&mut tasks.held_up) {
             tasks.begin(&start);
@@ -390,94 +390,94 @@
     }
 
     /// Lets it have no room for further tasks, or have it again.
-    pub fn fill(&self, full: bool) {
+    pub fn set_full(&self, full: bool) {
         self.lock().full = full;
     }
 
     /// Breaks off every look from now on, or answers them again.
-    pub fn hide(&self, hides: bool) {
+    pub fn fail_polls(&self, hides: bool) {
         self.lock().hides = hides;
     }
 
     /// Leaves looks without answer once a start has had none.
-    pub fn stall_looks_after_a_loss(&self) {
+    pub fn stall_polls_after_unanswered_start(&self) {
         self.lock().stalls = true;
     }
 
     /// Returns how many looks were left without answer so.
-    pub fn stalled(&self) -> u32 {
+    pub fn stalled_polls(&self) -> u32 {
         self.lock().stalled
     }
 
     /// Breaks off every look after one that will have shown an end.
-    pub fn show_once(&self) {
+    pub fn fail_polls_after_shown_end(&self) {
         self.lock().shows_once = true;
     }
 
     /// Answers nothing more once it will have shown an end.
-    pub fn mute_once_shown(&self) {
+    pub fn mute_after_shown_end(&self) {
         self.lock().mutes_once_shown = true;
     }
 
     /// Returns up to which end it was asked to forget ends since it answers
     /// nothing.
-    pub fn asked_to_forget(&self) -> u64 {
+    pub fn acknowledged_while_mute(&self) -> u64 {
         self.lock().asked
     }
 
     /// Returns how many calls it has broken off.
-    pub fn broken_off(&self) -> u32 {
+    pub fn failed_calls(&self) -> u32 {
         self.lock().broken_off
     }
 
     /// Breaks off every stop from now on, or takes them again.
-    pub fn lose_stops(&self, lose: bool) {
+    pub fn fail_stops(&self, lose: bool) {
         self.lock().keeps_on = lose;
     }
 
     /// Lets it answer no calls, nor send heartbeats, or do so again.
-    pub fn mute(&self, mute: bool) {
+    pub fn set_mute(&self, mute: bool) {
         self.lock().mute = mute;
     }
 
     /// Changes how many accelerators it has.
-    pub fn shrink(&self, accelerators: i64) {
+    pub fn set_accelerators(&self, accelerators: i64) {
         self.lock().accelerators = Some(accelerators);
     }
 
     /// Returns how many heartbeats it has sent.
-    pub fn beats(&self) -> u32 {
+    pub fn heartbeats(&self) -> u32 {
         self.lock().beats
     }
 
     /// Returns how many looks it has answered.
-    pub fn looks(&self) -> u32 {
+    pub fn polls(&self) -> u32 {
         self.lock().looks
     }
 
     /// Returns up to which end the last look has acknowledged.
-    pub fn acknowledged(&self) -> u64 {
+    pub fn last_acknowledged(&self) -> u64 {
         self.lock().acknowledged
     }
 
     /// Takes in late what a look has acknowledged.
-    pub fn acknowledge_late(&self, noted: u64) {
+    pub fn apply_late_acknowledgement(&self, noted: u64) {
         self.lock().ended.retain(|ended| ended.number > noted);
     }
 
     /// Returns whether the last look at it prolonged its lease.
-    pub fn is_prolonged(&self) -> bool {
+    pub fn lease_was_renewed(&self) -> bool {
         self.lock().prolonged
     }
 
     /// Lets the tasks of a job take it down as they begin.
-    pub fn crash_under(&self, job: &'static str) {
+    pub fn crash_on_start_of(&self, job: &'static str) {
         self.lock().bad = Some(job);
     }
 
     /// Returns a worker that tells its births, and keeps its name.
-    pub fn born() -> Fake {
-        let fake = Fake::new();
+    pub fn with_births() -> FakeWorker {
+        let fake = FakeWorker::new();
         {
             let mut tasks = fake.lock();
             tasks.keeps_name = true;
@@ -487,7 +487,7 @@
     }
 
     /// Lets it start again, empty, under the name that it has.
-    pub fn start_again(&self) {
+    pub fn restart(&self) {
         self.lock().crash();
     }
 
@@ -497,7 +497,7 @@
     }
 
     /// Returns how many ends it lists.
-    pub fn ends(&self) -> usize {
+    pub fn listed_ends(&self) -> usize {
         self.lock().ended.len()
     }
 
@@ -628,7 +628,7 @@
     });
 }
 
-impl Worker for Fake {
+impl Worker for FakeWorker {
     async fn start(
         &self,
         call: &Call,
@@ -751,24 +751,24 @@
 
 impl Entry {
     pub async fn start(name: &str, store: &Memory) -> Entry {
-        Entry::logged(name, store, log::none()).await
+        Entry::with_log(name, store, log::none()).await
     }
 
     /// Starts an entry whose planner survives and takes what it is told.
-    pub async fn limited(
+    pub async fn with_limits(
         name: &str,
         store: &Memory,
         limits: Limits,
         terms: Options,
     ) -> Entry {
-        Entry::on(name, store, limits, terms, 1.0, log::none()).await
+        Entry::start_on(name, store, limits, terms, 1.0, log::none()).await
     }
 
     /// Starts an entry of so many cores.
-    pub async fn strong(name: &str, store: &Memory, cores: f64) -> Entry {
+    pub async fn with_cores(name: &str, store: &Memory, cores: f64) -> Entry {
         let limits = Limits::default();
         let terms = Options::default();
-        Entry::on(name, store, limits, terms, cores, log::none()).await
+        Entry::start_on(name, store, limits, terms, cores, log::none()).await
     }
 
     /// Returns where agents reach it.
@@ -776,16 +776,17 @@
         self.server.address()
     }
 
-    pub async fn logged(
+    pub async fn with_log(
         name: &str,
         store: &Memory,
         log: slog::Logger,
     ) -> Entry {
         let limits = Limits::default();
-        Entry::on(name, store, limits, Options::default(), 1.0, log).await
+        Entry::start_on(name, store, limits, Options::default(), 1.0, log)
+            .await
     }
 
-    async fn on(
+    async fn start_on(
         name: &str,
         store: &Memory,
         limits: Limits,
@@ -833,7 +834,7 @@
 
 /// How often a worker sends a heartbeat.
 /// Where operators write here.
-pub const KEYS: Keys = Keys {
+pub const CONFIGURATION_KEYS: Keys = Keys {
     prefix: "key",
     configuration: "key",
     closed: "key/closed/",
@@ -841,29 +842,29 @@
 
 const BEAT: Duration = Duration::from_millis(300);
 
-pub fn agent(store: &Memory, worker: &Fake) -> JoinHandle<()> {
-    agent_of("agent", Duration::from_secs(6), store, worker)
+pub fn start_agent(store: &Memory, worker: &FakeWorker) -> JoinHandle<()> {
+    start_agent_named("agent", Duration::from_secs(6), store, worker)
 }
 
 /// Starts an agent of that name, which leases its worker for so long.
-pub fn agent_of(
+pub fn start_agent_named(
     name: &str,
     lease: Duration,
     store: &Memory,
-    worker: &Fake,
+    worker: &FakeWorker,
 ) -> JoinHandle<()> {
     let survival = Options::default().survival;
-    surviving(name, survival, lease, store, worker)
+    start_agent_with_survival(name, survival, lease, store, worker)
 }
 
 /// Starts an agent whose worker's tasks go on for `survival` without a
 /// planner.
-pub fn surviving(
+pub fn start_agent_with_survival(
     name: &str,
     survival: Duration,
     lease: Duration,
     store: &Memory,
-    worker: &Fake,
+    worker: &FakeWorker,
 ) -> JoinHandle<()> {
     let config = Config {
         agent: name.into(),
@@ -894,8 +895,8 @@
 pub fn member(
     name: &str,
     store: &Memory,
-    worker: &Fake,
-) -> Member<Fake, Memory> {
+    worker: &FakeWorker,
+) -> Member<FakeWorker, Memory> {
     let config = Config {
         agent: name.into(),
         survival: Options::default().survival,
@@ -906,7 +907,7 @@
     Member::new(config, worker.clone(), store.clone())
 }
 
-fn next_heartbeat(worker: &Fake) -> Heartbeat {
+fn next_heartbeat(worker: &FakeWorker) -> Heartbeat {
     let sequence = {
         let mut tasks = worker.lock();
         tasks.sequence += 1;
@@ -915,7 +916,7 @@
     heartbeat(worker, sequence)
 }
 
-pub fn heartbeat(worker: &Fake, sequence: u64) -> Heartbeat {
+pub fn heartbeat(worker: &FakeWorker, sequence: u64) -> Heartbeat {
     let accelerators = worker.lock().accelerators.unwrap_or(8);
     Heartbeat {
         life: worker.life(),
@@ -964,41 +965,45 @@
     }
 }
 
-pub fn soon() -> Instant {
+pub fn deadline() -> Instant {
     Instant::now() + Duration::from_secs(2)
 }
 
-pub async fn runs(worker: &Fake, wanted: usize) {
+pub async fn wait_for_running(worker: &FakeWorker, wanted: usize) {
     let running =
         || async { (worker.lock().running.len() == wanted).then_some(()) };
     until("the tasks run", running).await;
 }
 
-pub async fn reaches(admission: &Admission<Memory>, id: &str, wanted: Stage) {
+pub async fn wait_for_stage(
+    admission: &Admission<Memory>,
+    id: &str,
+    wanted: Stage,
+) {
     let stage = || async {
-        let stage = admission.stage(id, soon()).await.ok().flatten();
+        let stage = admission.stage(id, deadline()).await.ok().flatten();
         (stage == Some(wanted)).then_some(())
     };
     until("the job's stage", stage).await;
 }
 
-pub const DONE: Stage = Stage::Ended(Outcome::Succeeded);
+pub const SUCCEEDED: Stage = Stage::Ended(Outcome::Succeeded);
 
 #[tokio::test]
 async fn a_job_is_kept_run_once_and_done() {
     let store = Memory::default();
-    let worker = Fake::new();
+    let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
-    let agent = agent(&store, &worker);
-    let submitted = admission.submit(&job("a"), soon()).await;
+    let agent = start_agent(&store, &worker);
+    let submitted = admission.submit(&job("a"), deadline()).await;
     assert_eq!(submitted, Submitted::Accepted);
     // The same name again is the same job.
-    let submitted = admission.submit(&job("a"), soon()).await;
+    let submitted = admission.submit(&job("a"), deadline()).await;
     assert_eq!(submitted, Submitted::Accepted);
-    runs(&worker, 2).await;
+    wait_for_running(&worker, 2).await;
     worker.end_all(RunOutcome::Done);
-    reaches(&admission, "a", DONE).await;
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
     assert_eq!(worker.lock().began, ["a.0.0.0 1", "a.0.0.1 1"]);
     let noted = || async { worker.lock().ended.is_empty().then_some(()) };
     until("the ends are acknowledged", noted).await;
@@ -1009,17 +1014,17 @@
 #[tokio::test]
 async fn an_agent_that_restarts_learns_the_token_and_keeps_the_tasks() {
     let store = Memory::default();
-    let worker = Fake::new();
+    let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
-    let first = agent(&store, &worker);
-    admission.submit(&job("a"), soon()).await;
-    runs(&worker, 2).await;
+    let first = start_agent(&store, &worker);
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
     first.abort();
     // Its worker is fenced against whoever knows no token.
-    let second = agent(&store, &worker);
+    let second = start_agent(&store, &worker);
     worker.end_all(RunOutcome::Done);
-    reaches(&admission, "a", DONE).await;
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
     assert_eq!(worker.lock().began.len(), 2, "started again");
     second.abort();
     entry.kill();
@@ -1028,25 +1033,25 @@
 #[tokio::test]
 async fn a_fenced_agent_does_not_call_its_worker_gone() {
     let store = Memory::default();
-    let worker = Fake::new();
+    let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
-    let first = agent(&store, &worker);
-    admission.submit(&job("a"), soon()).await;
-    runs(&worker, 2).await;
+    let first = start_agent(&store, &worker);
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
     first.abort();
     entry.kill();
     worker.end_all(RunOutcome::Done);
     // Long without a planner: longer than a silent worker is waited for.
     store.lock().refuse = u32::MAX;
-    let second = agent(&store, &worker);
+    let second = start_agent(&store, &worker);
     let before = Instant::now();
     let long =
         || async { (before.elapsed() > Duration::from_secs(3)).then_some(()) };
     until("time passes without the store", long).await;
     store.lock().refuse = 0;
     let entry = Entry::start("other", &store).await;
-    reaches(&admission, "a", DONE).await;
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
     assert_eq!(worker.lock().began.len(), 2, "started again though done");
     second.abort();
     entry.kill();
@@ -1055,18 +1060,18 @@
 #[tokio::test]
 async fn writes_whose_answers_are_lost_start_nothing_twice() {
     let store = Memory::default();
-    let worker = Fake::new();
+    let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
-    let agent = agent(&store, &worker);
+    let agent = start_agent(&store, &worker);
     store.lock().lose = 1;
-    let submitted = admission.submit(&job("a"), soon()).await;
+    let submitted = admission.submit(&job("a"), deadline()).await;
     assert_eq!(submitted, Submitted::Accepted, "the second try finds it");
     store.lock().lose = 3;
-    runs(&worker, 2).await;
+    wait_for_running(&worker, 2).await;
     store.lock().lose = 3;
     worker.end_all(RunOutcome::Done);
-    reaches(&admission, "a", DONE).await;
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
     assert_eq!(worker.lock().began.len(), 2);
     agent.abort();
     entry.kill();
@@ -1077,10 +1082,10 @@
     let store = Memory::default();
     let admission = Admission::new(store.clone(), log::none());
     store.lock().refuse = u32::MAX;
-    let submitted = admission.submit(&job("b"), soon()).await;
+    let submitted = admission.submit(&job("b"), deadline()).await;
     assert_eq!(submitted, Submitted::Refused, "nothing was written");
     store.lock().refuse = 0;
-    let submitted = admission.submit(&job("d"), soon()).await;
+    let submitted = admission.submit(&job("d"), deadline()).await;
     assert_eq!(submitted, Submitted::Accepted, "the store is back");
     store.lock().lose = 1;
     // The write takes effect without an answer, and then the store is gone.
@@ -1088,25 +1093,25 @@
     let submitted = admission.submit(&job("c"), late).await;
     assert_eq!(submitted, Submitted::Unsure);
     store.lock().refuse = u32::MAX;
-    let submitted = admission.submit(&job("c"), soon()).await;
+    let submitted = admission.submit(&job("c"), deadline()).await;
     assert_eq!(submitted, Submitted::Unsure, "it may be kept");
 }
 
 #[tokio::test]
 async fn another_entry_takes_over_and_a_cancel_stops_the_tasks() {
     let store = Memory::default();
-    let worker = Fake::new();
+    let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
     let first = Entry::start("first", &store).await;
-    let agent = agent(&store, &worker);
-    admission.submit(&job("a"), soon()).await;
-    runs(&worker, 2).await;
+    let agent = start_agent(&store, &worker);
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
     first.kill();
     let second = Entry::start("second", &store).await;
-    assert!(admission.cancel("a", soon()).await.expect("answered"));
-    runs(&worker, 0).await;
+    assert!(admission.cancel("a", deadline()).await.expect("answered"));
+    wait_for_running(&worker, 0).await;
     let cancelled = Stage::Ended(Outcome::Cancelled);
-    reaches(&admission, "a", cancelled).await;
+    wait_for_stage(&admission, "a", cancelled).await;
     assert_eq!(worker.lock().began.len(), 2, "nothing began anew");
     agent.abort();
     second.kill();
@@ -1115,17 +1120,17 @@
 #[tokio::test]
 async fn tasks_of_a_worker_that_falls_silent_begin_elsewhere() {
     let store = Memory::default();
-    let (silent, other) = (Fake::new(), Fake::new());
+    let (silent, other) = (FakeWorker::new(), FakeWorker::new());
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
     let lease = Duration::from_secs(3);
-    let first = agent_of("first", lease, &store, &silent);
-    admission.submit(&job("a"), soon()).await;
-    runs(&silent, 2).await;
+    let first = start_agent_named("first", lease, &store, &silent);
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&silent, 2).await;
     // Its agent lives, and goes on being granted what runs.
     silent.lock().mute = true;
-    let second = agent_of("second", lease, &store, &other);
-    runs(&other, 2).await;
+    let second = start_agent_named("second", lease, &store, &other);
+    wait_for_running(&other, 2).await;
     first.abort();
     second.abort();
     entry.kill();
@@ -1134,22 +1139,22 @@
 #[tokio::test]
 async fn what_was_done_by_a_worker_that_was_taken_for_gone_is_done() {
     let store = Memory::default();
-    let (silent, other) = (Fake::new(), Fake::new());
+    let (silent, other) = (FakeWorker::new(), FakeWorker::new());
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
     let lease = Duration::from_secs(2);
-    let first = agent_of("first", lease, &store, &silent);
-    admission.submit(&job("a"), soon()).await;
-    runs(&silent, 2).await;
+    let first = start_agent_named("first", lease, &store, &silent);
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&silent, 2).await;
     silent.lock().mute = true;
-    let second = agent_of("second", lease, &store, &other);
-    runs(&other, 2).await;
+    let second = start_agent_named("second", lease, &store, &other);
+    wait_for_running(&other, 2).await;
     // It ran on all the while, and says so.
     silent.end_all(RunOutcome::Done);
     silent.lock().mute = false;
-    reaches(&admission, "a", DONE).await;
-    runs(&other, 0).await;
-    let began = other.began().len() + silent.began().len();
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
+    wait_for_running(&other, 0).await;
+    let began = other.started().len() + silent.started().len();
     assert_eq!(began, 4, "begun again though done");
     first.abort();
     second.abort();
@@ -1163,24 +1168,24 @@
 #[tokio::test]
 async fn an_old_order_is_dropped_once_its_worker_is_told_to_be_gone() {
     let store = Memory::default();
-    let (silent, other) = (Fake::new(), Fake::new());
+    let (silent, other) = (FakeWorker::new(), FakeWorker::new());
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
     let lease = Duration::from_secs(2);
-    let first = agent_of("first", lease, &store, &silent);
-    silent.lose_starts(u32::MAX);
-    admission.submit(&job("a"), soon()).await;
-    let lost = || async { (silent.lost_starts() >= 2).then_some(()) };
+    let first = start_agent_named("first", lease, &store, &silent);
+    silent.leave_starts_unanswered(u32::MAX);
+    admission.submit(&job("a"), deadline()).await;
+    let lost = || async { (silent.unanswered_starts() >= 2).then_some(()) };
     until("two starts have no answer", lost).await;
     silent.lock().mute = true;
-    let second = agent_of("second", lease, &store, &other);
-    runs(&other, 2).await;
-    silent.lose_starts(0);
+    let second = start_agent_named("second", lease, &store, &other);
+    wait_for_running(&other, 2).await;
+    silent.leave_starts_unanswered(0);
     silent.lock().mute = false;
-    let looked = silent.looks();
-    let looks = || async { (silent.looks() >= looked + 20).then_some(()) };
+    let looked = silent.polls();
+    let looks = || async { (silent.polls() >= looked + 20).then_some(()) };
     until("it answers again", looks).await;
-    assert_eq!(silent.began(), Vec::<String>::new(), "begun twice");
+    assert_eq!(silent.started(), Vec::<String>::new(), "begun twice");
     first.abort();
     second.abort();
     entry.kill();
@@ -1189,16 +1194,16 @@
 #[tokio::test]
 async fn a_start_without_answer_is_barred_before_it_is_refused() {
     let store = Memory::default();
-    let worker = Fake::new();
+    let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
-    let agent = agent(&store, &worker);
+    let agent = start_agent(&store, &worker);
     {
         let mut tasks = worker.lock();
         tasks.late = 2;
         tasks.full = true;
     }
-    admission.submit(&job("a"), soon()).await;
+    admission.submit(&job("a"), deadline()).await;
     // Before the planner may place the first run elsewhere, it is sure that
     // the late order starts nothing here.
     let barred = || async {
@@ -1215,28 +1220,28 @@
 #[tokio::test]
 async fn a_worker_that_answers_no_calls_gets_no_new_work() {
     let store = Memory::default();
-    let (deaf, other) = (Fake::new(), Fake::new());
+    let (deaf, other) = (FakeWorker::new(), FakeWorker::new());
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
     let lease = Duration::from_secs(6);
-    let first = agent_of("first", lease, &store, &deaf);
-    admission.submit(&job("a"), soon()).await;
-    runs(&deaf, 2).await;
+    let first = start_agent_named("first", lease, &store, &deaf);
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&deaf, 2).await;
     deaf.end_all(RunOutcome::Done);
-    reaches(&admission, "a", DONE).await;
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
     // It breaks off all calls from now on; its heartbeats go on.
     deaf.lock().deaf = true;
     let noticed = || async { (deaf.lock().broken_off >= 4).then_some(()) };
     until("its agent notices", noticed).await;
-    let second = agent_of("second", lease, &store, &other);
-    admission.submit(&job("b"), soon()).await;
-    runs(&other, 2).await;
+    let second = start_agent_named("second", lease, &store, &other);
+    admission.submit(&job("b"), deadline()).await;
+    wait_for_running(&other, 2).await;
     assert_eq!(deaf.lock().starts_broken_off, 0, "work for a deaf worker");
     // Once it answers again it is as good as any other.
     other.lock().full = true;
     deaf.lock().deaf = false;
-    admission.submit(&job("c"), soon()).await;
-    runs(&deaf, 2).await;
+    admission.submit(&job("c"), deadline()).await;
+    wait_for_running(&deaf, 2).await;
     first.abort();
     second.abort();
     entry.kill();
@@ -1245,27 +1250,27 @@
 #[tokio::test]
 async fn a_job_that_takes_workers_down_is_given_up_and_the_others_go_on() {
     let store = Memory::default();
-    let workers = [Fake::new(), Fake::new(), Fake::new()];
+    let workers = [FakeWorker::new(), FakeWorker::new(), FakeWorker::new()];
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
     let lease = Duration::from_secs(6);
     let names = ["first", "second", "third"];
     let agents = names.iter().zip(&workers);
     let agents: Vec<JoinHandle<()>> = agents
-        .map(|(name, worker)| agent_of(name, lease, &store, worker))
+        .map(|(name, worker)| start_agent_named(name, lease, &store, worker))
         .collect();
     for worker in &workers {
-        worker.crash_under("bad");
+        worker.crash_on_start_of("bad");
     }
-    admission.submit(&job("bad"), soon()).await;
+    admission.submit(&job("bad"), deadline()).await;
     let failed = Stage::Ended(Outcome::Failed);
-    reaches(&admission, "bad", failed).await;
+    wait_for_stage(&admission, "bad", failed).await;
     let crashes: u32 = workers.iter().map(|w| w.lock().crashes).sum();
     // Both tasks at first, then one of them until it is told.
     assert!(crashes <= 5, "{crashes} workers were taken down");
-    admission.submit(&job("good"), soon()).await;
+    admission.submit(&job("good"), deadline()).await;
     let began = || async {
-        let all = workers.iter().flat_map(Fake::began);
+        let all = workers.iter().flat_map(FakeWorker::started);
         let good = all.filter(|start| start.starts_with("good")).count();
         (good == 2).then_some(())
     };
@@ -1273,7 +1278,7 @@
     for worker in &workers {
         worker.end_all(RunOutcome::Done);
     }
-    reaches(&admission, "good", DONE).await;
+    wait_for_stage(&admission, "good", SUCCEEDED).await;
     for agent in agents {
         agent.abort();
     }
@@ -1283,7 +1288,7 @@
 #[tokio::test]
 async fn a_heartbeat_of_a_life_that_does_not_answer_here_changes_nothing() {
     let store = Memory::default();
-    let worker = Fake::new();
+    let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
     let member = member("agent", &store, &worker);
@@ -1292,20 +1297,20 @@
         async move { member.run().await }
     });
     member.heartbeat(heartbeat(&worker, 1));
-    admission.submit(&job("a"), soon()).await;
-    runs(&worker, 2).await;
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
     // One of an earlier life was late, and one is from nobody.
     for (life, sequence) in [("life-0", 900), ("nobody", 1), ("life-0", 901)] {
         let beat = heartbeat(&worker, sequence);
         let life = life.into();
         member.heartbeat(Heartbeat { life, ..beat });
     }
-    let looked = worker.looks();
-    let later = || async { (worker.looks() >= looked + 20).then_some(()) };
+    let looked = worker.polls();
+    let later = || async { (worker.polls() >= looked + 20).then_some(()) };
     until("several looks", later).await;
     worker.end_all(RunOutcome::Done);
-    reaches(&admission, "a", DONE).await;
-    let mut began = worker.began();
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
+    let mut began = worker.started();
     began.sort();
     assert_eq!(began, ["a.0.0.0 1", "a.0.0.1 1"]);
     running.abort();
@@ -1315,19 +1320,19 @@
 #[tokio::test]
 async fn a_job_whose_progress_cannot_be_read_is_not_begun_again() {
     let store = Memory::default();
-    let worker = Fake::new();
+    let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
-    admission.submit(&job("a"), soon()).await;
-    admission.submit(&job("b"), soon()).await;
+    admission.submit(&job("a"), deadline()).await;
+    admission.submit(&job("b"), deadline()).await;
     let garbage = b"{\"units\": 7}".to_vec();
     let put = Mutation::Value(keys::progress("a"), garbage, 0);
     store.swap(&[], vec![put]).await.expect("is written");
     let entry = Entry::start("entry", &store).await;
-    let agent = agent(&store, &worker);
-    runs(&worker, 2).await;
+    let agent = start_agent(&store, &worker);
+    wait_for_running(&worker, 2).await;
     worker.end_all(RunOutcome::Done);
-    reaches(&admission, "b", DONE).await;
-    let mut began = worker.began();
+    wait_for_stage(&admission, "b", SUCCEEDED).await;
+    let mut began = worker.started();
     began.sort();
     assert_eq!(began, ["b.0.0.0 1", "b.0.0.1 1"]);
     agent.abort();
--- a/tests/it/closed.rs
+++ b/tests/it/closed.rs
@@ -15,7 +15,7 @@
 use landingvalve::store::Store;
 
 use crate::cell::Memory;
-use crate::cell::KEYS;
+use crate::cell::CONFIGURATION_KEYS;
 use crate::graph::job;
 use crate::graph::step;
 use crate::graph::Site;
@@ -39,16 +39,16 @@
     site.submit(job("a", 1, vec![step(2, 8, false)], &site));
     site.settle();
     assert_eq!(site.running("a"), 2);
-    site.book.set_closed_halls(halls(&["near"]));
+    site.scheduler.set_closed_halls(halls(&["near"]));
     site.settle();
     assert_eq!(site.running("a"), 2, "what runs goes on");
-    site.end_all("a");
+    site.finish_job("a");
     site.submit(job("b", 0, vec![step(2, 8, false)], &site));
     site.settle();
     let here: Vec<usize> =
         site.workers.iter().map(|w| w.running.len()).collect();
     assert_eq!(here, [0, 1]);
-    site.book.set_closed_halls(halls(&[]));
+    site.scheduler.set_closed_halls(halls(&[]));
     site.settle();
     assert_eq!(site.running("b"), 2, "open again, it is used at once");
 }
@@ -59,16 +59,16 @@
     site.submit(job("a", 1, vec![step(2, 8, false)], &site));
     for worker in &mut site.workers {
         let report = worker.report();
-        site.book.apply_report(report, site.now);
+        site.scheduler.apply_report(report, site.now);
     }
-    site.step();
-    site.write();
+    site.schedule();
+    site.write_progress();
     let agent = site.workers[0].agent.clone();
-    assert_eq!(site.book.orders(&agent).starts.len(), 1);
-    site.book.set_closed_halls(halls(&["near"]));
-    site.step();
-    site.write();
-    let orders = site.book.orders(&agent);
+    assert_eq!(site.scheduler.orders(&agent).starts.len(), 1);
+    site.scheduler.set_closed_halls(halls(&["near"]));
+    site.schedule();
+    site.write_progress();
+    let orders = site.scheduler.orders(&agent);
     assert_eq!((orders.starts.len(), orders.stops.len()), (0, 1));
 }
 
@@ -81,7 +81,7 @@
     let mut far = step(1, 8, false);
     far.data_rack = Some("r1".into());
     site.submit(job("a", 1, vec![far], &site));
-    site.book.set_closed_halls(halls(&["near"]));
+    site.scheduler.set_closed_halls(halls(&["near"]));
     site.settle();
     assert_eq!(site.workers[2].running.len(), 1, "no rack near is open");
     site.workers[2].end(RunOutcome::Done, |_| true);
@@ -94,14 +94,14 @@
     let source = Source::new();
     let decode = |_: &[u8]| Ok::<_, String>(Configuration::default());
     let close = |hall: &str| {
-        let key = format!("{}{hall}", KEYS.closed);
+        let key = format!("{}{hall}", CONFIGURATION_KEYS.closed);
         vec![Mutation::Value(key, b"{}".to_vec(), 0)]
     };
     // One is closed before anybody looks.
     store.swap(&[], close("a")).await.expect("is written");
     let follow = source.clone().follow(
         store.clone(),
-        KEYS,
+        CONFIGURATION_KEYS,
         decode,
         Reach::new(),
         log::none(),
@@ -118,7 +118,8 @@
     closed(&["a"]).await;
     store.swap(&[], close("b")).await.expect("is written");
     closed(&["a", "b"]).await;
-    let open = vec![Mutation::Delete(format!("{}a", KEYS.closed))];
+    let open =
+        vec![Mutation::Delete(format!("{}a", CONFIGURATION_KEYS.closed))];
     store.swap(&[], open).await.expect("is written");
     closed(&["b"]).await;
     follow.abort();
--- a/tests/it/crashes.rs
+++ b/tests/it/crashes.rs
@@ -49,15 +49,15 @@
 
 /// Lets everybody report and obey, once.
 fn round(site: &mut Site) {
-    site.pass(Duration::from_millis(300));
+    site.advance(Duration::from_millis(300));
     for at in 0..site.workers.len() {
         let report = site.workers[at].report();
-        site.book.apply_report(report, site.now);
+        site.scheduler.apply_report(report, site.now);
     }
-    site.step();
-    site.write();
+    site.schedule();
+    site.write_progress();
     for worker in &mut site.workers {
-        let orders = site.book.orders(&worker.agent);
+        let orders = site.scheduler.orders(&worker.agent);
         worker.obey(&orders);
     }
 }
@@ -71,9 +71,9 @@
 
 /// Hands the books over to a new planner.
 fn hand_over(site: &mut Site, job: &Job) {
-    let kept = site.book.progress(&job.id).cloned();
-    site.book = Scheduler::new(Options::default(), site.now);
-    site.book.accept_job(job.clone(), kept, site.now);
+    let kept = site.scheduler.progress(&job.id).cloned();
+    site.scheduler = Scheduler::new(Options::default(), site.now);
+    site.scheduler.accept_job(job.clone(), kept, site.now);
 }
 
 #[test]
@@ -202,7 +202,7 @@
     round(&mut site);
     assert_eq!(site.outcome("good"), None);
     assert_eq!(site.running("good"), 1);
-    site.end_all("good");
+    site.finish_job("good");
     site.settle();
     assert_eq!(site.outcome("good"), Some(Outcome::Succeeded));
 }
@@ -242,7 +242,7 @@
         silent: true,
         ..said
     };
-    site.book.apply_report(report, site.now);
+    site.scheduler.apply_report(report, site.now);
     worker
 }
 
@@ -328,7 +328,7 @@
         }
         starts += 1;
         let mut worker = fall_silent(&mut site, "bad");
-        site.write();
+        site.write_progress();
         hand_over(&mut site, &bad);
         worker.life += 1;
         worker.running.clear();
--- a/tests/it/doubt.rs
+++ b/tests/it/doubt.rs
@@ -23,7 +23,7 @@
     site.settle();
     end(&mut site, 0, "j", RunOutcome::Failed);
     site.settle();
-    site.live(Duration::from_millis(500));
+    site.run_for(Duration::from_millis(500));
     // The failed task waits for another worker; a fourth task comes here.
     site.submit(job("k", 0, vec![step(1, 8, false)], &site));
     site.settle();
@@ -44,7 +44,7 @@
     end(&mut site, 0, "j", RunOutcome::Failed);
     site.settle();
     let apart = |site: &mut Site| {
-        let decisions = site.book.take_decisions();
+        let decisions = site.scheduler.take_decisions();
         let apart =
             |d: &Decision| matches!(d, Decision::WorkerQuarantined { .. });
         decisions.iter().filter(|d| apart(d)).count()
@@ -68,7 +68,7 @@
     site.submit(job("a", 1, vec![step(2, 8, false)], &site));
     site.settle();
     end(&mut site, 0, "a", RunOutcome::Failed);
-    site.book.cancel_job("a", site.now);
+    site.scheduler.cancel_job("a", site.now);
     site.settle();
     let mut last = job("b", 0, vec![step(2, 8, false)], &site);
     last.max_attempts = 1;
@@ -77,7 +77,7 @@
     assert_eq!(site.workers[0].running.len(), 0, "no second chance there");
     assert_eq!(site.workers[1].running.len(), 1);
     // One at a time, both run where nothing speaks against the worker.
-    site.end_all("b");
+    site.finish_job("b");
     site.settle();
     assert_eq!(site.workers[1].running.len(), 1);
     assert_eq!(site.workers[0].running.len(), 0);
--- a/tests/it/explain.rs
+++ b/tests/it/explain.rs
@@ -13,15 +13,15 @@
 use slog::o;
 use slog::Drain;
 
-use crate::cell::agent;
+use crate::cell::deadline;
 use crate::cell::job;
-use crate::cell::reaches;
-use crate::cell::runs;
-use crate::cell::soon;
+use crate::cell::start_agent;
+use crate::cell::wait_for_running;
+use crate::cell::wait_for_stage;
 use crate::cell::Entry;
-use crate::cell::Fake;
+use crate::cell::FakeWorker;
 use crate::cell::Memory;
-use crate::cell::DONE;
+use crate::cell::SUCCEEDED;
 
 /// Log lines as they were written.
 #[derive(Clone, Default)]
@@ -58,14 +58,14 @@
 async fn the_life_of_a_job_is_told_from_the_lines_of_its_processes() {
     let lines = Lines::default();
     let store = Memory::default();
-    let worker = Fake::new();
+    let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), lines.logger());
-    let entry = Entry::logged("entry", &store, lines.logger()).await;
-    let agent = agent(&store, &worker);
-    admission.submit(&job("a"), soon()).await;
-    runs(&worker, 2).await;
+    let entry = Entry::with_log("entry", &store, lines.logger()).await;
+    let agent = start_agent(&store, &worker);
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
     worker.end_all(RunOutcome::Done);
-    reaches(&admission, "a", DONE).await;
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
     let logs = lines.read();
     let story = logs.history("a").expect("it is told");
     let told: Vec<&str> =
@@ -98,12 +98,15 @@
         // Two units each, none of which ever finds a worker.
         job.steps[0].label = Some("none".into());
         ids.push(job.id.clone());
-        admission.submit(&job, soon()).await;
+        admission.submit(&job, deadline()).await;
     }
     for id in &ids {
-        admission.cancel(id, soon()).await.expect("is cancelled");
+        admission
+            .cancel(id, deadline())
+            .await
+            .expect("is cancelled");
     }
-    let entry = Entry::logged("entry", &store, lines.logger()).await;
+    let entry = Entry::with_log("entry", &store, lines.logger()).await;
     let ended = || async {
         let logs = lines.read();
         let over = |id: &Arc<str>| {
--- a/tests/it/graph.rs
+++ b/tests/it/graph.rs
@@ -158,7 +158,7 @@
 
 /// Books with workers, whose store writes at once.
 pub struct Site {
-    pub book: Scheduler,
+    pub scheduler: Scheduler,
     pub workers: Vec<Worker>,
     pub now: Timestamp,
 }
@@ -171,48 +171,48 @@
         };
         let workers = workers.iter().map(|(a, rack)| Worker::new(a, rack));
         Site {
-            book: Scheduler::new(Options::default(), now),
+            scheduler: Scheduler::new(Options::default(), now),
             workers: workers.collect(),
             now,
         }
     }
 
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         self.now.monotonic += time;
         self.now.wall += time;
     }
 
     /// Passes time in steps that keep every agent in touch.
-    pub fn live(&mut self, time: Duration) {
+    pub fn run_for(&mut self, time: Duration) {
         let tick = Duration::from_millis(500);
         let mut left = time;
         while left > Duration::ZERO {
             let step = left.min(tick);
-            self.pass(step);
+            self.advance(step);
             self.settle();
             left -= step;
         }
     }
 
     /// Writes what must be written.
-    pub fn write(&mut self) {
-        for job in self.book.take_unwritten(usize::MAX) {
-            self.book.mark_written(&job.id, job.version);
+    pub fn write_progress(&mut self) {
+        for job in self.scheduler.take_unwritten(usize::MAX) {
+            self.scheduler.mark_written(&job.id, job.version);
         }
     }
 
     /// Decides; no silent agent has kept anything.
-    pub fn step(&mut self) {
-        self.book.run_pass(self.now);
-        let silent = self.book.take_inquiries();
+    pub fn schedule(&mut self) {
+        self.scheduler.run_pass(self.now);
+        let silent = self.scheduler.take_inquiries();
         if silent.is_empty() {
             return;
         }
         for agent in silent {
             let sent = self.now.monotonic;
-            self.book.apply_inquiry(&agent, None, sent, self.now);
+            self.scheduler.apply_inquiry(&agent, None, sent, self.now);
         }
-        self.book.run_pass(self.now);
+        self.scheduler.run_pass(self.now);
     }
 
     /// Lets everybody report and obey, until nothing changes.
@@ -220,23 +220,25 @@
         for _ in 0..6 {
             for at in 0..self.workers.len() {
                 let report = self.workers[at].report();
-                self.book.apply_report(report, self.now);
+                self.scheduler.apply_report(report, self.now);
             }
-            self.step();
-            self.write();
+            self.schedule();
+            self.write_progress();
             for worker in &mut self.workers {
-                let orders = self.book.orders(&worker.agent);
+                let orders = self.scheduler.orders(&worker.agent);
                 worker.obey(&orders);
             }
         }
     }
 
     pub fn submit(&mut self, job: Job) {
-        self.book.accept_job(job, None, self.now);
+        self.scheduler.accept_job(job, None, self.now);
     }
 
     pub fn outcome(&self, id: &str) -> Option<Outcome> {
-        self.book.progress(id).and_then(|progress| progress.outcome)
+        self.scheduler
+            .progress(id)
+            .and_then(|progress| progress.outcome)
     }
 
     pub fn running(&self, id: &str) -> usize {
@@ -244,7 +246,7 @@
         running.filter(|r| &*r.task.job == id).count()
     }
 
-    pub fn end_all(&mut self, id: &str) {
+    pub fn finish_job(&mut self, id: &str) {
         for worker in &mut self.workers {
             worker.end(RunOutcome::Done, |r| &*r.task.job == id);
         }
@@ -300,10 +302,10 @@
     site.submit(job("j", 1, steps, &site));
     site.settle();
     assert_eq!(site.running("j"), 3);
-    site.end_all("j");
+    site.finish_job("j");
     site.settle();
     assert_eq!(site.running("j"), 1);
-    site.end_all("j");
+    site.finish_job("j");
     site.settle();
     assert_eq!(site.outcome("j"), Some(Outcome::Succeeded));
 }
@@ -320,11 +322,11 @@
         site.submit(job(&urgent, 0, vec![step(1, 8, false)], &site));
         site.settle();
         assert_eq!(site.running(&urgent), 1, "round {round}");
-        site.end_all(&urgent);
-        site.pass(Duration::from_secs(1));
+        site.finish_job(&urgent);
+        site.advance(Duration::from_secs(1));
         site.settle();
         assert_eq!(site.running(&borrower), 8, "round {round}");
-        site.end_all(&borrower);
+        site.finish_job(&borrower);
         site.settle();
     }
 }
@@ -332,7 +334,7 @@
 /// Keeps room for a unit that has waited for so long.
 fn keeps_a_whole_worker(policy: Policy, wait: Duration) {
     let mut site = Site::new(&[("w1", "r1")]);
-    site.book = Scheduler::new(
+    site.scheduler = Scheduler::new(
         Options {
             policy,
             ..Options::default()
@@ -343,7 +345,7 @@
     site.settle();
     site.submit(job("big", 1, vec![step(1, 8, false)], &site));
     site.settle();
-    site.live(wait);
+    site.run_for(wait);
     site.submit(job("small", 1, vec![step(8, 1, false)], &site));
     // The first job's tasks end one by one; no gap is filled meanwhile.
     for _ in 0..8 {
@@ -378,8 +380,8 @@
     site.settle();
     let urgent = job("urgent", 0, vec![step(1, 4, false)], &site);
     site.submit(urgent);
-    site.step();
-    site.pass(Duration::from_secs(2));
+    site.schedule();
+    site.advance(Duration::from_secs(2));
     site.settle();
     assert_eq!(site.running("urgent"), 1);
 }
@@ -394,13 +396,13 @@
     site.workers[0].end(RunOutcome::Failed, |r| r.task.index == 0);
     // One member's end is known, and nothing of the other's.
     let report = site.workers[0].report();
-    site.book.apply_report(report, site.now);
+    site.scheduler.apply_report(report, site.now);
     let agent = site.workers[0].agent.clone();
-    let noted = |site: &mut Site| site.book.orders(&agent).noted;
+    let noted = |site: &mut Site| site.scheduler.orders(&agent).noted;
     assert_eq!(noted(&mut site), 0, "the failure is not written");
-    site.write();
+    site.write_progress();
     assert_eq!(noted(&mut site), 1);
-    let kept = &site.book.progress("j").expect("known").units;
+    let kept = &site.scheduler.progress("j").expect("known").units;
     assert_eq!(kept.values().next().expect("begun").failed, 1);
 }
 
@@ -413,7 +415,7 @@
         site.settle();
         site.submit(job("big", 1, vec![step(1, 8, false)], &site));
         site.settle();
-        site.pass(Duration::from_secs(2));
+        site.advance(Duration::from_secs(2));
         site.settle();
         site.workers[worker].end(RunOutcome::Done, |_| true);
         site.settle();
@@ -426,12 +428,12 @@
     let mut site = Site::new(&[("w1", "r1")]);
     site.submit(job("j", 1, vec![step(1, 1, false)], &site));
     let report = site.workers[0].report();
-    site.book.apply_report(report, site.now);
-    site.step();
+    site.scheduler.apply_report(report, site.now);
+    site.schedule();
     let agent = site.workers[0].agent.clone();
-    assert_eq!(site.book.orders(&agent).starts, [], "not written yet");
-    site.write();
-    assert_eq!(site.book.orders(&agent).starts.len(), 1);
+    assert_eq!(site.scheduler.orders(&agent).starts, [], "not written yet");
+    site.write_progress();
+    assert_eq!(site.scheduler.orders(&agent).starts.len(), 1);
 }
 
 #[test]
@@ -439,10 +441,10 @@
     let mut site = Site::new(&[("w1", "r1")]);
     site.submit(job("j", 1, vec![step(1, 1, false)], &site));
     site.settle();
-    let kept = site.book.progress("j").cloned();
+    let kept = site.scheduler.progress("j").cloned();
     let mut next = Site::new(&[("w1", "r1")]);
     next.workers = site.workers;
-    next.book.accept_job(
+    next.scheduler.accept_job(
         job("j", 1, vec![step(1, 1, false)], &next),
         kept,
         next.now,
@@ -460,7 +462,7 @@
     let mut silent = site.workers.remove(on);
     // 12.8 s of leases; then the unit is placed again at once.
     for second in 1..=15 {
-        site.pass(Duration::from_secs(1));
+        site.advance(Duration::from_secs(1));
         site.settle();
         let began = site.workers[0].running.len();
         let over = second >= 13;
@@ -492,7 +494,7 @@
     let mut site = Site::new(TWO);
     site.submit(job("j", 1, vec![step(1, 1, false)], &site));
     for _ in 0..3 {
-        site.pass(Duration::from_secs(70));
+        site.advance(Duration::from_secs(70));
         site.settle();
         assert_eq!(site.running("j"), 1);
         for worker in &mut site.workers {
@@ -508,14 +510,14 @@
     for guaranteed in [0, 8] {
         let mut site = Site::new(&[("w1", "r1")]);
         let guarantees = [("account".into(), guaranteed)].into();
-        site.book.set_guarantees(guarantees);
+        site.scheduler.set_guarantees(guarantees);
         site.submit(job("long", 1, vec![step(1, 8, false)], &site));
         site.settle();
         // 65 cores' worth for 10 s: more than an urgent job is worth.
-        site.pass(Duration::from_secs(1));
+        site.advance(Duration::from_secs(1));
         for _ in 0..9 {
             site.settle();
-            site.pass(Duration::from_secs(1));
+            site.advance(Duration::from_secs(1));
         }
         site.submit(job("urgent", 0, vec![step(1, 8, false)], &site));
         site.settle();
@@ -536,7 +538,7 @@
     site.submit(job("b", 1, vec![gang], &site));
     site.settle();
     // Room is kept on the first three workers.
-    site.pass(Duration::from_secs(2));
+    site.advance(Duration::from_secs(2));
     site.settle();
     // The first goes on; two of the kept and two others become free.
     for at in 1..5 {
--- a/tests/it/graph_faults.rs
+++ b/tests/it/graph_faults.rs
@@ -145,7 +145,7 @@
 
 /// A planner and its books.
 struct Planner {
-    book: Scheduler,
+    scheduler: Scheduler,
     token: u64,
     /// What it has handed to the store, and is not written yet.
     writing: Vec<ProgressUpdate>,
@@ -256,7 +256,7 @@
             now,
             workers: workers.into(),
             planner: Planner {
-                book: Scheduler::new(Options::default(), now),
+                scheduler: Scheduler::new(Options::default(), now),
                 token: 1,
                 writing: Vec::new(),
             },
@@ -301,7 +301,9 @@
         if self.dooms.u32(..BAD) == 0 {
             self.bad.insert(job.id.clone());
         }
-        self.planner.book.accept_job(job.clone(), None, self.now);
+        self.planner
+            .scheduler
+            .accept_job(job.clone(), None, self.now);
         self.jobs.push(job);
     }
 
@@ -323,7 +325,7 @@
     fn cancel(&mut self) {
         let at = self.random.usize(..self.jobs.len());
         let id = self.jobs[at].id.clone();
-        self.planner.book.cancel_job(&id, self.now);
+        self.planner.scheduler.cancel_job(&id, self.now);
         self.cancelled.entry(id).or_insert(self.now.monotonic);
     }
 
@@ -334,27 +336,27 @@
             self.write();
         }
         self.planner = Planner {
-            book: Scheduler::new(Options::default(), self.now),
+            scheduler: Scheduler::new(Options::default(), self.now),
             token: self.planner.token + 1,
             writing: Vec::new(),
         };
         for job in &self.jobs {
             let progress = self.kept.get(&job.id).cloned();
             self.planner
-                .book
+                .scheduler
                 .accept_job(job.clone(), progress, self.now);
         }
         for id in self.cancelled.keys() {
-            self.planner.book.cancel_job(id, self.now);
+            self.planner.scheduler.cancel_job(id, self.now);
         }
     }
 
     fn write(&mut self) {
         for job in std::mem::take(&mut self.planner.writing) {
-            self.planner.book.mark_written(&job.id, job.version);
+            self.planner.scheduler.mark_written(&job.id, job.version);
             self.kept.insert(job.id, job.progress);
         }
-        self.planner.writing = self.planner.book.take_unwritten(10);
+        self.planner.writing = self.planner.scheduler.take_unwritten(10);
     }
 
     /// Lets a worker say that it leaves.
@@ -458,13 +460,13 @@
 
     /// Lets the planner decide, and read what silent agents have kept.
     fn decide(&mut self) {
-        self.planner.book.run_pass(self.now);
-        for agent in self.planner.book.take_inquiries() {
+        self.planner.scheduler.run_pass(self.now);
+        for agent in self.planner.scheduler.take_inquiries() {
             let worker = self.workers.iter().find(|w| w.agent == agent);
             let kept = worker.and_then(|worker| worker.kept.clone());
             let sent = self.now.monotonic;
-            let book = &mut self.planner.book;
-            book.apply_inquiry(&agent, kept, sent, self.now);
+            let scheduler = &mut self.planner.scheduler;
+            scheduler.apply_inquiry(&agent, kept, sent, self.now);
         }
     }
 
@@ -610,7 +612,7 @@
         }
         let sent = self.now.monotonic;
         let report = self.report(at);
-        self.planner.book.apply_report(report, self.now);
+        self.planner.scheduler.apply_report(report, self.now);
         self.decide();
         if !self.fault(4) {
             self.write();
@@ -619,7 +621,7 @@
             return;
         }
         let agent = self.workers[at].agent.clone();
-        let orders = self.planner.book.orders(&agent);
+        let orders = self.planner.scheduler.orders(&agent);
         let rounds = match self.fault(4) {
             true => self.random.u32(1..LATE),
             false => 0,
--- a/tests/it/guarantees.rs
+++ b/tests/it/guarantees.rs
@@ -32,7 +32,7 @@
 /// Returns a site where one account is guaranteed so many accelerators.
 fn site(workers: &[(&str, &'static str)], guaranteed: i64) -> Site {
     let mut site = Site::new(workers);
-    site.book
+    site.scheduler
         .set_guarantees([("sure".into(), guaranteed)].into());
     site
 }
@@ -67,7 +67,7 @@
         site.settle();
     }
     // What runs has run for a while, as on a busy site.
-    site.live(Duration::from_secs(2));
+    site.run_for(Duration::from_secs(2));
 }
 
 #[test]
@@ -79,7 +79,7 @@
     }
     site.settle();
     site.submit(of("sure", "job", 0, step(1, 8, false), &site));
-    site.live(BOUND);
+    site.run_for(BOUND);
     assert_eq!(site.running("job"), 1);
     let lent = site.running("lent0") + site.running("lent1");
     assert_eq!(lent, 1, "no more is stopped than is needed");
@@ -99,7 +99,7 @@
         let mut site = site(RACKS, 32);
         fill(&mut site, holder, rest);
         site.submit(of("sure", "job", 0, step(2, 8, true), &site));
-        site.live(BOUND);
+        site.run_for(BOUND);
         assert_eq!(site.running("job"), 2, "{holder}, {rest:?}");
     }
 }
@@ -113,9 +113,9 @@
     let mut first = of("other", "borrower", 0, step(1, 8, false), &site);
     first.target = Duration::ZERO;
     site.submit(first);
-    site.pass(Duration::from_millis(100));
+    site.advance(Duration::from_millis(100));
     site.submit(of("sure", "job", 0, step(1, 8, false), &site));
-    site.end_all("long");
+    site.finish_job("long");
     site.settle();
     assert_eq!((site.running("job"), site.running("borrower")), (1, 0));
 }
@@ -135,7 +135,7 @@
     site.submit(of("sure", "first", 0, step(1, 8, false), &site));
     site.settle();
     site.submit(of("other", "held", held, step(1, 8, false), &site));
-    site.live(Duration::from_millis(2500));
+    site.run_for(Duration::from_millis(2500));
     assert_eq!(site.workers[1].running.len(), 1);
     site
 }
@@ -145,21 +145,21 @@
     for _ in 0..2 {
         for at in 0..site.workers.len() {
             let report = site.workers[at].report();
-            site.book.apply_report(report, site.now);
+            site.scheduler.apply_report(report, site.now);
         }
-        site.step();
-        site.write();
-        site.pass(Duration::from_millis(500));
+        site.schedule();
+        site.write_progress();
+        site.advance(Duration::from_millis(500));
     }
 }
 
 #[test]
 fn room_kept_for_what_is_promised_is_taken_by_nobody() {
     let mut site = with_one_that_waits(0);
-    site.end_all("first");
+    site.finish_job("first");
     site.settle();
     site.submit(of("sure", "job", 0, step(2, 8, true), &site));
-    site.step();
+    site.schedule();
     // A stop takes its time.
     site.workers[2].capacity.memory *= 2;
     hold_up(&mut site);
@@ -172,12 +172,12 @@
     // Room is kept for it while it borrows, so that others may pass it over.
     let mut site = with_one_that_waits(1);
     site.submit(of("sure", "job", 0, step(2, 8, true), &site));
-    site.step();
+    site.schedule();
     site.workers[2].capacity.memory *= 2;
     hold_up(&mut site);
     site.settle();
     assert_eq!((site.running("job"), site.running("waits")), (0, 1));
-    site.end_all("first");
+    site.finish_job("first");
     site.settle();
     site.settle();
     assert_eq!((site.running("job"), site.running("waits")), (2, 0));
@@ -192,11 +192,11 @@
     site.submit(of("other", "lent", 0, step(1, 8, false), &site));
     site.settle();
     site.submit(of("sure", "second", 0, step(1, 8, false), &site));
-    site.live(EARLY);
+    site.run_for(EARLY);
     assert_eq!(site.running("second"), 0, "it is beyond the guarantee");
     assert_eq!(site.running("lent"), 1, "and stops nobody");
     site.submit(of("other", "next", 0, step(1, 8, false), &site));
-    site.end_all("first");
-    site.live(BOUND - EARLY);
+    site.finish_job("first");
+    site.run_for(BOUND - EARLY);
     assert_eq!(site.running("second"), 1);
 }
--- a/tests/it/in_touch.rs
+++ b/tests/it/in_touch.rs
@@ -10,7 +10,7 @@
 use landingvalve::store::Store;
 
 use crate::cell::Memory;
-use crate::cell::KEYS;
+use crate::cell::CONFIGURATION_KEYS;
 
 #[tokio::test(start_paused = true)]
 async fn callers_are_taken_only_while_the_store_is_in_reach() {
@@ -22,7 +22,7 @@
     let decode = |_: &[u8]| Ok::<_, String>(Configuration::default());
     let follow = source.clone().follow(
         store.clone(),
-        KEYS,
+        CONFIGURATION_KEYS,
         decode,
         Reach::new(),
         log::none(),
@@ -31,11 +31,11 @@
     let pass = |ms| tokio::time::sleep(Duration::from_millis(ms));
     pass(3000).await;
     assert!(source.in_touch());
-    store.refuse(u32::MAX);
+    store.reject_calls(u32::MAX);
     pass(1300).await;
     assert!(!source.in_touch());
     assert!(source.current().is_some(), "what is known stays");
-    store.refuse(0);
+    store.reject_calls(0);
     pass(300).await;
     assert!(source.in_touch());
     follow.abort();
--- a/tests/it/limits.rs
+++ b/tests/it/limits.rs
@@ -20,15 +20,15 @@
 use landingvalve::log;
 use tokio::task::JoinHandle;
 
+use crate::cell::deadline;
 use crate::cell::job;
-use crate::cell::reaches;
-use crate::cell::runs;
-use crate::cell::soon;
-use crate::cell::surviving;
+use crate::cell::start_agent_with_survival;
+use crate::cell::wait_for_running;
+use crate::cell::wait_for_stage;
 use crate::cell::Entry;
-use crate::cell::Fake;
+use crate::cell::FakeWorker;
 use crate::cell::Memory;
-use crate::cell::DONE;
+use crate::cell::SUCCEEDED;
 use crate::support::until;
 
 const LEASE: Duration = Duration::from_secs(2);
@@ -58,15 +58,16 @@
 async fn every_agent_of_a_large_site_is_heard() {
     let store = Memory::default();
     let limits = Limits::default();
-    let entry = Entry::limited("entry", &store, limits, terms()).await;
+    let entry = Entry::with_limits("entry", &store, limits, terms()).await;
     let survival = terms().survival;
-    let workers: Vec<Fake> = (0..AGENTS).map(|_| Fake::new()).collect();
+    let workers: Vec<FakeWorker> =
+        (0..AGENTS).map(|_| FakeWorker::new()).collect();
     let agents: Vec<_> = workers
         .iter()
         .enumerate()
         .map(|(at, worker)| {
             let name = format!("agent{at}");
-            surviving(&name, survival, LEASE, &store, worker)
+            start_agent_with_survival(&name, survival, LEASE, &store, worker)
         })
         .collect();
     // A gang that takes every worker begins only once all are heard.
@@ -75,10 +76,10 @@
     whole.steps[0].gang = true;
     whole.steps[0].resources.accelerators = 8;
     let admission = Admission::new(store.clone(), log::none());
-    let submitted = admission.submit(&whole, soon()).await;
+    let submitted = admission.submit(&whole, deadline()).await;
     assert_eq!(submitted, Submitted::Accepted);
     for worker in &workers {
-        runs(worker, 1).await;
+        wait_for_running(worker, 1).await;
     }
     agents.iter().for_each(JoinHandle::abort);
     entry.kill();
@@ -90,17 +91,17 @@
     let held_by = |name: &'static str| {
         let store = store.clone();
         let holds = move || {
-            let holder = store.planner();
+            let holder = store.claim_holder();
             let held = holder.is_some_and(|holder| holder.process == name);
             async move { held.then_some(()) }
         };
         until("the claim", holds)
     };
-    let first = Entry::strong("first", &store, 1.0).await;
+    let first = Entry::with_cores("first", &store, 1.0).await;
     held_by("first").await;
-    let weak = Entry::strong("weak", &store, 0.24).await;
+    let weak = Entry::with_cores("weak", &store, 0.24).await;
     first.kill();
-    let strong = Entry::strong("strong", &store, 1.0).await;
+    let strong = Entry::with_cores("strong", &store, 1.0).await;
     held_by("strong").await;
     // Where there is no stronger one, the weak one plans.
     strong.kill();
@@ -132,8 +133,9 @@
         let url = url.clone();
         async move {
             let headers = HeaderMap::new();
-            let call =
-                client.call(Method::GET, &url, headers, "", soon()).await;
+            let call = client
+                .call(Method::GET, &url, headers, "", deadline())
+                .await;
             call.map(|reply| reply.status)
         }
     };
@@ -149,26 +151,27 @@
 #[tokio::test]
 async fn what_is_done_where_agents_are_turned_away_is_not_done_again() {
     let store = Memory::default();
-    let worker = Fake::new();
+    let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
     let limits = Limits {
         connections: 1,
         ..Limits::default()
     };
-    let first = Entry::limited("first", &store, limits, terms()).await;
+    let first = Entry::with_limits("first", &store, limits, terms()).await;
     let survival = terms().survival;
-    let agent = surviving("agent", survival, LEASE, &store, &worker);
-    let submitted = admission.submit(&job("a"), soon()).await;
+    let agent =
+        start_agent_with_survival("agent", survival, LEASE, &store, &worker);
+    let submitted = admission.submit(&job("a"), deadline()).await;
     assert_eq!(submitted, Submitted::Accepted);
-    runs(&worker, 2).await;
+    wait_for_running(&worker, 2).await;
     first.kill();
     // The next planner's only connection is taken: the agent is turned away.
-    let second = Entry::limited("second", &store, limits, terms()).await;
+    let second = Entry::with_limits("second", &store, limits, terms()).await;
     let taken = occupy(&second).await;
     worker.end_all(RunOutcome::Done);
-    reaches(&admission, "a", DONE).await;
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
     drop(taken);
-    assert_eq!(worker.began().len(), 2, "{:?}", worker.began());
+    assert_eq!(worker.started().len(), 2, "{:?}", worker.started());
     agent.abort();
     second.kill();
 }
--- a/tests/it/near.rs
+++ b/tests/it/near.rs
@@ -29,10 +29,10 @@
     let mut site = half_taken();
     site.submit(job("gang", 1, vec![step(2, 8, true)], &site));
     site.settle();
-    site.pass(Duration::from_millis(2500));
+    site.advance(Duration::from_millis(2500));
     site.settle();
     assert_eq!(site.running("gang"), 0, "spread, it takes thrice as long");
-    site.end_all("x");
+    site.finish_job("x");
     site.settle();
     assert_eq!(site.running("gang"), 2);
     let rack = |w: &&crate::graph::Worker| w.rack == "r1";
@@ -46,9 +46,9 @@
     site.submit(job("gang", 1, vec![step(2, 8, true)], &site));
     site.settle();
     // Spread, its 5 s are 15: 10 more.
-    site.live(Duration::from_millis(9900));
+    site.run_for(Duration::from_millis(9900));
     assert_eq!(site.running("gang"), 0, "to wait costs less yet");
-    site.live(Duration::from_millis(200));
+    site.run_for(Duration::from_millis(200));
     assert_eq!(site.running("gang"), 2);
 }
 
@@ -72,7 +72,7 @@
         site.workers[at].end(RunOutcome::Failed, |_| true);
     }
     site.settle();
-    site.pass(Duration::from_secs(1));
+    site.advance(Duration::from_secs(1));
     site.settle();
     assert_eq!(site.running("wide"), 3, "two untried workers hold no three");
 }
--- a/tests/it/odd_jobs.rs
+++ b/tests/it/odd_jobs.rs
@@ -31,7 +31,7 @@
     site.submit(job("endless", 1, vec![endless.clone()], &site));
     site.submit(job("next", 1, vec![endless], &site));
     site.settle();
-    site.pass(Duration::from_secs(2));
+    site.advance(Duration::from_secs(2));
     site.settle();
     assert_eq!(site.running("endless"), 2);
 }
--- a/tests/it/order.rs
+++ b/tests/it/order.rs
@@ -14,7 +14,7 @@
 /// room for neither, and then makes room for one; returns which begins.
 fn first(guaranteed: i64) -> &'static str {
     let mut site = Site::new(&[("w1", "r1"), ("w2", "r1")]);
-    site.book
+    site.scheduler
         .set_guarantees([("sure".into(), guaranteed)].into());
     site.submit(job("full", 0, vec![step(2, 8, true)], &site));
     site.settle();
@@ -24,7 +24,7 @@
     site.submit(late);
     site.submit(job("timely", 0, vec![step(2, 8, true)], &site));
     site.settle();
-    site.end_all("full");
+    site.finish_job("full");
     site.settle();
     match (site.running("late"), site.running("timely")) {
         (2, 0) => "late",
@@ -53,19 +53,19 @@
     let mut wide = job("wide", 1, vec![step(1, 8, false)], &site);
     wide.stretch = 4.0;
     site.submit(wide);
-    site.live(Duration::from_secs(3));
+    site.run_for(Duration::from_secs(3));
     // 16 s are left: what comes later takes the four that are free.
     site.submit(job("second", 1, vec![step(4, 1, false)], &site));
     site.settle();
     assert_eq!(site.running("second"), 4);
-    site.live(Duration::from_secs(16));
-    site.end_all("second");
+    site.run_for(Duration::from_secs(16));
+    site.finish_job("second");
     site.settle();
     // None is left: nothing new is placed there.
     site.submit(job("third", 1, vec![step(4, 1, false)], &site));
-    site.live(Duration::from_secs(1));
+    site.run_for(Duration::from_secs(1));
     assert_eq!(site.running("third"), 0);
-    site.end_all("first");
+    site.finish_job("first");
     site.settle();
     assert_eq!(site.running("wide"), 1);
 }
@@ -78,11 +78,11 @@
     let mut wide = step(1, 8, false);
     wide.lasting = true;
     site.submit(job("wide", 1, vec![wide], &site));
-    site.live(Duration::from_secs(3));
+    site.run_for(Duration::from_secs(3));
     site.submit(job("second", 1, vec![step(4, 1, false)], &site));
     site.settle();
     assert_eq!(site.running("second"), 0);
-    site.end_all("first");
+    site.finish_job("first");
     site.settle();
     assert_eq!(site.running("wide"), 1);
 }
--- a/tests/it/ordered.rs
+++ b/tests/it/ordered.rs
@@ -33,7 +33,7 @@
 use tokio::time::Instant;
 
 use crate::cell::heartbeat;
-use crate::cell::Fake;
+use crate::cell::FakeWorker;
 use crate::cell::Memory;
 use crate::support::until;
 
@@ -76,7 +76,7 @@
     }
 
     /// Starts an agent that reports to it.
-    fn agent(&self, store: &Memory, worker: &Fake) -> Agent {
+    fn agent(&self, store: &Memory, worker: &FakeWorker) -> Agent {
         let config = Config {
             agent: "agent".into(),
             survival: Options::default().survival,
@@ -95,7 +95,7 @@
     }
 
     /// Orders runs to be started by a worker, and nothing else.
-    fn order(&self, worker: &Fake, starts: Vec<Start>) {
+    fn order(&self, worker: &FakeWorker, starts: Vec<Start>) {
         let life = Some(heartbeat(worker, 0).life);
         self.lock().orders = Orders {
             life,
@@ -158,7 +158,7 @@
 }
 
 struct Agent {
-    member: Member<Fake, Memory>,
+    member: Member<FakeWorker, Memory>,
     task: JoinHandle<()>,
 }
 
@@ -184,7 +184,7 @@
     }
 }
 
-fn leaving(worker: &Fake, sequence: u64) -> Heartbeat {
+fn leaving(worker: &FakeWorker, sequence: u64) -> Heartbeat {
     Heartbeat {
         leaving: true,
         ..heartbeat(worker, sequence)
@@ -204,8 +204,9 @@
     planner.hears("the run will never begin", refused).await;
 }
 
-async fn lost(worker: &Fake, count: u32) {
-    let lost = || async { (worker.lost_starts() >= count).then_some(()) };
+async fn lost(worker: &FakeWorker, count: u32) {
+    let lost =
+        || async { (worker.unanswered_starts() >= count).then_some(()) };
     until("starts have no answer", lost).await;
 }
 
@@ -216,17 +217,17 @@
 #[tokio::test]
 async fn a_start_without_answer_holds_back_no_other_run() {
     let (planner, store) = Planner::new().await;
-    let worker = Fake::born();
+    let worker = FakeWorker::with_births();
     let agent = planner.agent(&store, &worker);
     agent.member.heartbeat(heartbeat(&worker, 1));
     is_known(&planner).await;
-    worker.lose_starts(1);
-    worker.stall_looks_after_a_loss();
+    worker.leave_starts_unanswered(1);
+    worker.stall_polls_after_unanswered_start();
     planner.order(&worker, vec![start(0), start(1)]);
     lost(&worker, 1).await;
-    let stalls = || async { (worker.stalled() >= 2).then_some(()) };
+    let stalls = || async { (worker.stalled_polls() >= 2).then_some(()) };
     until("two looks have no answer", stalls).await;
-    assert_eq!(worker.began().len(), 1, "{:?}", worker.began());
+    assert_eq!(worker.started().len(), 1, "{:?}", worker.started());
     agent.kill();
 }
 
@@ -238,11 +239,11 @@
 #[tokio::test]
 async fn a_start_without_answer_is_barred_though_its_order_is_given_again() {
     let (planner, store) = Planner::new().await;
-    let worker = Fake::born();
+    let worker = FakeWorker::with_births();
     let agent = planner.agent(&store, &worker);
     agent.member.heartbeat(heartbeat(&worker, 1));
     is_known(&planner).await;
-    worker.lose_starts(u32::MAX);
+    worker.leave_starts_unanswered(u32::MAX);
     planner.order(&worker, vec![start(0)]);
     lost(&worker, 1).await;
     planner.order(&worker, Vec::new());
@@ -251,8 +252,8 @@
     agent.member.heartbeat(leaving(&worker, 2));
     planner.order(&worker, vec![start(0)]);
     is_refused(&planner).await;
-    worker.carry_out_late();
-    assert_eq!(worker.began(), Vec::<String>::new(), "begun after all");
+    worker.execute_late_starts();
+    assert_eq!(worker.started(), Vec::<String>::new(), "begun after all");
     agent.kill();
 }
 
@@ -261,27 +262,27 @@
 #[tokio::test]
 async fn a_start_of_an_earlier_agent_is_barred_before_it_is_refused() {
     let (planner, store) = Planner::new().await;
-    let worker = Fake::born();
+    let worker = FakeWorker::with_births();
     let first = planner.agent(&store, &worker);
     first.member.heartbeat(heartbeat(&worker, 1));
     is_known(&planner).await;
-    worker.lose_starts(u32::MAX);
+    worker.leave_starts_unanswered(u32::MAX);
     planner.order(&worker, vec![start(0)]);
     lost(&worker, 1).await;
     first.kill();
     let second = planner.agent(&store, &worker);
     second.member.heartbeat(leaving(&worker, 2));
     is_refused(&planner).await;
-    worker.carry_out_late();
-    assert_eq!(worker.began(), Vec::<String>::new(), "begun after all");
+    worker.execute_late_starts();
+    assert_eq!(worker.started(), Vec::<String>::new(), "begun after all");
     second.kill();
 }
 
 /// Returns once a withdrawn start is not tried again.
-async fn is_quiet(worker: &Fake) {
-    let mut tried = (worker.lost_starts(), Instant::now());
+async fn is_quiet(worker: &FakeWorker) {
+    let mut tried = (worker.unanswered_starts(), Instant::now());
     let quiet = || {
-        let now = worker.lost_starts();
+        let now = worker.unanswered_starts();
         if now != tried.0 {
             tried = (now, Instant::now());
         }
--- a/tests/it/pace.rs
+++ b/tests/it/pace.rs
@@ -52,7 +52,7 @@
     assert_eq!(filling(&site), 0.0);
     let mut seen = Vec::new();
     for _ in 0..6 {
-        site.pass(Duration::from_millis(1100));
+        site.advance(Duration::from_millis(1100));
         tail(&mut site, 40.0);
         seen.push(filling(&site));
     }
@@ -64,7 +64,7 @@
     let mut site = site();
     tail(&mut site, 130.0);
     for _ in 0..3 {
-        site.pass(Duration::from_millis(1100));
+        site.advance(Duration::from_millis(1100));
         tail(&mut site, 90.0);
     }
     assert_eq!(filling(&site), 0.0);
--- a/tests/it/predict.rs
+++ b/tests/it/predict.rs
@@ -15,7 +15,7 @@
 
 /// Returns what a job's first run is expected to take.
 fn expected(site: &mut Site, id: &str, declared: Duration) -> Duration {
-    site.book.take_decisions();
+    site.scheduler.take_decisions();
     let mut step = step(1, 1, false);
     step.estimate = declared;
     site.submit(job(id, 1, vec![step], site));
@@ -26,7 +26,7 @@
         } if &*subject.job == id => Some(*expected),
         _ => None,
     };
-    let decisions = site.book.take_decisions();
+    let decisions = site.scheduler.take_decisions();
     let expected = decisions.iter().find_map(placed);
     expected.expect("it is placed")
 }
@@ -36,8 +36,8 @@
     for (round, (declared, took)) in runs.iter().enumerate() {
         let id = format!("learn{round}");
         expected(site, &id, Duration::from_millis(*declared));
-        site.live(Duration::from_millis(*took));
-        site.end_all(&id);
+        site.run_for(Duration::from_millis(*took));
+        site.finish_job(&id);
         site.settle();
     }
 }
@@ -52,16 +52,16 @@
         site.submit(job.clone());
     }
     site.settle();
-    site.live(Duration::from_secs(4));
+    site.run_for(Duration::from_secs(4));
     // Another planner takes over just before they end.
     let mut next = Scheduler::new(Options::default(), site.now);
     for job in jobs {
-        let kept = site.book.progress(&job.id).cloned();
+        let kept = site.scheduler.progress(&job.id).cloned();
         next.accept_job(job, kept, site.now);
     }
-    site.book = next;
+    site.scheduler = next;
     site.settle();
-    site.pass(Duration::from_millis(500));
+    site.advance(Duration::from_millis(500));
     site.workers[0].end(RunOutcome::Done, |_| true);
     site.settle();
     let declared = Duration::from_secs(5);
@@ -74,8 +74,8 @@
     let mut run = |id: &str, wide: u32, took: Duration| {
         site.submit(job(id, 1, vec![step(wide, 1, false)], &site));
         site.settle();
-        site.live(took);
-        site.end_all(id);
+        site.run_for(took);
+        site.finish_job(id);
         site.settle();
     };
     // One wide job that is quick, among five that take 4 s.
@@ -129,12 +129,12 @@
     site.submit(job("j", 1, vec![step(3, 8, false)], &site));
     site.settle();
     for _ in 0..2 {
-        site.live(Duration::from_secs(1));
-        site.end_all("j");
-        site.book.take_decisions();
+        site.run_for(Duration::from_secs(1));
+        site.finish_job("j");
+        site.scheduler.take_decisions();
         site.settle();
     }
-    let decisions = site.book.take_decisions();
+    let decisions = site.scheduler.take_decisions();
     let expected = decisions.iter().find_map(|decision| match decision {
         Decision::Placed { expected, .. } => Some(*expected),
         _ => None,
--- a/tests/it/reach.rs
+++ b/tests/it/reach.rs
@@ -36,13 +36,13 @@
 async fn no_write_is_sent_into_an_outage_and_one_look_serves_all() {
     let store = Memory::default();
     let admission = Admission::new(store.clone(), log::none());
-    store.refuse(u32::MAX);
+    store.reject_calls(u32::MAX);
     // The first wave finds the outage; those after it know.
     submit(&admission, "first").await;
-    let (writes, reads) = store.calls();
+    let (writes, reads) = store.call_counts();
     let told = submit(&admission, "second").await;
     assert_eq!(told, [Submitted::Refused; CALLERS], "nothing was sent");
-    let (after, looks) = store.calls();
+    let (after, looks) = store.call_counts();
     assert_eq!(after - writes, 0, "writes into the outage");
     assert!(looks - reads <= 12, "{} looks in 0.6 s", looks - reads);
 }
@@ -51,11 +51,11 @@
 async fn those_who_wait_are_taken_in_once_the_store_is_back() {
     let store = Memory::default();
     let admission = Admission::new(store.clone(), log::none());
-    store.refuse(u32::MAX);
+    store.reject_calls(u32::MAX);
     submit(&admission, "first").await;
     let back = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
-        store.refuse(0);
+        store.reject_calls(0);
     };
     let (told, ()) = tokio::join!(submit(&admission, "second"), back);
     assert_eq!(told, [Submitted::Accepted; CALLERS]);
--- a/tests/it/relay.rs
+++ b/tests/it/relay.rs
@@ -262,10 +262,10 @@
     link.set(Mode::Deaf);
     let put = Mutation::Value("key".to_owned(), b"value".to_vec(), 0);
     let absent = Compare::Modified("key".to_owned(), 0);
-    let (before, _) = store.calls();
+    let (before, _) = store.call_counts();
     let swap = relay.swap(&[absent], vec![put]).await;
     assert!(matches!(swap, Err(Error::Lost(_))), "{swap:?}");
-    let (after, _) = store.calls();
+    let (after, _) = store.call_counts();
     assert_eq!(after, before + 1, "it went twice");
 }
 
@@ -292,11 +292,11 @@
     let (store, site) = site(2).await;
     let (relay, link) = &site[0];
     link.set(Mode::Throttled);
-    let (_, before) = store.calls();
+    let (_, before) = store.call_counts();
     let get = relay.get("key").await;
     assert!(get.is_err(), "it is not made again at once: {get:?}");
     assert!(relay.is_direct());
-    let (_, after) = store.calls();
+    let (_, after) = store.call_counts();
     assert_eq!(after, before);
 }
 
--- a/tests/it/shortage.rs
+++ b/tests/it/shortage.rs
@@ -26,12 +26,12 @@
 fn lacks(priority: u32, steps: Vec<Step>) -> Shortage {
     let mut site = Site::new(FOUR);
     for (at, step) in steps.into_iter().enumerate() {
-        site.book.take_decisions();
+        site.scheduler.take_decisions();
         let name = format!("j{at}");
         site.submit(job(&name, priority, vec![step], &site));
         site.settle();
     }
-    let told = site.book.take_decisions().into_iter().rev();
+    let told = site.scheduler.take_decisions().into_iter().rev();
     let shortage = told.filter_map(|decision| match decision {
         Decision::Waiting { shortage, .. } => shortage,
         _ => None,
--- a/tests/it/shrunk.rs
+++ b/tests/it/shrunk.rs
@@ -11,14 +11,14 @@
 use landingvalve::log;
 
 use crate::cell;
-use crate::cell::agent;
-use crate::cell::reaches;
-use crate::cell::runs;
-use crate::cell::soon;
+use crate::cell::deadline;
+use crate::cell::start_agent;
+use crate::cell::wait_for_running;
+use crate::cell::wait_for_stage;
 use crate::cell::Entry;
-use crate::cell::Fake;
+use crate::cell::FakeWorker;
 use crate::cell::Memory;
-use crate::cell::DONE;
+use crate::cell::SUCCEEDED;
 use crate::graph::job;
 use crate::graph::step;
 use crate::graph::Site;
@@ -30,7 +30,7 @@
 fn report(site: &mut Site) {
     for at in 0..site.workers.len() {
         let report = site.workers[at].report();
-        site.book.apply_report(report, site.now);
+        site.scheduler.apply_report(report, site.now);
     }
 }
 
@@ -38,16 +38,16 @@
 fn ordered(site: &mut Site) -> Vec<usize> {
     let agents: Vec<_> =
         site.workers.iter().map(|w| w.agent.clone()).collect();
-    let orders = agents.iter().map(|agent| site.book.orders(agent));
+    let orders = agents.iter().map(|agent| site.scheduler.orders(agent));
     let starts: Vec<usize> = orders.map(|o| o.starts.len()).collect();
     (0..starts.len()).filter(|at| starts[*at] > 0).collect()
 }
 
 /// Hands the books over to a new planner.
 fn hand_over(site: &mut Site, job: &Job) {
-    let kept = site.book.progress(&job.id).cloned();
-    site.book = Scheduler::new(Options::default(), site.now);
-    site.book.accept_job(job.clone(), kept, site.now);
+    let kept = site.scheduler.progress(&job.id).cloned();
+    site.scheduler = Scheduler::new(Options::default(), site.now);
+    site.scheduler.accept_job(job.clone(), kept, site.now);
 }
 
 #[test]
@@ -57,8 +57,8 @@
         let wide = job("wide", 1, vec![step(1, 8, false)], &site);
         site.submit(wide.clone());
         report(&mut site);
-        site.step();
-        site.write();
+        site.schedule();
+        site.write_progress();
         let at = ordered(&mut site)[0];
         // The order is lost, and the worker shrinks.
         site.workers[at].capacity.accelerators = 4;
@@ -66,10 +66,10 @@
             hand_over(&mut site, &wide);
         }
         report(&mut site);
-        site.step();
-        site.write();
+        site.schedule();
+        site.write_progress();
         let orders = site.workers[at].agent.clone();
-        let orders = site.book.orders(&orders);
+        let orders = site.scheduler.orders(&orders);
         assert!(orders.starts.is_empty(), "taken over: {taken_over}");
         assert_eq!(orders.stops.len(), 1, "taken over: {taken_over}");
     }
@@ -88,7 +88,7 @@
             vec![step(1, 1, false)],
             &site,
         ));
-        site.live(Duration::from_secs(2));
+        site.run_for(Duration::from_secs(2));
         assert_eq!(site.running("a"), 6, "{accelerators} accelerators");
         assert_eq!(site.workers[0].running.len(), 6);
     }
@@ -113,15 +113,15 @@
     let mut pair = step(2, 4, true);
     pair.same_rack = false;
     site.submit(job("pair", 1, vec![pair], &site));
-    site.live(Duration::from_secs(2));
+    site.run_for(Duration::from_secs(2));
     // The room that is kept for them shrinks to one of both.
     site.workers[0].capacity.accelerators = 4;
-    site.end_all("long0");
-    site.live(Duration::from_secs(1));
-    site.end_all("long1");
-    site.live(Duration::from_secs(3));
+    site.finish_job("long0");
+    site.run_for(Duration::from_secs(1));
+    site.finish_job("long1");
+    site.run_for(Duration::from_secs(3));
     assert_eq!(site.running("pair"), 2, "there is room for both");
-    site.end_all("pair");
+    site.finish_job("pair");
     site.settle();
     assert_eq!(site.outcome("pair"), Some(Outcome::Succeeded));
 }
@@ -129,35 +129,35 @@
 #[tokio::test]
 async fn an_agent_starts_nothing_where_the_room_is_gone() {
     let store = Memory::default();
-    let worker = Fake::new();
+    let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
-    let agent = agent(&store, &worker);
-    admission.submit(&cell::job("a"), soon()).await;
-    runs(&worker, 2).await;
+    let agent = start_agent(&store, &worker);
+    admission.submit(&cell::job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
     // Starts are not answered for a while; then the planner is gone, and
     // the worker, which guards nothing, has room for what runs alone.
-    worker.lose_starts(u32::MAX);
-    admission.submit(&cell::job("b"), soon()).await;
-    let tried = || async { (worker.lost_starts() > 0).then_some(()) };
+    worker.leave_starts_unanswered(u32::MAX);
+    admission.submit(&cell::job("b"), deadline()).await;
+    let tried = || async { (worker.unanswered_starts() > 0).then_some(()) };
     until("a start is tried", tried).await;
     entry.kill();
-    worker.shrink(2);
-    let sent = worker.beats();
-    let told = || async { (worker.beats() >= sent + 2).then_some(()) };
+    worker.set_accelerators(2);
+    let sent = worker.heartbeats();
+    let told = || async { (worker.heartbeats() >= sent + 2).then_some(()) };
     until("its agent is told", told).await;
-    worker.lose_starts(0);
-    let looked = worker.looks();
-    let later = || async { (worker.looks() >= looked + 10).then_some(()) };
+    worker.leave_starts_unanswered(0);
+    let looked = worker.polls();
+    let later = || async { (worker.polls() >= looked + 10).then_some(()) };
     until("several looks", later).await;
-    assert_eq!(worker.began().len(), 2, "{:?}", worker.began());
+    assert_eq!(worker.started().len(), 2, "{:?}", worker.started());
     // With room, and a planner, it goes on.
-    worker.shrink(8);
+    worker.set_accelerators(8);
     let entry = Entry::start("other", &store).await;
-    runs(&worker, 4).await;
+    wait_for_running(&worker, 4).await;
     worker.end_all(RunOutcome::Done);
-    reaches(&admission, "a", DONE).await;
-    reaches(&admission, "b", DONE).await;
+    wait_for_stage(&admission, "a", SUCCEEDED).await;
+    wait_for_stage(&admission, "b", SUCCEEDED).await;
     agent.abort();
     entry.kill();
 }
--- a/tests/it/spare.rs
+++ b/tests/it/spare.rs
@@ -23,7 +23,7 @@
     let mut site = Site::new(NINE);
     site.submit(job("seen", 0, vec![step(1, 1, false)], &site));
     site.settle();
-    site.end_all("seen");
+    site.finish_job("seen");
     site.settle();
     site
 }
@@ -35,12 +35,12 @@
     site.settle();
     assert_eq!(site.running("low"), 8);
     site.submit(job("urgent", 0, vec![step(1, 8, false)], &site));
-    site.step();
-    site.write();
+    site.schedule();
+    site.write_progress();
     let starts = |site: &mut Site| {
         let agents: Vec<_> =
             site.workers.iter().map(|w| w.agent.clone()).collect();
-        let orders = agents.iter().map(|agent| site.book.orders(agent));
+        let orders = agents.iter().map(|agent| site.scheduler.orders(agent));
         orders.flat_map(|orders| orders.starts).count()
     };
     assert_eq!(starts(&mut site), 1, "without a stop before it");
@@ -53,7 +53,7 @@
     site.settle();
     assert_eq!(site.running("low"), 9);
     let mut site = self::site();
-    site.pass(Duration::from_secs(31));
+    site.advance(Duration::from_secs(31));
     site.submit(job("low", 1, vec![step(30, 8, false)], &site));
     site.settle();
     assert_eq!(site.running("low"), 9);
@@ -73,7 +73,7 @@
 fn work_is_stopped_for_a_guarantee_however_late() {
     let mut site = Site::new(&[("w1", "r1")]);
     let guarantees = [("account".into(), 8)];
-    site.book.set_guarantees(guarantees.into());
+    site.scheduler.set_guarantees(guarantees.into());
     site.submit(job("low", 1, vec![step(8, 1, false)], &site));
     site.settle();
     let mut urgent = job("urgent", 0, vec![step(1, 8, false)], &site);
@@ -91,7 +91,7 @@
     beside.per_worker = Some(1);
     site.submit(job("beside", 0, vec![beside], &site));
     site.settle();
-    site.end_all("beside");
+    site.finish_job("beside");
     let mut gang = step(9, 1, true);
     gang.same_rack = false;
     gang.per_worker = Some(1);
--- a/tests/it/stops.rs
+++ b/tests/it/stops.rs
@@ -23,7 +23,7 @@
     let mut site = Site::new(FOUR);
     site.submit(job("long", 1, vec![step(4, 8, false)], &site));
     site.settle();
-    site.live(Duration::from_secs(seconds));
+    site.run_for(Duration::from_secs(seconds));
     assert_eq!(site.running("long"), 4);
     site
 }
--- a/tests/it/suspended.rs
+++ b/tests/it/suspended.rs
@@ -17,16 +17,16 @@
 use landingvalve::store::Mutation;
 use landingvalve::store::Store;
 
-use crate::cell::agent;
+use crate::cell::deadline;
 use crate::cell::job;
-use crate::cell::reaches;
-use crate::cell::runs;
-use crate::cell::soon;
+use crate::cell::start_agent;
+use crate::cell::wait_for_running;
+use crate::cell::wait_for_stage;
 use crate::cell::Entry;
-use crate::cell::Fake;
+use crate::cell::FakeWorker;
 use crate::cell::Memory;
-use crate::cell::DONE;
-use crate::cell::KEYS;
+use crate::cell::CONFIGURATION_KEYS;
+use crate::cell::SUCCEEDED;
 use crate::support::until;
 
 /// For how long machines are suspended here, in ms.
@@ -71,18 +71,18 @@
 #[tokio::test]
 async fn an_agent_that_was_suspended_prolongs_nothing_by_an_old_grant() {
     let store = Memory::default();
-    let worker = Fake::new();
+    let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
-    let agent = agent(&store, &worker);
-    admission.submit(&job("a"), soon()).await;
-    runs(&worker, 2).await;
-    let prolonged = || async { worker.is_prolonged().then_some(()) };
+    let agent = start_agent(&store, &worker);
+    admission.submit(&job("a"), deadline()).await;
+    wait_for_running(&worker, 2).await;
+    let prolonged = || async { worker.lease_was_renewed().then_some(()) };
     until("the lease is prolonged", prolonged).await;
     // No planner grants anything any more; the last grant is 12 s.
     entry.kill();
     clock::simulate_suspension(Duration::from_secs(13));
-    let lapses = || async { (!worker.is_prolonged()).then_some(()) };
+    let lapses = || async { (!worker.lease_was_renewed()).then_some(()) };
     let look = Duration::from_secs(3);
     let lapsed = tokio::time::timeout(look, until("a look without", lapses));
     lapsed.await.expect("the next look prolongs nothing");
@@ -98,7 +98,7 @@
     let decode = |_: &[u8]| Ok::<_, String>(Configuration::default());
     let follow = source.clone().follow(
         store.clone(),
-        KEYS,
+        CONFIGURATION_KEYS,
         decode,
         Reach::new(),
         log::none(),
@@ -107,11 +107,11 @@
     let age = Duration::from_secs(2);
     let known = || async { source.fresh(age).map(|_| ()) };
     until("it is known", known).await;
-    store.refuse(u32::MAX);
+    store.reject_calls(u32::MAX);
     clock::simulate_suspension(Duration::from_secs(3));
     assert!(source.fresh(age).is_none(), "it is 3 s old");
     assert!(!source.in_touch(), "the store was not heard for 3 s");
-    store.refuse(0);
+    store.reject_calls(0);
     until("it is known anew", known).await;
     follow.abort();
 }
@@ -120,20 +120,20 @@
 async fn a_site_that_was_suspended_goes_on_and_does_nothing_twice() {
     for ms in TIMES {
         let store = Memory::default();
-        let worker = Fake::new();
+        let worker = FakeWorker::new();
         let admission = Admission::new(store.clone(), log::none());
         let entry = Entry::start("entry", &store).await;
-        let agent = agent(&store, &worker);
-        admission.submit(&job("a"), soon()).await;
-        runs(&worker, 2).await;
+        let agent = start_agent(&store, &worker);
+        admission.submit(&job("a"), deadline()).await;
+        wait_for_running(&worker, 2).await;
         // An order is on its way, and an admission waits.
-        admission.submit(&job("b"), soon()).await;
+        admission.submit(&job("b"), deadline()).await;
         clock::simulate_suspension(Duration::from_millis(ms));
-        runs(&worker, 4).await;
+        wait_for_running(&worker, 4).await;
         worker.end_all(RunOutcome::Done);
-        reaches(&admission, "a", DONE).await;
-        reaches(&admission, "b", DONE).await;
-        let mut began = worker.began();
+        wait_for_stage(&admission, "a", SUCCEEDED).await;
+        wait_for_stage(&admission, "b", SUCCEEDED).await;
+        let mut began = worker.started();
         began.sort();
         let once = ["a.0.0.0 1", "a.0.0.1 1", "b.0.0.0 1", "b.0.0.1 1"];
         assert_eq!(began, once, "suspended for {ms} ms");
--- a/tests/it/takeover.rs
+++ b/tests/it/takeover.rs
@@ -19,15 +19,15 @@
     site.settle();
     site.workers[0].end(RunOutcome::Failed, |running| running.task.index == 0);
     let report = site.workers[0].report();
-    site.book.apply_report(report, site.now);
+    site.scheduler.apply_report(report, site.now);
     // It is written, but the worker does not hear so.
-    site.write();
-    let kept = site.book.progress("gang").cloned();
-    site.book = Scheduler::new(Options::default(), site.now);
-    site.book.accept_job(gang, kept, site.now);
+    site.write_progress();
+    let kept = site.scheduler.progress("gang").cloned();
+    site.scheduler = Scheduler::new(Options::default(), site.now);
+    site.scheduler.accept_job(gang, kept, site.now);
     let report = site.workers[0].report();
-    site.book.apply_report(report, site.now);
-    let progress = site.book.progress("gang").expect("is known");
+    site.scheduler.apply_report(report, site.now);
+    let progress = site.scheduler.progress("gang").expect("is known");
     let failed: Vec<u32> =
         progress.units.values().map(|unit| unit.failed).collect();
     assert_eq!(failed, [1]);
@@ -41,20 +41,20 @@
     site.submit(job("gang", 1, vec![gang], &site));
     for worker in &mut site.workers {
         let report = worker.report();
-        site.book.apply_report(report, site.now);
+        site.scheduler.apply_report(report, site.now);
     }
-    site.step();
-    site.write();
+    site.schedule();
+    site.write_progress();
     // The second worker's order is lost, and the first is done alone.
     let [first, second] = [0, 1].map(|at| site.workers[at].agent.clone());
-    let orders = site.book.orders(&first);
-    assert_eq!(site.book.orders(&second).starts.len(), 1);
+    let orders = site.scheduler.orders(&first);
+    assert_eq!(site.scheduler.orders(&second).starts.len(), 1);
     site.workers[0].obey(&orders);
     site.workers[0].end(RunOutcome::Done, |_| true);
     let report = site.workers[0].report();
-    site.book.apply_report(report, site.now);
-    site.write();
-    let orders = site.book.orders(&second);
+    site.scheduler.apply_report(report, site.now);
+    site.write_progress();
+    let orders = site.scheduler.orders(&second);
     assert_eq!((orders.starts.len(), orders.stops.len()), (0, 1));
 }
 
@@ -62,19 +62,19 @@
 fn hand_over(site: &mut Site, jobs: &[Job]) {
     let mut next = Scheduler::new(Options::default(), site.now);
     for job in jobs {
-        let kept = site.book.progress(&job.id).cloned();
+        let kept = site.scheduler.progress(&job.id).cloned();
         next.accept_job(job.clone(), kept, site.now);
     }
-    site.book = next;
+    site.scheduler = next;
 }
 
 /// Lets some workers alone report, and the books decide.
 fn heard(site: &mut Site, workers: &[usize]) {
     for at in workers {
         let report = site.workers[*at].report();
-        site.book.apply_report(report, site.now);
+        site.scheduler.apply_report(report, site.now);
     }
-    site.step();
+    site.schedule();
 }
 
 #[test]
@@ -95,7 +95,7 @@
     heard(&mut site, &[0, 3]);
     let all: Vec<_> = site.workers.iter().map(|w| w.agent.clone()).collect();
     for agent in &all {
-        let orders = site.book.orders(agent);
+        let orders = site.scheduler.orders(agent);
         assert!(orders.stops.is_empty(), "{agent}: {orders:?}");
         assert!(orders.starts.is_empty(), "{agent}: {orders:?}");
     }
