--- a/tests/it/broken.rs
+++ b/tests/it/broken.rs
@@ -59,7 +59,7 @@
 #[test]
 fn a_gang_begins_anew_though_the_agent_beside_the_cause_goes_on() {
     let (mut site, on) = gang();
-    site.workers[on[2]].silent = true;
+    site.workers[on[2]].unresponsive = true;
     end(&mut site, &on[..2], RunOutcome::Broken);
     site.run_for(Duration::from_secs(1));
     assert_eq!(site.running("gang"), 4, "three anew, and the old list");
@@ -83,7 +83,7 @@
         assert_eq!(site.running("gang"), 3);
     }
     let here = on(&site);
-    site.workers[here[2]].silent = true;
+    site.workers[here[2]].unresponsive = true;
     end(&mut site, &here[..2], RunOutcome::Broken);
     site.run_for(Duration::from_secs(4));
     assert_eq!(site.running("gang"), 1, "its leases have not run out");
--- a/tests/it/crashes.rs
+++ b/tests/it/crashes.rs
@@ -40,8 +40,8 @@
         worker.life += 1;
         worker.running.clear();
         worker.ended.clear();
-        worker.number = 0;
-        worker.noted = 0;
+        worker.last_end = 0;
+        worker.acknowledged = 0;
         crashed += 1;
     }
     crashed
@@ -58,13 +58,13 @@
     site.write_progress();
     for worker in &mut site.workers {
         let orders = site.scheduler.orders(&worker.agent);
-        worker.obey(&orders);
+        worker.execute(&orders);
     }
 }
 
 /// Returns how often a task began.
 fn began(site: &Site, task: &str) -> usize {
-    let starts = site.workers.iter().flat_map(|worker| &worker.began);
+    let starts = site.workers.iter().flat_map(|worker| &worker.started_runs);
     let of_task = format!("{task} ");
     starts.filter(|start| start.starts_with(&of_task)).count()
 }
@@ -130,7 +130,7 @@
             ended: Vec::new(),
         };
         if worker.running.iter().any(&bad) {
-            worker.before = Some(before);
+            worker.past_life = Some(before);
         }
     }
     crash(site, bad)
@@ -216,7 +216,7 @@
         // Its worker went before the start came.
         crash_told(&mut site, |r| &*r.task.job == "good");
         for worker in &mut site.workers {
-            if let Some(before) = &mut worker.before {
+            if let Some(before) = &mut worker.past_life {
                 before.begun.clear();
             }
         }
--- a/tests/it/graph.rs
+++ b/tests/it/graph.rs
@@ -1,4 +1,4 @@
-//! The decisions about jobs of steps, without clock or network.
+//! Decisions about jobs of steps, without clock or network.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 use landingvalve::graph::Timestamp;
 use landingvalve::graph::WorkerReport;
 
-/// A worker that does what it is told.
+/// A simulated worker that executes all its orders, and its agent.
 pub struct Worker {
     pub agent: Arc<str>,
     pub rack: &'static str,
@@ -30,18 +30,18 @@
     pub sequence: u64,
     pub running: Vec<Running>,
     pub ended: Vec<Ended>,
-    pub number: u64,
-    pub noted: u64,
+    pub last_end: u64,
+    pub acknowledged: u64,
     pub leaving: bool,
-    /// Whether it answers its agent no more.
-    pub silent: bool,
+    /// Whether the worker no longer answers its agent.
+    pub unresponsive: bool,
     pub hall: Arc<str>,
     pub capacity: Resources,
     pub labels: Vec<Arc<str>>,
-    /// What its agent tells of the life before.
-    pub before: Option<PastLife>,
-    /// Every run that ever began here.
-    pub began: Vec<String>,
+    /// The worker's previous life, as its agent reports it.
+    pub past_life: Option<PastLife>,
+    /// Every run that was ever started here, as `TASK RUN`.
+    pub started_runs: Vec<String>,
 }
 
 impl Worker {
@@ -53,21 +53,22 @@
             sequence: 0,
             running: Vec::new(),
             ended: Vec::new(),
-            number: 0,
-            noted: 0,
+            last_end: 0,
+            acknowledged: 0,
             leaving: false,
-            silent: false,
+            unresponsive: false,
             hall: "hall".into(),
             capacity: Resources {
                 memory: 100_000,
                 ..resources(64000, 8)
             },
             labels: vec!["a".into(), rack.into()],
-            before: None,
-            began: Vec::new(),
+            past_life: None,
+            started_runs: Vec::new(),
         }
     }
 
+    /// Returns the next report of the worker's agent.
     pub fn report(&mut self) -> Report {
         self.sequence += 1;
         Report {
@@ -75,7 +76,7 @@
             process: "process".to_owned(),
             sequence: self.sequence,
             gone: None,
-            before: self.before.clone(),
+            before: self.past_life.clone(),
             silent: false,
             worker: Some(WorkerReport {
                 life: format!("{}-{}", self.agent, self.life).into(),
@@ -86,7 +87,7 @@
                 labels: self.labels.clone(),
                 capacity: self.capacity,
                 leaving: self.leaving,
-                silent: self.silent,
+                silent: self.unresponsive,
                 remaining_ms: None,
                 lists: Lists {
                     running: self.running.clone(),
@@ -98,14 +99,15 @@
     }
 
     fn start(&mut self, start: &Start) {
-        let known = self
+        let is_running = self
             .running
             .iter()
             .any(|r| r.task == start.task && r.run == start.run);
-        if known {
+        if is_running {
             return;
         }
-        self.began.push(format!("{} {}", start.task, start.run));
+        self.started_runs
+            .push(format!("{} {}", start.task, start.run));
         self.running.push(Running {
             task: start.task.clone(),
             run: start.run,
@@ -115,15 +117,20 @@
         });
     }
 
-    /// Ends what runs, for which `which` holds.
-    pub fn end(&mut self, how: RunOutcome, which: impl Fn(&Running) -> bool) {
-        let (ending, going) = self.running.drain(..).partition(|r| which(r));
-        self.running = going;
-        let ending: Vec<Running> = ending;
-        for running in ending {
-            self.number += 1;
+    /// Ends the runs for which `matches` returns true.
+    pub fn end(
+        &mut self,
+        how: RunOutcome,
+        matches: impl Fn(&Running) -> bool,
+    ) {
+        let (ended, remaining) =
+            self.running.drain(..).partition(|r| matches(r));
+        self.running = remaining;
+        let ended: Vec<Running> = ended;
+        for running in ended {
+            self.last_end += 1;
             self.ended.push(Ended {
-                number: self.number,
+                number: self.last_end,
                 task: running.task,
                 run: running.run,
                 how,
@@ -132,31 +139,32 @@
         }
     }
 
-    pub fn obey(&mut self, orders: &Orders) {
-        if self.silent {
+    /// Executes the orders, unless the worker is unresponsive.
+    pub fn execute(&mut self, orders: &Orders) {
+        if self.unresponsive {
             return;
         }
         for start in &orders.starts {
             self.start(start);
         }
         for stop in &orders.stops {
-            let this = |r: &Running| r.task == stop.task && r.run == stop.run;
-            self.end(RunOutcome::Stopped, this);
+            let same = |r: &Running| r.task == stop.task && r.run == stop.run;
+            self.end(RunOutcome::Stopped, same);
         }
         for pace in &orders.paces {
-            let this =
+            let same =
                 |r: &&mut Running| r.task == pace.task && r.run == pace.run;
-            for running in self.running.iter_mut().filter(this) {
+            for running in self.running.iter_mut().filter(same) {
                 running.pace = f64::from(pace.percent);
             }
         }
-        self.noted = self.noted.max(orders.noted);
-        let noted = self.noted;
-        self.ended.retain(|ended| ended.number > noted);
+        self.acknowledged = self.acknowledged.max(orders.noted);
+        let acknowledged = self.acknowledged;
+        self.ended.retain(|ended| ended.number > acknowledged);
     }
 }
 
-/// Books with workers, whose store writes at once.
+/// A scheduler and its workers, with a store that writes at once.
 pub struct Site {
     pub scheduler: Scheduler,
     pub workers: Vec<Worker>,
@@ -177,45 +185,48 @@
         }
     }
 
+    /// Advances both clocks; nobody reports meanwhile.
     pub fn advance(&mut self, time: Duration) {
         self.now.monotonic += time;
         self.now.wall += time;
     }
 
-    /// Passes time in steps that keep every agent in touch.
+    /// Advances the clocks and settles in intervals that keep every agent in
+    /// contact.
     pub fn run_for(&mut self, time: Duration) {
-        let tick = Duration::from_millis(500);
-        let mut left = time;
-        while left > Duration::ZERO {
-            let step = left.min(tick);
+        let interval = Duration::from_millis(500);
+        let mut remaining = time;
+        while remaining > Duration::ZERO {
+            let step = remaining.min(interval);
             self.advance(step);
             self.settle();
-            left -= step;
+            remaining -= step;
         }
     }
 
-    /// Writes what must be written.
+    /// Writes all pending changes of progress.
     pub fn write_progress(&mut self) {
         for job in self.scheduler.take_unwritten(usize::MAX) {
             self.scheduler.mark_written(&job.id, job.version);
         }
     }
 
-    /// Decides; no silent agent has kept anything.
+    /// Runs a scheduling pass. Silent agents have saved no reports.
     pub fn schedule(&mut self) {
         self.scheduler.run_pass(self.now);
-        let silent = self.scheduler.take_inquiries();
-        if silent.is_empty() {
+        let silent_agents = self.scheduler.take_inquiries();
+        if silent_agents.is_empty() {
             return;
         }
-        for agent in silent {
+        for agent in silent_agents {
             let sent = self.now.monotonic;
             self.scheduler.apply_inquiry(&agent, None, sent, self.now);
         }
         self.scheduler.run_pass(self.now);
     }
 
-    /// Lets everybody report and obey, until nothing changes.
+    /// Exchanges reports and orders with all workers, often enough that
+    /// nothing changes any more.
     pub fn settle(&mut self) {
         for _ in 0..6 {
             for at in 0..self.workers.len() {
@@ -226,7 +237,7 @@
             self.write_progress();
             for worker in &mut self.workers {
                 let orders = self.scheduler.orders(&worker.agent);
-                worker.obey(&orders);
+                worker.execute(&orders);
             }
         }
     }
@@ -241,11 +252,13 @@
             .and_then(|progress| progress.outcome)
     }
 
+    /// Returns how many tasks of a job are running.
     pub fn running(&self, id: &str) -> usize {
         let running = self.workers.iter().flat_map(|w| &w.running);
         running.filter(|r| &*r.task.job == id).count()
     }
 
+    /// Ends all running tasks of a job as done.
     pub fn finish_job(&mut self, id: &str) {
         for worker in &mut self.workers {
             worker.end(RunOutcome::Done, |r| &*r.task.job == id);
@@ -253,6 +266,7 @@
     }
 }
 
+/// Returns resources with 1000 MB of memory.
 pub fn resources(cpu: i64, accelerators: i64) -> Resources {
     Resources {
         cpu,
@@ -261,6 +275,8 @@
     }
 }
 
+/// Returns a step whose tasks are declared as 5 s long, each on one core. A
+/// gang is slow outside one rack.
 pub fn step(replicas: u32, accelerators: i64, gang: bool) -> Step {
     Step {
         replicas,
@@ -272,6 +288,7 @@
     }
 }
 
+/// Returns a job that is accepted now and may fail three times.
 pub fn job(id: &str, priority: u32, steps: Vec<Step>, site: &Site) -> Job {
     Job {
         id: id.into(),
@@ -291,11 +308,11 @@
     }
 }
 
-const TWO: &[(&str, &str)] = &[("w1", "r1"), ("w2", "r1")];
+const TWO_WORKERS: &[(&str, &str)] = &[("w1", "r1"), ("w2", "r1")];
 
 #[test]
-fn steps_wait_for_each_other_and_the_job_succeeds() {
-    let mut site = Site::new(TWO);
+fn steps_run_in_order_and_the_job_succeeds() {
+    let mut site = Site::new(TWO_WORKERS);
     let mut second = step(1, 1, false);
     second.after = vec![0];
     let steps = vec![step(3, 1, false), second];
@@ -311,7 +328,7 @@
 }
 
 #[test]
-fn room_kept_for_an_urgent_job_is_given_back_whole() {
+fn resources_taken_for_an_urgent_job_are_fully_returned() {
     let mut site = Site::new(&[("w1", "r1")]);
     for round in 0..5 {
         let borrower = format!("b{round}");
@@ -331,8 +348,8 @@
     }
 }
 
-/// Keeps room for a unit that has waited for so long.
-fn keeps_a_whole_worker(policy: Policy, wait: Duration) {
+/// Checks that a worker is reserved for a unit that has waited for `wait`.
+fn check_whole_worker_reserved(policy: Policy, wait: Duration) {
     let mut site = Site::new(&[("w1", "r1")]);
     site.scheduler = Scheduler::new(
         Options {
@@ -347,7 +364,8 @@
     site.settle();
     site.run_for(wait);
     site.submit(job("small", 1, vec![step(8, 1, false)], &site));
-    // The first job's tasks end one by one; no gap is filled meanwhile.
+    // The first job's tasks end one by one; the small job's tasks do not fill
+    // the gaps.
     for _ in 0..8 {
         let first = site.workers[0].running[0].task.clone();
         site.workers[0].end(RunOutcome::Done, |r| r.task == first);
@@ -357,25 +375,29 @@
 }
 
 #[test]
-fn a_whole_worker_is_kept_for_a_unit_that_has_waited() {
-    let at_once = Policy {
+fn a_whole_worker_is_reserved_for_a_unit_that_has_waited() {
+    let reserve_early = Policy {
         reserve_only_late: false,
         ..Policy::default()
     };
-    keeps_a_whole_worker(at_once, Duration::from_secs(2));
-    // Of 16 s its work takes 5: none is left to wait after 11.
-    keeps_a_whole_worker(Policy::default(), Duration::from_millis(11_500));
+    check_whole_worker_reserved(reserve_early, Duration::from_secs(2));
+    // The unit's objective is 16 s and its run takes 5 s, so that no time is
+    // left to wait after 11 s.
+    check_whole_worker_reserved(
+        Policy::default(),
+        Duration::from_millis(11_500),
+    );
 }
 
 #[test]
-fn an_urgent_unit_begins_though_room_is_kept_for_others_there() {
+fn an_urgent_unit_begins_in_resources_reserved_for_others() {
     let mut site = Site::new(&[("w1", "r1")]);
-    let mut slow = step(1, 4, false);
-    slow.estimate = Duration::from_secs(60);
-    site.submit(job("long", 1, vec![slow], &site));
+    let mut long = step(1, 4, false);
+    long.estimate = Duration::from_secs(60);
+    site.submit(job("long", 1, vec![long], &site));
     site.submit(job("short", 1, vec![step(4, 1, false)], &site));
     site.settle();
-    // One worker, and more waits for it than it holds.
+    // More units wait for the only worker than fit there.
     site.submit(job("next", 1, vec![step(2, 4, false)], &site));
     site.settle();
     let urgent = job("urgent", 0, vec![step(1, 4, false)], &site);
@@ -387,30 +409,30 @@
 }
 
 #[test]
-fn a_failed_run_counts_before_its_end_may_be_acknowledged() {
-    let mut site = Site::new(TWO);
+fn a_failed_run_is_written_before_its_end_is_acknowledged() {
+    let mut site = Site::new(TWO_WORKERS);
     let mut gang = step(2, 1, true);
     gang.same_rack = false;
     site.submit(job("j", 1, vec![gang], &site));
     site.settle();
     site.workers[0].end(RunOutcome::Failed, |r| r.task.index == 0);
-    // One member's end is known, and nothing of the other's.
+    // Only the failed member's end is reported.
     let report = site.workers[0].report();
     site.scheduler.apply_report(report, site.now);
     let agent = site.workers[0].agent.clone();
-    let noted = |site: &mut Site| site.scheduler.orders(&agent).noted;
-    assert_eq!(noted(&mut site), 0, "the failure is not written");
+    let acknowledged = |site: &mut Site| site.scheduler.orders(&agent).noted;
+    assert_eq!(acknowledged(&mut site), 0, "the failure is not written");
     site.write_progress();
-    assert_eq!(noted(&mut site), 1);
-    let kept = &site.scheduler.progress("j").expect("known").units;
-    assert_eq!(kept.values().next().expect("begun").failed, 1);
+    assert_eq!(acknowledged(&mut site), 1);
+    let units = &site.scheduler.progress("j").expect("known").units;
+    assert_eq!(units.values().next().expect("begun").failed, 1);
 }
 
 #[test]
-fn a_unit_does_not_wait_for_kept_room_while_there_is_other() {
-    // Whichever worker is free first is taken.
+fn a_unit_does_not_wait_for_its_reservation_if_another_worker_is_free() {
+    // The unit starts on whichever worker becomes free first.
     for worker in [1, 0] {
-        let mut site = Site::new(TWO);
+        let mut site = Site::new(TWO_WORKERS);
         site.submit(job("a", 1, vec![step(2, 8, false)], &site));
         site.settle();
         site.submit(job("big", 1, vec![step(1, 8, false)], &site));
@@ -424,7 +446,7 @@
 }
 
 #[test]
-fn a_run_is_ordered_only_once_it_is_written() {
+fn a_run_is_ordered_only_after_it_is_written() {
     let mut site = Site::new(&[("w1", "r1")]);
     site.submit(job("j", 1, vec![step(1, 1, false)], &site));
     let report = site.workers[0].report();
@@ -441,47 +463,47 @@
     let mut site = Site::new(&[("w1", "r1")]);
     site.submit(job("j", 1, vec![step(1, 1, false)], &site));
     site.settle();
-    let kept = site.scheduler.progress("j").cloned();
+    let progress = site.scheduler.progress("j").cloned();
     let mut next = Site::new(&[("w1", "r1")]);
     next.workers = site.workers;
     next.scheduler.accept_job(
         job("j", 1, vec![step(1, 1, false)], &next),
-        kept,
+        progress,
         next.now,
     );
     next.settle();
-    assert_eq!(next.workers[0].began, ["j.0.0.0 1"]);
+    assert_eq!(next.workers[0].started_runs, ["j.0.0.0 1"]);
 }
 
 #[test]
-fn a_silent_worker_s_tasks_begin_elsewhere_only_after_its_leases() {
+fn tasks_of_a_silent_worker_begin_elsewhere_only_after_its_leases_expire() {
     let mut site = Site::new(&[("w1", "r1"), ("w2", "r2")]);
     site.submit(job("j", 1, vec![step(1, 1, false)], &site));
     site.settle();
     let on = usize::from(site.workers[0].running.is_empty());
     let mut silent = site.workers.remove(on);
-    // 12.8 s of leases; then the unit is placed again at once.
+    // The leases last 12.8 s; then the unit is placed again at once.
     for second in 1..=15 {
         site.advance(Duration::from_secs(1));
         site.settle();
-        let began = site.workers[0].running.len();
-        let over = second >= 13;
-        assert_eq!(began, usize::from(over), "after {second} s");
+        let running = site.workers[0].running.len();
+        let expired = second >= 13;
+        assert_eq!(running, usize::from(expired), "after {second} s");
     }
-    // What it lists as done when it is back is done: once that is
-    // acknowledged the task may not begin again, and its other run is
+    // A task that the worker lists as done on its return is done: once the end
+    // is acknowledged the task must not begin again, and its other run is
     // stopped.
     silent.end(RunOutcome::Done, |_| true);
     site.workers.push(silent);
     site.settle();
     assert_eq!(site.outcome("j"), Some(Outcome::Succeeded));
-    assert_eq!(site.running("j"), 0, "its other run goes on");
-    let began = site.workers.iter().map(|worker| worker.began.len());
-    assert_eq!(began.sum::<usize>(), 2, "begun again though done");
+    assert_eq!(site.running("j"), 0, "the other run was not stopped");
+    let starts = site.workers.iter().map(|worker| worker.started_runs.len());
+    assert_eq!(starts.sum::<usize>(), 2, "a done task was started again");
 }
 
 #[test]
-fn a_leaving_worker_gets_nothing_new() {
+fn a_leaving_worker_gets_no_new_tasks() {
     let mut site = Site::new(&[("w1", "r1")]);
     site.workers[0].leaving = true;
     site.submit(job("j", 1, vec![step(1, 1, false)], &site));
@@ -490,8 +512,8 @@
 }
 
 #[test]
-fn a_job_fails_after_as_many_failed_runs_as_its_queue_allows() {
-    let mut site = Site::new(TWO);
+fn a_job_fails_after_the_allowed_number_of_failed_runs() {
+    let mut site = Site::new(TWO_WORKERS);
     site.submit(job("j", 1, vec![step(1, 1, false)], &site));
     for _ in 0..3 {
         site.advance(Duration::from_secs(70));
@@ -506,14 +528,15 @@
 }
 
 #[test]
-fn costly_work_is_stopped_for_a_guarantee_alone() {
+fn costly_work_is_preempted_only_for_a_guarantee() {
     for guaranteed in [0, 8] {
         let mut site = Site::new(&[("w1", "r1")]);
         let guarantees = [("account".into(), guaranteed)].into();
         site.scheduler.set_guarantees(guarantees);
         site.submit(job("long", 1, vec![step(1, 8, false)], &site));
         site.settle();
-        // 65 cores' worth for 10 s: more than an urgent job is worth.
+        // 10 s of work worth 65 cores: more than may be lost for an urgent job
+        // without a guarantee.
         site.advance(Duration::from_secs(1));
         for _ in 0..9 {
             site.settle();
@@ -527,7 +550,7 @@
 }
 
 #[test]
-fn a_unit_whose_room_is_kept_takes_other_room_beside_it() {
+fn a_unit_combines_reserved_workers_with_other_free_ones() {
     let names = ["w1", "w2", "w3", "w4", "w5", "w6"];
     let six: Vec<(&str, &str)> = names.map(|name| (name, "r1")).to_vec();
     let mut site = Site::new(&six);
@@ -537,10 +560,11 @@
     gang.same_rack = false;
     site.submit(job("b", 1, vec![gang], &site));
     site.settle();
-    // Room is kept on the first three workers.
+    // The first three workers are reserved.
     site.advance(Duration::from_secs(2));
     site.settle();
-    // The first goes on; two of the kept and two others become free.
+    // The first worker stays busy; two reserved and two other workers become
+    // free.
     for at in 1..5 {
         site.workers[at].end(RunOutcome::Done, |_| true);
     }
--- a/tests/it/takeover.rs
+++ b/tests/it/takeover.rs
@@ -49,7 +49,7 @@
     let [first, second] = [0, 1].map(|at| site.workers[at].agent.clone());
     let orders = site.scheduler.orders(&first);
     assert_eq!(site.scheduler.orders(&second).starts.len(), 1);
-    site.workers[0].obey(&orders);
+    site.workers[0].execute(&orders);
     site.workers[0].end(RunOutcome::Done, |_| true);
     let report = site.workers[0].report();
     site.scheduler.apply_report(report, site.now);
