--- a/tests/it/broken.rs
+++ b/tests/it/broken.rs
@@ -1,4 +1,7 @@
-//! Gangs whose members tell that another one has ended.
+//! Gangs that are broken because one member has ended.
+//!
+//! The other members report `broken`, while the worker of the member that
+//! ended may be silent.
 
 use std::time::Duration;
 
@@ -8,7 +11,7 @@
 use crate::graph::step;
 use crate::graph::Site;
 
-const SIX: &[(&str, &str)] = &[
+const SIX_WORKERS: &[(&str, &str)] = &[
     ("w1", "r1"),
     ("w2", "r1"),
     ("w3", "r1"),
@@ -17,10 +20,10 @@
     ("w6", "r2"),
 ];
 
-/// Starts a gang of three whole workers in one rack; returns the site and
-/// which workers it is on.
+/// Starts a gang of three whole workers in one rack; returns the site and the
+/// indices of the gang's workers.
 fn gang() -> (Site, Vec<usize>) {
-    let mut site = Site::new(SIX);
+    let mut site = Site::new(SIX_WORKERS);
     site.submit(job("gang", 1, vec![step(3, 8, true)], &site));
     site.settle();
     assert_eq!(site.running("gang"), 3);
@@ -37,68 +40,69 @@
 }
 
 #[test]
-fn a_gang_begins_anew_though_the_worker_that_broke_it_says_nothing() {
+fn a_gang_restarts_although_the_worker_that_broke_it_is_silent() {
     let (mut site, on) = gang();
-    // One worker is taken away; the others tell that a member has ended.
-    let gone = site.workers.remove(on[2]);
+    // One worker is taken away; the others report that a member has ended.
+    let lost = site.workers.remove(on[2]);
     end(&mut site, &on[..2], RunOutcome::Broken);
     site.run_for(Duration::from_secs(4));
-    assert_eq!(site.running("gang"), 3, "begun anew within 4 s");
-    // Should it come back, what it tells of that run counts no more.
-    let mut back = gone;
-    back.end(RunOutcome::Done, |_| true);
-    site.workers.push(back);
+    assert_eq!(site.running("gang"), 3, "restarted within 4 s");
+    // If the lost worker returns, its report about that run no longer counts.
+    let mut returned = lost;
+    returned.end(RunOutcome::Done, |_| true);
+    site.workers.push(returned);
     site.settle();
     assert_eq!(site.outcome("gang"), None);
 }
 
-/// A worker was taken away at short notice while its agent stayed: four of
-/// five members told after 4.2 s that another one had ended, the agent told
-/// `the worker does not answer`, and the gang was begun anew only 5.4 s later,
-/// once the worker's leases had run out: `how="worker gone" ran_ms=9710`.
+/// Guards against gangs that wait too long if a worker is taken away at short
+/// notice and its agent stays. All other members report that another one has
+/// ended, but the agent's reports that its worker does not answer used to keep
+/// the gang waiting until the worker's leases had expired, 5.4 s later.
 #[test]
-fn a_gang_begins_anew_though_the_agent_beside_the_cause_goes_on() {
+fn a_gang_restarts_although_the_agent_of_the_silent_worker_still_reports() {
     let (mut site, on) = gang();
     site.workers[on[2]].unresponsive = true;
     end(&mut site, &on[..2], RunOutcome::Broken);
     site.run_for(Duration::from_secs(1));
-    assert_eq!(site.running("gang"), 4, "three anew, and the old list");
+    assert_eq!(site.running("gang"), 4, "three restarted, one still listed");
 }
 
 #[test]
-fn a_last_attempt_waits_for_how_the_silent_member_ended() {
+fn a_last_attempt_waits_for_the_outcome_of_the_silent_member() {
     let (mut site, _) = gang();
-    let on = |site: &Site| -> Vec<usize> {
+    let on_workers = |site: &Site| -> Vec<usize> {
         let workers = site.workers.iter().enumerate();
-        let here = workers.filter(|(_, w)| !w.running.is_empty());
-        here.map(|(at, _)| at).collect()
+        let busy = workers.filter(|(_, w)| !w.running.is_empty());
+        busy.map(|(at, _)| at).collect()
     };
-    // Two of three attempts have failed: should the silent member have
-    // failed as well, the job is over.
+    // Two of three attempts have failed. If the silent member has failed as
+    // well, the job has failed.
     for _ in 0..2 {
-        let here = on(&site);
-        end(&mut site, &here[..1], RunOutcome::Failed);
-        end(&mut site, &here[1..], RunOutcome::Broken);
+        let on = on_workers(&site);
+        end(&mut site, &on[..1], RunOutcome::Failed);
+        end(&mut site, &on[1..], RunOutcome::Broken);
         site.run_for(Duration::from_secs(6));
         assert_eq!(site.running("gang"), 3);
     }
-    let here = on(&site);
-    site.workers[here[2]].unresponsive = true;
-    end(&mut site, &here[..2], RunOutcome::Broken);
+    let on = on_workers(&site);
+    site.workers[on[2]].unresponsive = true;
+    end(&mut site, &on[..2], RunOutcome::Broken);
     site.run_for(Duration::from_secs(4));
-    assert_eq!(site.running("gang"), 1, "its leases have not run out");
+    assert_eq!(site.running("gang"), 1, "its leases have not expired");
 }
 
 #[test]
-fn a_gang_waits_for_a_silent_worker_while_another_cause_is_known() {
+fn a_gang_waits_for_a_silent_worker_if_another_member_has_failed() {
     let (mut site, on) = gang();
     site.workers.remove(on[2]);
-    // The first has failed: the silent one may well be running yet.
+    // The first member's failure explains the broken one: the silent member
+    // may still be running.
     end(&mut site, &on[..1], RunOutcome::Failed);
     site.settle();
     end(&mut site, &on[1..2], RunOutcome::Broken);
     site.run_for(Duration::from_secs(8));
-    assert_eq!(site.running("gang"), 0, "its leases have not run out");
+    assert_eq!(site.running("gang"), 0, "its leases have not expired");
     site.run_for(Duration::from_secs(7));
     assert_eq!(site.running("gang"), 3);
 }
@@ -108,33 +112,33 @@
     let (mut site, on) = gang();
     site.workers.remove(on[2]);
     site.workers.remove(on[1]);
-    // One of the two has ended; the other may be running yet.
+    // One of the two has ended; the other may still be running.
     end(&mut site, &on[..1], RunOutcome::Broken);
     site.run_for(Duration::from_secs(8));
-    assert_eq!(site.running("gang"), 0, "their leases have not run out");
+    assert_eq!(site.running("gang"), 0, "their leases have not expired");
 }
 
 #[test]
-fn a_gang_waits_for_a_worker_that_is_merely_late_with_its_report() {
+fn a_gang_waits_for_a_worker_whose_report_is_late() {
     let (mut site, on) = gang();
     let late = site.workers.remove(on[2]);
     end(&mut site, &on[..2], RunOutcome::Broken);
     site.run_for(Duration::from_secs(1));
-    assert_eq!(site.running("gang"), 0, "it may tell yet how it ended");
+    assert_eq!(site.running("gang"), 0, "its outcome may still be reported");
     let mut late = late;
     late.end(RunOutcome::Done, |_| true);
     site.workers.push(late);
     site.settle();
     site.run_for(Duration::from_secs(3));
-    assert_eq!(site.running("gang"), 0, "it was done after all");
+    assert_eq!(site.running("gang"), 0, "the gang was done");
 }
 
-/// Two members of a gang were lost with their worker, one of them before its
-/// order was handed out: it ended with the first as that gang was given up,
-/// and once more as lost. The worker then counted as emptier than it can be,
-/// and was filled beyond its room once it spoke again.
+/// Guards against resources that are released twice. Two members of a gang were
+/// lost with their worker, one of them before its order was sent: that member
+/// ended with the first one when the gang was given up, and again as lost. The
+/// worker was then overfilled once it reported again.
 #[test]
-fn a_worker_is_given_back_no_more_than_was_taken() {
+fn a_member_s_resources_are_released_once() {
     let mut site = Site::new(&[("w1", "r1"), ("w2", "r1")]);
     for worker in &mut site.workers {
         site.scheduler.apply_report(worker.report(), site.now);
@@ -142,13 +146,13 @@
     site.submit(job("gang", 1, vec![step(3, 4, true)], &site));
     site.schedule();
     site.write_progress();
-    // One worker is told of its one member; of the other with two nothing is
-    // heard for long.
-    let placed = site.scheduler.progress("gang").expect("it has begun");
+    // The worker with one member gets its order; the worker with two members
+    // is silent for a long time.
+    let placed = site.scheduler.progress("gang").expect("it is placed");
     let on: Vec<_> = placed.units.values().flat_map(|u| &u.on).collect();
     let on = |agent: &str| on.iter().filter(|p| &*p.agent == agent).count();
-    let full = usize::from(on("w2") == 2);
-    let silent = site.workers.remove(full);
+    let with_two = usize::from(on("w2") == 2);
+    let silent = site.workers.remove(with_two);
     for _ in 0..40 {
         site.advance(Duration::from_millis(500));
         site.settle();
--- a/tests/it/burst.rs
+++ b/tests/it/burst.rs
@@ -1,6 +1,8 @@
-//! A burst of urgent gangs on a full site: for each of them all that could be
-//! stopped was gone through again, rack by rack, so that a pass took 73 ms of
-//! a whole core and jobs were taken in a second late.
+//! A burst of urgent gangs on a full site.
+//!
+//! Guards against long scheduling passes: all preemptible work used to be
+//! examined again for each gang, rack by rack, so that a pass took 73 ms of a
+//! whole core and jobs were accepted a second late.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,18 +13,19 @@
 use crate::graph::step;
 use crate::graph::Site;
 
-/// Workers, and workers to a rack.
+/// The number of workers.
 const WORKERS: usize = 240;
-const RACK: usize = 8;
-/// Urgent gangs that come at once, of half a rack each.
+/// The number of workers in a rack.
+const RACK_WORKERS: usize = 8;
+/// The number of urgent gangs that are submitted at once, each of half a rack.
 const GANGS: usize = 40;
-/// How many times as long as copying the books a pass may take, in a build
-/// that is not optimized: 395 times before.
-const MOST: u32 = 150;
+/// The most time that a pass may take, as a multiple of the time to copy the
+/// scheduler, in a build that is not optimized. The fault made it 395 times.
+const MAX_PASS_FACTOR: u32 = 150;
 
-/// Returns a site that is full of work that may be stopped.
-fn full() -> Site {
-    let racks: Vec<&'static str> = (0..WORKERS / RACK)
+/// Returns a site that is full of preemptible work.
+fn full_site() -> Site {
+    let racks: Vec<&'static str> = (0..WORKERS / RACK_WORKERS)
         .map(|rack| &*format!("r{rack}").leak())
         .collect();
     let names: Vec<String> =
@@ -30,7 +33,7 @@
     let workers: Vec<(&str, &'static str)> = names
         .iter()
         .enumerate()
-        .map(|(at, name)| (&**name, racks[at / RACK]))
+        .map(|(at, name)| (&**name, racks[at / RACK_WORKERS]))
         .collect();
     let mut site = Site::new(&workers);
     for at in 0..WORKERS / 5 {
@@ -42,11 +45,11 @@
 }
 
 #[test]
-fn a_burst_of_urgent_gangs_makes_no_long_pass() {
-    let mut site = full();
-    let all: usize = site.workers.iter().map(|w| w.running.len()).sum();
-    assert_eq!(all, WORKERS * 8, "the site is full");
-    let guaranteed = (GANGS * RACK / 2 * 8) as i64;
+fn a_burst_of_urgent_gangs_causes_no_long_pass() {
+    let mut site = full_site();
+    let running: usize = site.workers.iter().map(|w| w.running.len()).sum();
+    assert_eq!(running, WORKERS * 8, "the site is full");
+    let guaranteed = (GANGS * RACK_WORKERS / 2 * 8) as i64;
     let account: SharedStr = "account".into();
     site.scheduler
         .set_guarantees([(account, guaranteed)].into());
@@ -55,24 +58,28 @@
         let id = format!("urgent{at:02}");
         site.submit(job(&id, 0, vec![step(4, 8, true)], &site));
     }
-    let time = |work: &mut dyn FnMut()| {
-        let took = |_| {
+    let shortest = |work: &mut dyn FnMut()| {
+        let measure = |_| {
             let began = Instant::now();
             work();
             began.elapsed()
         };
-        (0..5).map(took).min().expect("five")
+        (0..5).map(measure).min().expect("five measurements")
     };
-    let copied = time(&mut || drop(site.scheduler.clone()));
-    let passed = time(&mut || site.scheduler.clone().run_pass(site.now));
-    println!("copied {copied:?}, passed {passed:?}");
-    assert!(passed < copied * MOST, "{passed:?}, {copied:?} to copy");
-    // All of them are given room at once, in racks of their own.
+    let copy_time = shortest(&mut || drop(site.scheduler.clone()));
+    let pass_time =
+        shortest(&mut || site.scheduler.clone().run_pass(site.now));
+    println!("copy {copy_time:?}, pass {pass_time:?}");
+    assert!(
+        pass_time < copy_time * MAX_PASS_FACTOR,
+        "{pass_time:?}, {copy_time:?} to copy"
+    );
+    // All gangs get room at once, each within one rack.
     site.settle();
     site.settle();
-    let begun = (0..GANGS).filter(|at| {
+    let running_gangs = (0..GANGS).filter(|at| {
         let id = format!("urgent{at:02}");
         site.running(&id) == 4
     });
-    assert_eq!(begun.count(), GANGS);
+    assert_eq!(running_gangs.count(), GANGS);
 }
--- a/tests/it/crashes.rs
+++ b/tests/it/crashes.rs
@@ -1,9 +1,10 @@
-//! Two tasks that took their worker down at each start were begun 33 and 25
-//! times in two minutes, and for all that time two of eleven workers were
-//! away. A lost worker was counted against nobody, since only an end that a
-//! worker lists as failed is. The planner's lines of one task told it: `a run
-//! has ended ... how="worker gone" ran_ms=3220`, and in the same pass `a unit
-//! is placed ... run=2 waited_ms=0`, up to run 8 by one planner.
+//! Jobs whose tasks take down their workers.
+//!
+//! Guards against tasks that are restarted without end: a lost worker used to
+//! count against no task, because only an end that a worker lists as failed
+//! did, and the task was placed again in the same pass. Two such tasks were
+//! started 33 and 25 times in two minutes, and kept two of eleven workers down.
+//! Jobs whose workers were lost for other reasons must not be given up.
 
 use std::time::Duration;
 
@@ -21,20 +22,21 @@
 use crate::graph::Site;
 use crate::graph::Worker;
 
-/// How many workers may go down under a task, and how often it may begin
-/// after that.
-const CRASHES: usize = 3;
-const MORE: usize = 2;
+/// The number of workers that may go down under a task before its starts are
+/// limited.
+const MAX_CRASHES: usize = 3;
+/// The number of starts allowed after [`MAX_CRASHES`].
+const EXTRA_STARTS: usize = 2;
 
-const FOUR: &[(&str, &str)] =
+const FOUR_WORKERS: &[(&str, &str)] =
     &[("w1", "r1"), ("w2", "r1"), ("w3", "r2"), ("w4", "r2")];
 
-/// Takes the workers down on which `bad` runs, and brings them back under
-/// another name; returns how many they were.
-fn crash(site: &mut Site, bad: impl Fn(&Running) -> bool) -> usize {
+/// Takes down the workers with a run for which `causes_crash` returns true,
+/// and brings them back under another name; returns their number.
+fn crash(site: &mut Site, causes_crash: impl Fn(&Running) -> bool) -> usize {
     let mut crashed = 0;
     for worker in &mut site.workers {
-        if !worker.running.iter().any(&bad) {
+        if !worker.running.iter().any(&causes_crash) {
             continue;
         }
         worker.life += 1;
@@ -47,7 +49,7 @@
     crashed
 }
 
-/// Lets everybody report and obey, once.
+/// Exchanges reports and orders with all workers once.
 fn round(site: &mut Site) {
     site.advance(Duration::from_millis(300));
     for at in 0..site.workers.len() {
@@ -62,28 +64,28 @@
     }
 }
 
-/// Returns how often a task began.
-fn began(site: &Site, task: &str) -> usize {
+/// Returns how often a task was started.
+fn start_count(site: &Site, task: &str) -> usize {
     let starts = site.workers.iter().flat_map(|worker| &worker.started_runs);
     let of_task = format!("{task} ");
     starts.filter(|start| start.starts_with(&of_task)).count()
 }
 
-/// Hands the books over to a new planner.
-fn hand_over(site: &mut Site, job: &Job) {
-    let kept = site.scheduler.progress(&job.id).cloned();
+/// Replaces the scheduler by that of a new planner.
+fn replace_planner(site: &mut Site, job: &Job) {
+    let progress = site.scheduler.progress(&job.id).cloned();
     site.scheduler = Scheduler::new(Options::default(), site.now);
-    site.scheduler.accept_job(job.clone(), kept, site.now);
+    site.scheduler.accept_job(job.clone(), progress, site.now);
 }
 
 #[test]
-fn a_task_that_takes_its_workers_down_is_given_up() {
-    // Its worker goes before it is ever listed, after a while of work, or is
-    // one of a gang's that are sound.
+fn a_task_that_takes_down_its_workers_is_given_up() {
+    // The worker goes down before the task is ever listed; after a while of
+    // work; or under one member of a gang whose other members run well.
     for (replicas, gang, rounds) in
         [(1, false, 0), (1, false, 6), (3, true, 0)]
     {
-        let mut site = Site::new(FOUR);
+        let mut site = Site::new(FOUR_WORKERS);
         let bad = job("bad", 1, vec![step(replicas, 8, gang)], &site);
         site.submit(bad);
         for _ in 0..60 {
@@ -95,68 +97,74 @@
         }
         let case = format!("{replicas} tasks, gang {gang}, {rounds} rounds");
         assert_eq!(site.outcome("bad"), Some(Outcome::Failed), "{case}");
-        let starts = began(&site, "bad.0.0.0");
-        assert!(starts <= CRASHES + MORE, "{case}: {starts} starts");
+        let starts = start_count(&site, "bad.0.0.0");
+        assert!(
+            starts <= MAX_CRASHES + EXTRA_STARTS,
+            "{case}: {starts} starts"
+        );
     }
 }
 
 #[test]
-fn lost_workers_are_counted_over_changes_of_planners() {
-    let mut site = Site::new(FOUR);
+fn lost_workers_are_counted_across_changes_of_planners() {
+    let mut site = Site::new(FOUR_WORKERS);
     let bad = job("bad", 1, vec![step(1, 8, false)], &site);
     site.submit(bad.clone());
     for turn in 0..60 {
         round(&mut site);
         crash(&mut site, |r| &*r.task.job == "bad");
         if turn % 2 == 1 {
-            hand_over(&mut site, &bad);
+            replace_planner(&mut site, &bad);
         }
     }
     assert_eq!(site.outcome("bad"), Some(Outcome::Failed));
-    let starts = began(&site, "bad.0.0.0");
-    assert!(starts <= CRASHES + MORE, "{starts} starts");
+    let starts = start_count(&site, "bad.0.0.0");
+    assert!(starts <= MAX_CRASHES + EXTRA_STARTS, "{starts} starts");
 }
 
-/// Takes workers down as [`crash`] does, and lets their agents tell what had
-/// begun there; returns how many they were.
-fn crash_told(site: &mut Site, bad: impl Fn(&Running) -> bool) -> usize {
+/// Takes down workers as [`crash`] does, and lets their agents report what had
+/// begun there; returns their number.
+fn crash_reported(
+    site: &mut Site,
+    causes_crash: impl Fn(&Running) -> bool,
+) -> usize {
     for worker in &mut site.workers {
         let begun = worker.running.iter().map(|r| (r.task.clone(), r.run));
-        let before = PastLife {
+        let past_life = PastLife {
             life: format!("{}-{}", worker.agent, worker.life).into(),
             begun: begun.collect(),
             unseen: false,
             over: false,
             ended: Vec::new(),
         };
-        if worker.running.iter().any(&bad) {
-            worker.past_life = Some(before);
+        if worker.running.iter().any(&causes_crash) {
+            worker.past_life = Some(past_life);
         }
     }
-    crash(site, bad)
+    crash(site, causes_crash)
 }
 
 #[test]
-fn of_a_wide_step_one_task_alone_is_tried_again() {
-    // 16 tasks of one accelerator, each of which takes its worker down.
-    let mut site = Site::new(FOUR);
+fn only_one_suspect_of_a_wide_step_is_tried_at_a_time() {
+    // 16 tasks with one accelerator each, and each takes down its worker.
+    let mut site = Site::new(FOUR_WORKERS);
     site.submit(job("bad", 1, vec![step(16, 1, false)], &site));
     let mut crashed = Vec::new();
     for _ in 0..60 {
         round(&mut site);
-        crashed.push(crash_told(&mut site, |r| &*r.task.job == "bad"));
+        crashed.push(crash_reported(&mut site, |r| &*r.task.job == "bad"));
     }
     assert_eq!(site.outcome("bad"), Some(Outcome::Failed));
     let crashed: Vec<usize> =
         crashed.into_iter().filter(|count| *count > 0).collect();
-    // All at once while it may be chance, and then one of them alone.
+    // The tasks run at once while the losses may be chance, and then only one.
     assert_eq!(crashed, [2, 2, 1]);
 }
 
 #[test]
-fn a_suspect_is_tried_where_it_takes_nobody_along() {
-    let mut site = Site::new(FOUR);
-    // A small task of another job on each of three workers.
+fn a_suspect_is_tried_on_a_worker_of_its_own() {
+    let mut site = Site::new(FOUR_WORKERS);
+    // Three workers run a small task of another job each.
     for (id, at) in [("x", 0), ("y", 1), ("z", 2)] {
         let mut small = step(1, 1, false);
         small.label = Some(site.workers[at].agent.clone());
@@ -166,21 +174,22 @@
     site.settle();
     site.submit(job("bad", 1, vec![step(1, 1, false)], &site));
     let others = |r: &Running| &*r.task.job != "bad";
-    let mut taken_along = Vec::new();
+    let mut beside_suspect = Vec::new();
     for _ in 0..60 {
         round(&mut site);
-        let with = site.workers.iter().filter(|worker| {
+        let affected = site.workers.iter().filter(|worker| {
             worker.running.iter().any(|r| &*r.task.job == "bad")
         });
-        let with: Vec<usize> = with
+        let counts: Vec<usize> = affected
             .map(|w| w.running.iter().filter(|r| others(r)).count())
             .collect();
-        taken_along.extend(with);
-        crash_told(&mut site, |r| &*r.task.job == "bad");
+        beside_suspect.extend(counts);
+        crash_reported(&mut site, |r| &*r.task.job == "bad");
     }
     assert_eq!(site.outcome("bad"), Some(Outcome::Failed));
-    // It begins beside others while it may be chance, and then alone.
-    assert_eq!(taken_along, [1, 1, 0]);
+    // The task starts beside others while the losses may be chance, and then
+    // alone.
+    assert_eq!(beside_suspect, [1, 1, 0]);
     for id in ["x", "y", "z"] {
         assert_eq!(site.outcome(id), None, "{id} goes on");
         assert_eq!(site.running(id), 1, "{id} goes on");
@@ -188,15 +197,15 @@
 }
 
 #[test]
-fn a_task_that_was_at_work_when_its_workers_went_goes_on() {
-    let mut site = Site::new(FOUR);
+fn a_task_that_had_run_for_a_while_is_not_blamed_for_lost_workers() {
+    let mut site = Site::new(FOUR_WORKERS);
     site.submit(job("good", 1, vec![step(1, 8, false)], &site));
     for _ in 0..3 {
-        // Two seconds of work each time.
+        // The task runs for two seconds each time.
         for _ in 0..7 {
             round(&mut site);
         }
-        let lost = crash_told(&mut site, |r| &*r.task.job == "good");
+        let lost = crash_reported(&mut site, |r| &*r.task.job == "good");
         assert_eq!(lost, 1);
     }
     round(&mut site);
@@ -208,16 +217,16 @@
 }
 
 #[test]
-fn a_start_that_never_came_to_its_worker_counts_against_nobody() {
-    let mut site = Site::new(FOUR);
+fn a_start_that_never_reached_its_worker_counts_against_no_task() {
+    let mut site = Site::new(FOUR_WORKERS);
     site.submit(job("good", 1, vec![step(1, 8, false)], &site));
     for _ in 0..6 {
         round(&mut site);
-        // Its worker went before the start came.
-        crash_told(&mut site, |r| &*r.task.job == "good");
+        // The worker was lost before the start arrived.
+        crash_reported(&mut site, |r| &*r.task.job == "good");
         for worker in &mut site.workers {
-            if let Some(before) = &mut worker.past_life {
-                before.begun.clear();
+            if let Some(past_life) = &mut worker.past_life {
+                past_life.begun.clear();
             }
         }
     }
@@ -228,38 +237,42 @@
     assert_eq!(site.running("good"), 1);
 }
 
-/// Takes away the worker that runs a job's task, whose agent tells after a
-/// while that it says nothing any more.
-fn fall_silent(site: &mut Site, id: &str) -> Worker {
-    let runs =
+/// Removes the worker that runs a job's task, and lets its agent report that
+/// the worker has long been silent.
+fn silence_worker(site: &mut Site, id: &str) -> Worker {
+    let runs_job =
         |worker: &Worker| worker.running.iter().any(|r| &*r.task.job == id);
-    let at = site.workers.iter().position(runs).expect("it runs");
+    let at = site
+        .workers
+        .iter()
+        .position(runs_job)
+        .expect("the job runs");
     let mut worker = site.workers.remove(at);
-    let said = worker.report();
+    let last_report = worker.report();
     let report = Report {
-        gone: said.worker.map(|worker| worker.life),
+        gone: last_report.worker.map(|worker| worker.life),
         worker: None,
         silent: true,
-        ..said
+        ..last_report
     };
     site.scheduler.apply_report(report, site.now);
     worker
 }
 
-/// A job was shown as failed though only one worker had gone down under it:
-/// `job4.0.0.0 run 1 ends on w2 3: None`, then two workers that were cut off
-/// for some seconds and ran on, one failed run and one that was stopped. The
-/// two that said nothing were counted as if its task had taken them down.
+/// Guards against jobs that fail because of workers that are only cut off. Of a
+/// job's task one run took down its worker, two ran on workers that were cut
+/// off for some seconds, one failed and one was stopped. The two silent workers
+/// were counted as if the task had taken them down.
 #[test]
-fn workers_that_only_fell_silent_are_no_reason_to_give_a_job_up() {
-    let mut site = Site::new(FOUR);
+fn workers_that_were_only_silent_do_not_fail_a_job() {
+    let mut site = Site::new(FOUR_WORKERS);
     site.submit(job("good", 1, vec![step(1, 8, false)], &site));
     round(&mut site);
     assert_eq!(crash(&mut site, |r| &*r.task.job == "good"), 1);
     for _ in 0..2 {
         round(&mut site);
         round(&mut site);
-        fall_silent(&mut site, "good");
+        silence_worker(&mut site, "good");
     }
     for how in [RunOutcome::Failed, RunOutcome::Stopped] {
         for _ in 0..3 {
@@ -277,11 +290,10 @@
 }
 
 #[test]
-fn workers_that_fell_silent_and_were_down_count_once_that_is_known() {
-    // The next life tells it, or that nothing is heard for long; and new
-    // planners learn of it as well.
+fn a_silent_worker_counts_once_its_loss_is_confirmed() {
+    // The next life confirms the loss, or a long silence does.
     for (comes_back, waits) in [(true, 0), (false, 150)] {
-        let mut site = Site::new(FOUR);
+        let mut site = Site::new(FOUR_WORKERS);
         let bad = job("bad", 1, vec![step(1, 8, false)], &site);
         site.submit(bad);
         let case = format!("comes back: {comes_back}");
@@ -294,7 +306,7 @@
                 break;
             }
             starts += 1;
-            let mut worker = fall_silent(&mut site, "bad");
+            let mut worker = silence_worker(&mut site, "bad");
             for _ in 0..waits {
                 round(&mut site);
             }
@@ -306,16 +318,20 @@
             site.workers.push(worker);
         }
         assert_eq!(site.outcome("bad"), Some(Outcome::Failed), "{case}");
-        assert!(starts <= CRASHES + MORE, "{case}: {starts} starts");
+        assert!(
+            starts <= MAX_CRASHES + EXTRA_STARTS,
+            "{case}: {starts} starts"
+        );
     }
 }
 
-/// A planner took a worker for silent, and the next one, which was told that
-/// another life is there, did not know that a loss hung on it: a task began
-/// three times more after three workers had gone down under it.
+/// Guards against losses that are forgotten when the planner changes. One
+/// planner considered a worker silent; the next one got the report of another
+/// life, but did not know that this report confirmed a loss. A task was started
+/// three more times after three workers had gone down under it.
 #[test]
-fn a_silent_worker_that_was_down_counts_though_the_planner_has_changed() {
-    let mut site = Site::new(FOUR);
+fn a_confirmed_loss_counts_although_the_planner_has_changed() {
+    let mut site = Site::new(FOUR_WORKERS);
     let bad = job("bad", 1, vec![step(1, 8, false)], &site);
     site.submit(bad.clone());
     let mut starts = 0;
@@ -327,20 +343,21 @@
             break;
         }
         starts += 1;
-        let mut worker = fall_silent(&mut site, "bad");
+        let mut worker = silence_worker(&mut site, "bad");
         site.write_progress();
-        hand_over(&mut site, &bad);
+        replace_planner(&mut site, &bad);
         worker.life += 1;
         worker.running.clear();
         site.workers.push(worker);
     }
     assert_eq!(site.outcome("bad"), Some(Outcome::Failed));
-    assert!(starts <= CRASHES + MORE, "{starts} starts");
+    assert!(starts <= MAX_CRASHES + EXTRA_STARTS, "{starts} starts");
 }
 
 #[test]
-fn a_task_under_which_all_fall_silent_is_given_up_whoever_plans() {
-    let mut site = Site::new(FOUR);
+fn a_task_whose_workers_all_fall_silent_is_given_up_across_changes_of_planners(
+) {
+    let mut site = Site::new(FOUR_WORKERS);
     let bad = job("bad", 1, vec![step(1, 8, false)], &site);
     site.submit(bad.clone());
     let mut starts = 0;
@@ -352,28 +369,28 @@
             break;
         }
         starts += 1;
-        let mut worker = fall_silent(&mut site, "bad");
-        // It never comes back; there is another one in its place.
+        let mut worker = silence_worker(&mut site, "bad");
+        // The worker never returns, and another one replaces it.
         worker.agent = format!("{}+", worker.agent).into();
         worker.running.clear();
         site.workers.push(worker);
         round(&mut site);
-        hand_over(&mut site, &bad);
+        replace_planner(&mut site, &bad);
     }
     assert_eq!(site.outcome("bad"), Some(Outcome::Failed));
     assert!(starts <= 6, "{starts} starts");
 }
 
 #[test]
-fn a_worker_that_was_silent_and_is_there_again_counts_against_nobody() {
-    let mut site = Site::new(FOUR);
+fn a_silent_worker_that_returns_counts_against_no_task() {
+    let mut site = Site::new(FOUR_WORKERS);
     site.submit(job("good", 1, vec![step(1, 8, false)], &site));
     for _ in 0..8 {
         for _ in 0..3 {
             round(&mut site);
         }
-        let mut worker = fall_silent(&mut site, "good");
-        // Longer than it takes to count as down.
+        let mut worker = silence_worker(&mut site, "good");
+        // This is longer than it takes to confirm a loss by time.
         for _ in 0..110 {
             round(&mut site);
         }
