--- a/tests/it/order.rs
+++ b/tests/it/order.rs
@@ -1,8 +1,8 @@
-//! Which urgent units go first where not all find room.
+//! The order of urgent units if there is not enough room for all.
 //!
-//! In a burst those that could no longer be in time were still tried first,
-//! as their time had come earliest: each took the room of one that could
-//! have been, until all were late.
+//! Guards against a burst that makes all units late: units that could no longer
+//! be in time were placed first, because they were due first, and each took the
+//! room of a unit that could still have been in time.
 
 use std::time::Duration;
 
@@ -10,9 +10,11 @@
 use crate::graph::step;
 use crate::graph::Site;
 
-/// Hands in an urgent gang that is late and one that is not while there is
-/// room for neither, and then makes room for one; returns which begins.
-fn first(guaranteed: i64) -> &'static str {
+/// Submits a late urgent gang and one that can be in time while there is room
+/// for neither, and then makes room for one; returns which one starts.
+///
+/// The late gang's account is guaranteed `guaranteed` accelerators.
+fn first_to_start(guaranteed: i64) -> &'static str {
     let mut site = Site::new(&[("w1", "r1"), ("w2", "r1")]);
     site.scheduler
         .set_guarantees([("sure".into(), guaranteed)].into());
@@ -35,18 +37,19 @@
 
 #[test]
 fn a_late_urgent_unit_waits_behind_one_that_can_be_in_time() {
-    assert_eq!(first(0), "timely");
+    assert_eq!(first_to_start(0), "timely");
 }
 
 #[test]
 fn a_guaranteed_unit_goes_first_however_late_it_is() {
-    assert_eq!(first(16), "late");
+    assert_eq!(first_to_start(16), "late");
 }
 
-/// Room was kept for units that had waited for 1.5 s though they had 17 s
-/// left, and stood empty while others ran out of time.
+/// Guards against reservations that are too early: resources were reserved for
+/// units that had waited for 1.5 s and had 17 s left, and stayed empty while
+/// other units became late.
 #[test]
-fn room_is_kept_only_once_a_unit_has_no_time_left() {
+fn resources_are_reserved_only_once_a_unit_has_no_time_left() {
     let mut site = Site::new(&[("w1", "r1")]);
     site.submit(job("first", 1, vec![step(4, 1, false)], &site));
     site.settle();
@@ -54,14 +57,14 @@
     wide.stretch = 4.0;
     site.submit(wide);
     site.run_for(Duration::from_secs(3));
-    // 16 s are left: what comes later takes the four that are free.
+    // The unit has 16 s left: a later job uses the four free accelerators.
     site.submit(job("second", 1, vec![step(4, 1, false)], &site));
     site.settle();
     assert_eq!(site.running("second"), 4);
     site.run_for(Duration::from_secs(16));
     site.finish_job("second");
     site.settle();
-    // None is left: nothing new is placed there.
+    // The unit has no time left: nothing new is placed on the worker.
     site.submit(job("third", 1, vec![step(4, 1, false)], &site));
     site.run_for(Duration::from_secs(1));
     assert_eq!(site.running("third"), 0);
@@ -71,7 +74,7 @@
 }
 
 #[test]
-fn room_is_kept_at_once_for_what_lasts() {
+fn resources_are_reserved_at_once_for_a_long_running_task() {
     let mut site = Site::new(&[("w1", "r1")]);
     site.submit(job("first", 1, vec![step(4, 1, false)], &site));
     site.settle();
