--- a/tests/it/predict.rs
+++ b/tests/it/predict.rs
@@ -1,4 +1,4 @@
-//! What runs tell of how long others will take.
+//! Estimates of run times from earlier runs.
 
 use std::time::Duration;
 
@@ -11,10 +11,12 @@
 use crate::graph::step;
 use crate::graph::Site;
 
-const THREE: &[(&str, &str)] = &[("w1", "r1"), ("w2", "r1"), ("w3", "r1")];
+const THREE_WORKERS: &[(&str, &str)] =
+    &[("w1", "r1"), ("w2", "r1"), ("w3", "r1")];
 
-/// Returns what a job's first run is expected to take.
-fn expected(site: &mut Site, id: &str, declared: Duration) -> Duration {
+/// Submits a job with a declared run time; returns the expected time of its
+/// first run.
+fn expected_time(site: &mut Site, id: &str, declared: Duration) -> Duration {
     site.scheduler.take_decisions();
     let mut step = step(1, 1, false);
     step.estimate = declared;
@@ -28,14 +30,14 @@
     };
     let decisions = site.scheduler.take_decisions();
     let expected = decisions.iter().find_map(placed);
-    expected.expect("it is placed")
+    expected.expect("the job is placed")
 }
 
-/// Lets runs be done that were declared and took so many milliseconds.
-fn learn(site: &mut Site, runs: &[(u64, u64)]) {
+/// Completes runs, each with its declared and its actual time in ms.
+fn complete_runs(site: &mut Site, runs: &[(u64, u64)]) {
     for (round, (declared, took)) in runs.iter().enumerate() {
         let id = format!("learn{round}");
-        expected(site, &id, Duration::from_millis(*declared));
+        expected_time(site, &id, Duration::from_millis(*declared));
         site.run_for(Duration::from_millis(*took));
         site.finish_job(&id);
         site.settle();
@@ -43,7 +45,7 @@
 }
 
 #[test]
-fn runs_that_an_earlier_planner_gave_out_tell_nothing_of_their_length() {
+fn runs_ordered_by_an_earlier_planner_do_not_change_estimates() {
     let mut site = Site::new(&[("w1", "r1")]);
     let jobs: Vec<_> = (0..5)
         .map(|n| job(&format!("j{n}"), 1, vec![step(1, 1, false)], &site))
@@ -56,8 +58,8 @@
     // Another planner takes over just before they end.
     let mut next = Scheduler::new(Options::default(), site.now);
     for job in jobs {
-        let kept = site.scheduler.progress(&job.id).cloned();
-        next.accept_job(job, kept, site.now);
+        let progress = site.scheduler.progress(&job.id).cloned();
+        next.accept_job(job, progress, site.now);
     }
     site.scheduler = next;
     site.settle();
@@ -65,11 +67,11 @@
     site.workers[0].end(RunOutcome::Done, |_| true);
     site.settle();
     let declared = Duration::from_secs(5);
-    assert_eq!(expected(&mut site, "next", declared), declared);
+    assert_eq!(expected_time(&mut site, "next", declared), declared);
 }
 
 #[test]
-fn a_wide_step_tells_no_more_than_a_narrow_one() {
+fn a_wide_step_counts_as_much_as_a_narrow_one() {
     let mut site = Site::new(&[("w1", "r1")]);
     let mut run = |id: &str, wide: u32, took: Duration| {
         site.submit(job(id, 1, vec![step(wide, 1, false)], &site));
@@ -78,19 +80,20 @@
         site.finish_job(id);
         site.settle();
     };
-    // One wide job that is quick, among five that take 4 s.
+    // One wide job takes 1 s, and five narrow ones take 4 s each.
     for number in 0..5 {
         run(&format!("n{number}"), 1, Duration::from_secs(4));
     }
     run("wide", 8, Duration::from_secs(1));
     let declared = Duration::from_secs(5);
-    let expected = expected(&mut site, "next", declared);
+    let expected = expected_time(&mut site, "next", declared);
     assert!(expected > Duration::from_millis(2500), "{expected:?}");
 }
 
 #[test]
-fn run_times_are_told_from_declared_ones_as_far_as_those_were_borne_out() {
-    // Declared, took (ms); then declared, and the least and most expected.
+fn declared_times_count_as_far_as_earlier_runs_confirmed_them() {
+    // The declared and actual times of earlier runs; then the declared time of
+    // the next run with the least and greatest expected time; all in ms.
     type Case = (&'static str, &'static [(u64, u64)], u64, (u64, u64));
     let cases: &[Case] = &[
         ("nothing is known", &[], 5000, (5000, 5000)),
@@ -114,17 +117,17 @@
         ),
     ];
     for (name, runs, declared, (least, most)) in cases {
-        let mut site = Site::new(THREE);
-        learn(&mut site, runs);
+        let mut site = Site::new(THREE_WORKERS);
+        complete_runs(&mut site, runs);
         let declared = Duration::from_millis(*declared);
-        let expected = expected(&mut site, "next", declared).as_millis();
+        let expected = expected_time(&mut site, "next", declared).as_millis();
         let within = u128::from(*least)..=u128::from(*most);
         assert!(within.contains(&expected), "{name}: {expected} ms");
     }
 }
 
 #[test]
-fn the_runs_of_a_step_tell_of_its_others() {
+fn runs_of_a_step_change_the_estimates_of_its_other_tasks() {
     let mut site = Site::new(&[("w1", "r1")]);
     site.submit(job("j", 1, vec![step(3, 8, false)], &site));
     site.settle();
@@ -139,7 +142,7 @@
         Decision::Placed { expected, .. } => Some(*expected),
         _ => None,
     });
-    // Declared as 5 s; two have taken 1 s.
+    // The tasks are declared as 5 s, and two have taken 1 s.
     let expected = expected.expect("the third is placed");
     assert!(expected < Duration::from_millis(1700), "{expected:?}");
 }
--- a/tests/it/shortage.rs
+++ b/tests/it/shortage.rs
@@ -1,4 +1,4 @@
-//! What a unit that finds no room is told to lack.
+//! The reported shortages of units that find no room.
 
 use landingvalve::graph::Decision;
 use landingvalve::graph::Shortage;
@@ -10,11 +10,11 @@
 use crate::graph::step;
 use crate::graph::Site;
 
-const FOUR: &[(&str, &str)] =
+const FOUR_WORKERS: &[(&str, &str)] =
     &[("w1", "r1"), ("w2", "r1"), ("w3", "r2"), ("w4", "r2")];
 
-/// A step of tasks that take so many cores and accelerators.
-fn takes(replicas: u32, cores: i64, accelerators: i64, gang: bool) -> Step {
+/// Returns a step whose tasks each need a number of cores and accelerators.
+fn step_of(replicas: u32, cores: i64, accelerators: i64, gang: bool) -> Step {
     Step {
         resources: resources(cores * 1000, accelerators),
         same_rack: false,
@@ -22,41 +22,41 @@
     }
 }
 
-/// Hands in jobs one after the other; returns what the last one lacks.
-fn lacks(priority: u32, steps: Vec<Step>) -> Shortage {
-    let mut site = Site::new(FOUR);
+/// Submits jobs one after the other; returns the shortage of the last one.
+fn last_shortage(priority: u32, steps: Vec<Step>) -> Shortage {
+    let mut site = Site::new(FOUR_WORKERS);
     for (at, step) in steps.into_iter().enumerate() {
         site.scheduler.take_decisions();
         let name = format!("j{at}");
         site.submit(job(&name, priority, vec![step], &site));
         site.settle();
     }
-    let told = site.scheduler.take_decisions().into_iter().rev();
-    let shortage = told.filter_map(|decision| match decision {
+    let decisions = site.scheduler.take_decisions().into_iter().rev();
+    let shortage = decisions.filter_map(|decision| match decision {
         Decision::Waiting { shortage, .. } => shortage,
         _ => None,
     });
-    shortage.last().expect("it waits")
+    shortage.last().expect("the last job waits")
 }
 
 #[test]
-fn a_unit_is_told_what_it_lacks() {
-    let whole = || takes(1, 1, 8, true);
+fn the_kind_of_a_shortage_is_reported() {
+    let whole = || step_of(1, 1, 8, true);
     let cases = [
-        // All are in use.
+        // Too few accelerators are free.
         (
             ShortageKind::Accelerators,
-            vec![whole(), whole(), takes(3, 1, 8, true)],
+            vec![whole(), whole(), step_of(3, 1, 8, true)],
         ),
-        // Half of each worker is: what is left holds no whole one.
+        // Half of each worker is in use, so that no whole worker is free.
         (
             ShortageKind::Fragmented,
-            vec![takes(4, 33, 4, false), takes(2, 1, 8, true)],
+            vec![step_of(4, 33, 4, false), step_of(2, 1, 8, true)],
         ),
-        // Cores are: the accelerators beside them are stranded.
+        // Nearly all cores are in use, so that free accelerators are stranded.
         (
             ShortageKind::Cores,
-            vec![takes(4, 60, 1, false), takes(2, 8, 4, true)],
+            vec![step_of(4, 60, 1, false), step_of(2, 8, 4, true)],
         ),
         // One worker of each rack is free.
         (
@@ -69,21 +69,21 @@
                 },
                 Step {
                     same_rack: true,
-                    ..takes(2, 1, 8, true)
+                    ..step_of(2, 1, 8, true)
                 },
             ],
         ),
     ];
-    for (lack, steps) in cases {
-        let told = lacks(1, steps);
-        assert_eq!(told.kind, lack, "{told:?}");
+    for (kind, steps) in cases {
+        let shortage = last_shortage(1, steps);
+        assert_eq!(shortage.kind, kind, "{shortage:?}");
     }
 }
 
 #[test]
-fn a_shortage_has_figures() {
-    let whole = |replicas| takes(replicas, 1, 8, true);
-    let told = lacks(1, vec![whole(1), whole(2), whole(3)]);
-    assert_eq!((told.needed, told.free, told.fits), (24, 8, 1));
-    assert_eq!(told.preemption_cost, None, "nothing is stopped for it");
+fn a_shortage_includes_figures() {
+    let whole = |replicas| step_of(replicas, 1, 8, true);
+    let shortage = last_shortage(1, vec![whole(1), whole(2), whole(3)]);
+    assert_eq!((shortage.needed, shortage.free, shortage.fits), (24, 8, 1));
+    assert_eq!(shortage.preemption_cost, None, "preemption is not possible");
 }
--- a/tests/it/shrunk.rs
+++ b/tests/it/shrunk.rs
@@ -1,4 +1,4 @@
-//! Workers whose room shrinks and grows while they run.
+//! Workers whose capacity shrinks and grows while they run.
 
 use std::time::Duration;
 
@@ -24,18 +24,18 @@
 use crate::graph::Site;
 use crate::support::until;
 
-const TWO: &[(&str, &str)] = &[("w1", "r1"), ("w2", "r1")];
+const TWO_WORKERS: &[(&str, &str)] = &[("w1", "r1"), ("w2", "r1")];
 
-/// Lets everybody report.
-fn report(site: &mut Site) {
+/// Applies a report of every worker.
+fn apply_reports(site: &mut Site) {
     for at in 0..site.workers.len() {
         let report = site.workers[at].report();
         site.scheduler.apply_report(report, site.now);
     }
 }
 
-/// Returns which workers are ordered to start something.
-fn ordered(site: &mut Site) -> Vec<usize> {
+/// Returns the indices of the workers that have orders to start something.
+fn workers_with_starts(site: &mut Site) -> Vec<usize> {
     let agents: Vec<_> =
         site.workers.iter().map(|w| w.agent.clone()).collect();
     let orders = agents.iter().map(|agent| site.scheduler.orders(agent));
@@ -43,29 +43,29 @@
     (0..starts.len()).filter(|at| starts[*at] > 0).collect()
 }
 
-/// Hands the books over to a new planner.
-fn hand_over(site: &mut Site, job: &Job) {
-    let kept = site.scheduler.progress(&job.id).cloned();
+/// Replaces the scheduler by that of a new planner.
+fn replace_planner(site: &mut Site, job: &Job) {
+    let progress = site.scheduler.progress(&job.id).cloned();
     site.scheduler = Scheduler::new(Options::default(), site.now);
-    site.scheduler.accept_job(job.clone(), kept, site.now);
+    site.scheduler.accept_job(job.clone(), progress, site.now);
 }
 
 #[test]
-fn an_order_on_its_way_is_withdrawn_where_the_room_is_gone() {
+fn an_unconfirmed_start_is_withdrawn_if_its_worker_shrinks() {
     for taken_over in [false, true] {
-        let mut site = Site::new(TWO);
+        let mut site = Site::new(TWO_WORKERS);
         let wide = job("wide", 1, vec![step(1, 8, false)], &site);
         site.submit(wide.clone());
-        report(&mut site);
+        apply_reports(&mut site);
         site.schedule();
         site.write_progress();
-        let at = ordered(&mut site)[0];
+        let at = workers_with_starts(&mut site)[0];
         // The order is lost, and the worker shrinks.
         site.workers[at].capacity.accelerators = 4;
         if taken_over {
-            hand_over(&mut site, &wide);
+            replace_planner(&mut site, &wide);
         }
-        report(&mut site);
+        apply_reports(&mut site);
         site.schedule();
         site.write_progress();
         let orders = site.workers[at].agent.clone();
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn what_runs_goes_on_and_nothing_is_added_until_there_is_room() {
+fn runs_continue_beyond_a_reduced_capacity_and_nothing_is_added() {
     let mut site = Site::new(&[("w1", "r1")]);
     site.submit(job("a", 1, vec![step(6, 1, false)], &site));
     site.settle();
@@ -92,16 +92,16 @@
         assert_eq!(site.running("a"), 6, "{accelerators} accelerators");
         assert_eq!(site.workers[0].running.len(), 6);
     }
-    // Given back, they are used at once.
+    // Returned accelerators are used at once.
     site.workers[0].capacity.accelerators = 8;
     site.settle();
     assert_eq!(site.workers[0].running.len(), 8);
 }
 
 #[test]
-fn room_kept_where_it_will_never_be_is_given_up() {
+fn a_reservation_that_can_no_longer_suffice_is_released() {
     let mut site = Site::new(&[("w1", "r1"), ("w2", "r1"), ("w3", "r1")]);
-    // Two tasks that would be together on one worker, once it is free.
+    // Each of the three workers is busy for a different time.
     for at in 0..3 {
         let mut long = step(1, 8, false);
         long.label = Some(site.workers[at].agent.clone());
@@ -110,24 +110,25 @@
         site.submit(job(&format!("long{at}"), 1, vec![long], &site));
     }
     site.settle();
+    // The pair would fit on one worker once that worker is free.
     let mut pair = step(2, 4, true);
     pair.same_rack = false;
     site.submit(job("pair", 1, vec![pair], &site));
     site.run_for(Duration::from_secs(2));
-    // The room that is kept for them shrinks to one of both.
+    // The reserved worker shrinks, so that only one task of the pair fits.
     site.workers[0].capacity.accelerators = 4;
     site.finish_job("long0");
     site.run_for(Duration::from_secs(1));
     site.finish_job("long1");
     site.run_for(Duration::from_secs(3));
-    assert_eq!(site.running("pair"), 2, "there is room for both");
+    assert_eq!(site.running("pair"), 2, "there is room for the pair");
     site.finish_job("pair");
     site.settle();
     assert_eq!(site.outcome("pair"), Some(Outcome::Succeeded));
 }
 
 #[tokio::test]
-async fn an_agent_starts_nothing_where_the_room_is_gone() {
+async fn an_agent_starts_nothing_on_a_worker_that_has_shrunk() {
     let store = Memory::default();
     let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
@@ -135,23 +136,26 @@
     let agent = start_agent(&store, &worker);
     admission.submit(&cell::job("a"), deadline()).await;
     wait_for_running(&worker, 2).await;
-    // Starts are not answered for a while; then the planner is gone, and
-    // the worker, which guards nothing, has room for what runs alone.
+    // Starts are not answered for a while. Then the planner is lost, and the
+    // worker, which does not enforce its capacity, only has room for the tasks
+    // that are running.
     worker.leave_starts_unanswered(u32::MAX);
     admission.submit(&cell::job("b"), deadline()).await;
-    let tried = || async { (worker.unanswered_starts() > 0).then_some(()) };
-    until("a start is tried", tried).await;
+    let attempted =
+        || async { (worker.unanswered_starts() > 0).then_some(()) };
+    until("a start is attempted", attempted).await;
     entry.kill();
     worker.set_accelerators(2);
     let sent = worker.heartbeats();
-    let told = || async { (worker.heartbeats() >= sent + 2).then_some(()) };
-    until("its agent is told", told).await;
+    let reported =
+        || async { (worker.heartbeats() >= sent + 2).then_some(()) };
+    until("the agent learns of the new capacity", reported).await;
     worker.leave_starts_unanswered(0);
-    let looked = worker.polls();
-    let later = || async { (worker.polls() >= looked + 10).then_some(()) };
-    until("several looks", later).await;
+    let polled = worker.polls();
+    let later = || async { (worker.polls() >= polled + 10).then_some(()) };
+    until("several polls", later).await;
     assert_eq!(worker.started().len(), 2, "{:?}", worker.started());
-    // With room, and a planner, it goes on.
+    // Once there is room and a planner again, the other job starts.
     worker.set_accelerators(8);
     let entry = Entry::start("other", &store).await;
     wait_for_running(&worker, 4).await;
--- a/tests/it/spare.rs
+++ b/tests/it/spare.rs
@@ -6,7 +6,7 @@
 use crate::graph::step;
 use crate::graph::Site;
 
-const NINE: &[(&str, &str)] = &[
+const NINE_WORKERS: &[(&str, &str)] = &[
     ("w1", "r1"),
     ("w2", "r1"),
     ("w3", "r1"),
@@ -18,9 +18,10 @@
     ("w9", "r3"),
 ];
 
-/// Returns a site that has seen an urgent job.
+/// Returns a site on which an urgent job has run lately, so that workers are
+/// left empty for the next one.
 fn site() -> Site {
-    let mut site = Site::new(NINE);
+    let mut site = Site::new(NINE_WORKERS);
     site.submit(job("seen", 0, vec![step(1, 1, false)], &site));
     site.settle();
     site.finish_job("seen");
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn an_urgent_unit_begins_at_once_though_more_waits_than_there_is_room() {
+fn an_urgent_unit_begins_at_once_while_more_work_waits_than_fits() {
     let mut site = site();
     site.submit(job("low", 1, vec![step(30, 8, false)], &site));
     site.settle();
@@ -37,18 +38,22 @@
     site.submit(job("urgent", 0, vec![step(1, 8, false)], &site));
     site.schedule();
     site.write_progress();
-    let starts = |site: &mut Site| {
+    let count_starts = |site: &mut Site| {
         let agents: Vec<_> =
             site.workers.iter().map(|w| w.agent.clone()).collect();
         let orders = agents.iter().map(|agent| site.scheduler.orders(agent));
         orders.flat_map(|orders| orders.starts).count()
     };
-    assert_eq!(starts(&mut site), 1, "without a stop before it");
+    assert_eq!(
+        count_starts(&mut site),
+        1,
+        "without a stop before the start"
+    );
 }
 
 #[test]
-fn nothing_is_left_empty_where_no_urgent_work_comes() {
-    let mut site = Site::new(NINE);
+fn no_worker_is_left_empty_without_recent_urgent_work() {
+    let mut site = Site::new(NINE_WORKERS);
     site.submit(job("low", 1, vec![step(30, 8, false)], &site));
     site.settle();
     assert_eq!(site.running("low"), 9);
@@ -60,7 +65,7 @@
 }
 
 #[test]
-fn a_gang_that_needs_every_worker_gets_them() {
+fn a_gang_that_needs_every_worker_gets_all_of_them() {
     let mut site = site();
     let mut gang = step(9, 8, true);
     gang.same_rack = false;
@@ -70,7 +75,7 @@
 }
 
 #[test]
-fn work_is_stopped_for_a_guarantee_however_late() {
+fn work_is_preempted_for_a_guarantee_however_late() {
     let mut site = Site::new(&[("w1", "r1")]);
     let guarantees = [("account".into(), 8)];
     site.scheduler.set_guarantees(guarantees.into());
@@ -84,9 +89,9 @@
 }
 
 #[test]
-fn a_gang_of_one_task_a_worker_gets_every_worker() {
+fn a_gang_with_one_task_on_each_worker_gets_every_worker() {
     let mut site = site();
-    // Most is in use, so that waiting alone helps nobody.
+    // Most accelerators are in use, so that waiting alone does not help.
     let mut beside = step(9, 6, false);
     beside.per_worker = Some(1);
     site.submit(job("beside", 0, vec![beside], &site));
--- a/tests/it/takeover.rs
+++ b/tests/it/takeover.rs
@@ -1,4 +1,4 @@
-//! What a planner that takes over hears a second time.
+//! Planners that take over and receive reports a second time.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 use crate::graph::Site;
 
 #[test]
-fn a_failure_that_is_told_to_two_planners_counts_once() {
+fn a_failure_reported_to_two_planners_counts_once() {
     let mut site = Site::new(&[("w1", "r1"), ("w2", "r1")]);
     let gang = job("gang", 1, vec![step(2, 1, true)], &site);
     site.submit(gang.clone());
@@ -20,21 +20,21 @@
     site.workers[0].end(RunOutcome::Failed, |running| running.task.index == 0);
     let report = site.workers[0].report();
     site.scheduler.apply_report(report, site.now);
-    // It is written, but the worker does not hear so.
+    // The failure is written, but the worker gets no acknowledgement.
     site.write_progress();
-    let kept = site.scheduler.progress("gang").cloned();
+    let progress = site.scheduler.progress("gang").cloned();
     site.scheduler = Scheduler::new(Options::default(), site.now);
-    site.scheduler.accept_job(gang, kept, site.now);
+    site.scheduler.accept_job(gang, progress, site.now);
     let report = site.workers[0].report();
     site.scheduler.apply_report(report, site.now);
-    let progress = site.scheduler.progress("gang").expect("is known");
+    let progress = site.scheduler.progress("gang").expect("the job is known");
     let failed: Vec<u32> =
         progress.units.values().map(|unit| unit.failed).collect();
     assert_eq!(failed, [1]);
 }
 
 #[test]
-fn a_gang_that_is_done_starts_no_further_member() {
+fn a_gang_that_is_done_starts_no_more_members() {
     let mut site = Site::new(&[("w1", "r1"), ("w2", "r1")]);
     let mut gang = step(2, 8, true);
     gang.same_rack = false;
@@ -45,7 +45,8 @@
     }
     site.schedule();
     site.write_progress();
-    // The second worker's order is lost, and the first is done alone.
+    // The second worker's order is lost, and the first worker's member is done
+    // alone.
     let [first, second] = [0, 1].map(|at| site.workers[at].agent.clone());
     let orders = site.scheduler.orders(&first);
     assert_eq!(site.scheduler.orders(&second).starts.len(), 1);
@@ -58,18 +59,18 @@
     assert_eq!((orders.starts.len(), orders.stops.len()), (0, 1));
 }
 
-/// Hands the books over to a new planner that no agent has reported to yet.
-fn hand_over(site: &mut Site, jobs: &[Job]) {
+/// Replaces the scheduler by that of a new planner, which has no reports yet.
+fn replace_planner(site: &mut Site, jobs: &[Job]) {
     let mut next = Scheduler::new(Options::default(), site.now);
     for job in jobs {
-        let kept = site.scheduler.progress(&job.id).cloned();
-        next.accept_job(job.clone(), kept, site.now);
+        let progress = site.scheduler.progress(&job.id).cloned();
+        next.accept_job(job.clone(), progress, site.now);
     }
     site.scheduler = next;
 }
 
-/// Lets some workers alone report, and the books decide.
-fn heard(site: &mut Site, workers: &[usize]) {
+/// Applies reports of some workers only, and runs a scheduling pass.
+fn schedule_with_reports(site: &mut Site, workers: &[usize]) {
     for at in workers {
         let report = site.workers[*at].report();
         site.scheduler.apply_report(report, site.now);
@@ -78,28 +79,31 @@
 }
 
 #[test]
-fn a_new_planner_spreads_and_stops_nothing_before_it_knows_its_workers() {
+fn a_new_planner_spreads_and_preempts_nothing_before_all_workers_have_reported(
+) {
     let four = [("w1", "r1"), ("w2", "r1"), ("w3", "r2"), ("w4", "r2")];
     let mut site = Site::new(&four);
     let low = job("low", 1, vec![step(4, 4, false)], &site);
     site.submit(low.clone());
     site.settle();
-    // Two whole workers, in one rack or three times as slow.
+    // The urgent gang needs two whole workers, and is three times as slow
+    // unless they are in one rack.
     let urgent = job("urgent", 0, vec![step(2, 8, true)], &site);
-    hand_over(&mut site, &[low, urgent]);
-    let held: Vec<usize> = (0..4)
+    replace_planner(&mut site, &[low, urgent]);
+    let busy: Vec<usize> = (0..4)
         .filter(|at| !site.workers[*at].running.is_empty())
         .collect();
-    assert!(held.len() < 4, "the low one leaves room");
-    // A worker of each rack reports; one that runs something has not.
-    heard(&mut site, &[0, 3]);
-    let all: Vec<_> = site.workers.iter().map(|w| w.agent.clone()).collect();
-    for agent in &all {
+    assert!(busy.len() < 4, "the job of low priority leaves room");
+    // One worker of each rack reports, but not all that run something.
+    schedule_with_reports(&mut site, &[0, 3]);
+    let agents: Vec<_> =
+        site.workers.iter().map(|w| w.agent.clone()).collect();
+    for agent in &agents {
         let orders = site.scheduler.orders(agent);
         assert!(orders.stops.is_empty(), "{agent}: {orders:?}");
         assert!(orders.starts.is_empty(), "{agent}: {orders:?}");
     }
-    // Once all have, it goes on at once.
+    // Once all workers have reported, the gang starts at once.
     site.settle();
     assert_eq!(site.running("urgent"), 2);
     let racks: BTreeSet<_> = site
