--- a/tests/it/cell.rs
+++ b/tests/it/cell.rs
@@ -1,5 +1,5 @@
-//! Planner, agents and admission together, on a store and workers that live
-//! in memory and fail on demand.
+//! Planner, agents and admission together, on an in-memory store and simulated
+//! workers that fail on demand.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -63,78 +63,82 @@
 
 use crate::support::until;
 
+/// The contents of a [`Memory`] store, and the faults that it simulates.
 #[derive(Default)]
 struct Data {
     revision: Revision,
     items: BTreeMap<String, (Item, LeaseId)>,
     leases: BTreeMap<LeaseId, (Instant, Duration)>,
     log: Vec<Change>,
-    /// How many writes take effect without an answer.
-    lose: u32,
-    /// How many calls are turned away.
-    refuse: u32,
-    /// How many writes were asked for, and how many reads of a key.
+    /// The number of next writes that take effect without an answer.
+    answers_to_lose: u32,
+    /// The number of next calls that are rejected.
+    calls_to_reject: u32,
+    /// The number of requested writes.
     writes: usize,
+    /// The number of requested reads of a key.
     reads: usize,
 }
 
-/// A store in memory.
+/// An in-memory store.
 #[derive(Clone, Default)]
 pub struct Memory(Arc<Mutex<Data>>);
 
 impl Memory {
-    /// Loses the answers of so many writes.
+    /// Loses the answers of the next writes.
     pub fn lose_answers(&self, answers: u32) {
-        self.lock().lose = answers;
+        self.lock().answers_to_lose = answers;
     }
 
-    /// Turns so many calls away.
+    /// Rejects the next calls.
     pub fn reject_calls(&self, calls: u32) {
-        self.lock().refuse = calls;
+        self.lock().calls_to_reject = calls;
     }
 
-    /// Returns who holds the claim.
+    /// Returns the holder of the planner's claim.
     pub fn claim_holder(&self) -> Option<Holder> {
         let data = self.lock();
         let (item, _) = data.items.get(keys::PLANNER)?;
         serde_json::from_slice(&item.value).ok()
     }
 
-    /// Returns how many writes were asked for, and how many reads of a key.
+    /// Returns the number of requested writes and of requested reads of a key.
     pub fn call_counts(&self) -> (usize, usize) {
         let data = self.lock();
         (data.writes, data.reads)
     }
 
+    /// Locks the contents, after the removal of expired leases.
     fn lock(&self) -> MutexGuard<'_, Data> {
         let mut data = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        let over: Vec<LeaseId> = data
+        let expired: Vec<LeaseId> = data
             .leases
             .iter()
             .filter(|(_, (deadline, _))| *deadline <= now)
             .map(|(lease, _)| *lease)
             .collect();
-        for lease in over {
+        for lease in expired {
             data.leases.remove(&lease);
-            data.drop_lease(lease);
+            data.remove_lease(lease);
         }
         data
     }
 
-    fn call(&self) -> Result<MutexGuard<'_, Data>, Error> {
+    /// Locks the contents for a call, unless the call is rejected.
+    fn begin_call(&self) -> Result<MutexGuard<'_, Data>, Error> {
         let mut data = self.lock();
-        match data.refuse {
+        match data.calls_to_reject {
             0 => Ok(data),
             _ => {
-                data.refuse -= 1;
-                Err(Error::Unreached(lost()))
+                data.calls_to_reject -= 1;
+                Err(Error::Unreached(lost_answer()))
             }
         }
     }
 }
 
-fn lost() -> http::Error {
+fn lost_answer() -> http::Error {
     http::Error::Lost {
         url: "memory".to_owned(),
         reason: "on demand".to_owned(),
@@ -142,7 +146,8 @@
 }
 
 impl Data {
-    fn drop_lease(&mut self, lease: LeaseId) {
+    /// Deletes the items that are attached to a lease.
+    fn remove_lease(&mut self, lease: LeaseId) {
         let keys: Vec<String> = self
             .items
             .iter()
@@ -156,10 +161,11 @@
         }
     }
 
-    fn write(&mut self, puts: Vec<Mutation>) {
+    /// Applies the mutations of one transaction.
+    fn apply(&mut self, mutations: Vec<Mutation>) {
         self.revision += 1;
-        for put in puts {
-            match put {
+        for mutation in mutations {
+            match mutation {
                 Mutation::Value(key, value, lease) => {
                     let item = Item {
                         key: key.clone(),
@@ -184,12 +190,12 @@
 impl Store for Memory {
     async fn get(&self, key: &str) -> Result<Option<Item>, Error> {
         self.lock().reads += 1;
-        let data = self.call()?;
+        let data = self.begin_call()?;
         Ok(data.items.get(key).map(|(item, _)| item.clone()))
     }
 
     async fn list(&self, prefix: &str) -> Result<Listing, Error> {
-        let data = self.call()?;
+        let data = self.begin_call()?;
         let items = data.items.values().map(|(item, _)| item.clone());
         Ok(Listing {
             revision: data.revision,
@@ -200,10 +206,10 @@
     async fn swap(
         &self,
         conditions: &[Compare],
-        puts: Vec<Mutation>,
+        mutations: Vec<Mutation>,
     ) -> Result<Swap, Error> {
         self.lock().writes += 1;
-        let mut data = self.call()?;
+        let mut data = self.begin_call()?;
         let keys: Vec<(&String, Revision)> = conditions
             .iter()
             .map(|c| match c {
@@ -220,18 +226,18 @@
             let items = items.map(|(item, _)| item.clone()).collect();
             return Ok(Swap::Refused(items));
         }
-        data.write(puts);
-        match data.lose {
+        data.apply(mutations);
+        match data.answers_to_lose {
             0 => Ok(Swap::Written(data.revision)),
             _ => {
-                data.lose -= 1;
-                Err(Error::Lost(lost()))
+                data.answers_to_lose -= 1;
+                Err(Error::Lost(lost_answer()))
             }
         }
     }
 
     async fn grant(&self, ttl: Duration) -> Result<LeaseId, Error> {
-        let mut data = self.call()?;
+        let mut data = self.begin_call()?;
         data.revision += 1;
         let lease = data.revision;
         data.leases.insert(lease, (Instant::now() + ttl, ttl));
@@ -239,17 +245,17 @@
     }
 
     async fn keep_alive(&self, lease: LeaseId) -> Result<bool, Error> {
-        let mut data = self.call()?;
-        let kept = data.leases.get_mut(&lease);
-        Ok(kept
+        let mut data = self.begin_call()?;
+        let found = data.leases.get_mut(&lease);
+        Ok(found
             .map(|(deadline, ttl)| *deadline = Instant::now() + *ttl)
             .is_some())
     }
 
     async fn revoke(&self, lease: LeaseId) -> Result<(), Error> {
-        let mut data = self.call()?;
+        let mut data = self.begin_call()?;
         data.leases.remove(&lease);
-        data.drop_lease(lease);
+        data.remove_lease(lease);
         Ok(())
     }
 
@@ -259,17 +265,17 @@
         after: Revision,
         wait: Duration,
     ) -> Result<Changes, Error> {
-        drop(self.call()?);
+        drop(self.begin_call()?);
         let deadline = Instant::now() + wait;
-        let mut look = tokio::time::interval(Duration::from_millis(5));
+        let mut interval = tokio::time::interval(Duration::from_millis(5));
         loop {
-            look.tick().await;
+            interval.tick().await;
             let data = self.lock();
-            // One that waits is cut when calls are turned away.
-            if data.refuse > 0 {
-                return Err(Error::Unreached(lost()));
+            // A waiting call also fails once calls are rejected.
+            if data.calls_to_reject > 0 {
+                return Err(Error::Unreached(lost_answer()));
             }
-            let about = |change: &&Change| {
+            let matches = |change: &&Change| {
                 let key = match change {
                     Change::Put(item) => &item.key,
                     Change::Deleted(key, _) => key,
@@ -277,7 +283,7 @@
                 change.revision() > after && key.starts_with(prefix)
             };
             let changes: Vec<Change> =
-                data.log.iter().filter(about).cloned().collect();
+                data.log.iter().filter(matches).cloned().collect();
             if !changes.is_empty() || Instant::now() >= deadline {
                 let revision = data.revision;
                 return Ok(Changes { revision, changes });
@@ -286,297 +292,309 @@
     }
 }
 
+/// The state of a [`FakeWorker`], and the faults that the worker simulates.
 #[derive(Default)]
-struct Tasks {
-    /// Whether it says nothing any more.
+struct State {
+    /// Whether the worker answers no call and sends no heartbeat.
     mute: bool,
-    /// Whether it breaks off every call, though its heartbeats go on.
+    /// Whether the worker fails every call, although its heartbeats go on.
     deaf: bool,
-    /// How many calls it has broken off, and how many of them were starts.
-    broken_off: u32,
-    starts_broken_off: u32,
-    /// How many starts are not answered, and may be carried out later.
-    late: u32,
-    /// How many of them were not.
-    lost_starts: u32,
-    /// Those, as they may yet come.
-    held_up: Vec<Start>,
-    /// The accelerators that it has, if not 8.
+    /// The number of calls that the worker has failed, except for stops failed
+    /// through `fails_stops`.
+    failed_calls: u32,
+    /// The number of starts among the failed calls.
+    failed_starts: u32,
+    /// The number of next starts that are not answered and may be executed
+    /// late.
+    starts_to_leave_unanswered: u32,
+    /// The number of starts that were not answered.
+    unanswered_starts: u32,
+    /// The unanswered starts, which may still be executed.
+    late_starts: Vec<Start>,
+    /// The worker's accelerators, 8 if not set.
     accelerators: Option<i64>,
-    /// Whether it breaks off every look, and nothing else.
-    hides: bool,
-    /// Whether looks have no answer once a start has had none, and how many
-    /// had none so far.
-    stalls: bool,
-    stalled: u32,
-    /// Whether it breaks off every look after one that has shown an end.
-    /// Answers nothing more once it has shown an end.
-    mutes_once_shown: bool,
-    /// The highest end that it was asked to forget while mute.
-    asked: u64,
-    shows_once: bool,
-    /// Whether it breaks off every stop.
-    keeps_on: bool,
-    /// How many looks it has answered.
-    looks: u32,
-    /// Up to which end the last look has acknowledged.
-    acknowledged: u64,
-    /// How many heartbeats it has sent.
-    beats: u32,
-    /// Whether the last look prolonged its lease.
-    prolonged: bool,
-    /// Whether it has no room.
+    /// Whether the worker fails every poll, and no other call.
+    fails_polls: bool,
+    /// Whether polls are not answered once a start was not.
+    stalls_polls: bool,
+    /// The number of polls that were not answered for that reason.
+    stalled_polls: u32,
+    /// Whether the worker answers nothing after a poll that has shown an end.
+    mutes_after_shown_end: bool,
+    /// The highest end that a poll has acknowledged while the worker was mute.
+    acknowledged_while_mute: u64,
+    /// Whether the worker fails every poll after one that has shown an end.
+    fails_polls_after_shown_end: bool,
+    /// Whether the worker fails every stop.
+    fails_stops: bool,
+    /// The number of polls that the worker has answered.
+    polls: u32,
+    /// The highest end that the last poll has acknowledged.
+    last_acknowledged: u64,
+    /// The number of heartbeats that the worker has sent.
+    heartbeats: u32,
+    /// Whether the last poll extended the worker's lease.
+    lease_renewed: bool,
+    /// Whether the worker has no room for further tasks.
     full: bool,
-    /// The job whose tasks take it down as they begin.
-    bad: Option<&'static str>,
-    /// How often that has happened: it is back at once, as another life.
+    /// The job whose tasks take down the worker as they start.
+    crashing_job: Option<&'static str>,
+    /// The number of crashes. The worker is back at once, as another life.
     crashes: u32,
-    /// Whether it keeps its name then.
+    /// Whether the worker keeps its name after a crash.
     keeps_name: bool,
-    /// How often it has started under its name, if it tells its births.
+    /// The number of births under the worker's name, or 0 if the worker does
+    /// not report births.
     births: u64,
-    /// When its clock began.
-    clock: Option<Instant>,
-    /// The number of its last heartbeat.
+    /// When the worker's clock started, if the worker has crashed.
+    clock_start: Option<Instant>,
+    /// The number of the last heartbeat.
     sequence: u64,
+    /// The highest fencing token that the worker has seen.
     token: Revision,
     running: Vec<Running>,
     ended: Vec<Ended>,
-    number: u64,
-    began: Vec<String>,
+    /// The number of the last end.
+    last_end: u64,
+    /// Every run that was ever started, as `TASK RUN`.
+    started_runs: Vec<String>,
     barred: Vec<(String, u32)>,
 }
 
-/// A worker whose tasks end when told.
+/// A worker whose tasks end on demand.
 #[derive(Clone)]
 pub struct FakeWorker {
-    tasks: Arc<Mutex<Tasks>>,
-    started: Instant,
+    state: Arc<Mutex<State>>,
+    created_at: Instant,
 }
 
 impl FakeWorker {
     pub fn new() -> FakeWorker {
         FakeWorker {
-            tasks: Arc::default(),
-            started: Instant::now(),
+            state: Arc::default(),
+            created_at: Instant::now(),
         }
     }
 
+    /// Returns every run that was ever started, as `TASK RUN`.
     pub fn started(&self) -> Vec<String> {
-        self.lock().began.clone()
+        self.lock().started_runs.clone()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Tasks> {
-        self.tasks.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Leaves the next starts without answer, and undone.
+    /// Leaves the next starts unanswered and does not execute them.
     pub fn leave_starts_unanswered(&self, count: u32) {
-        self.lock().late = count;
+        self.lock().starts_to_leave_unanswered = count;
     }
 
-    /// Returns how many starts were left without answer.
+    /// Returns the number of unanswered starts.
     pub fn unanswered_starts(&self) -> u32 {
-        self.lock().lost_starts
+        self.lock().unanswered_starts
     }
 
-    /// Carries out the starts that were left without answer, in whatever
-    /// birth it is now.
+    /// Executes the unanswered starts, in the present birth.
     pub fn execute_late_starts(&self) {
-        let mut tasks = self.lock();
-        for start in std::mem::take(&mut tasks.held_up) {
-            tasks.begin(&start);
+        let mut state = self.lock();
+        for start in std::mem::take(&mut state.late_starts) {
+            state.begin(&start);
         }
     }
 
-    /// Lets it have no room for further tasks, or have it again.
+    /// Sets whether the worker has no room for further tasks.
     pub fn set_full(&self, full: bool) {
         self.lock().full = full;
     }
 
-    /// Breaks off every look from now on, or answers them again.
-    pub fn fail_polls(&self, hides: bool) {
-        self.lock().hides = hides;
+    /// Sets whether the worker fails every poll.
+    pub fn fail_polls(&self, fails: bool) {
+        self.lock().fails_polls = fails;
     }
 
-    /// Leaves looks without answer once a start has had none.
+    /// Leaves polls unanswered once a start was not answered.
     pub fn stall_polls_after_unanswered_start(&self) {
-        self.lock().stalls = true;
+        self.lock().stalls_polls = true;
     }
 
-    /// Returns how many looks were left without answer so.
+    /// Returns the number of polls that were not answered for that reason.
     pub fn stalled_polls(&self) -> u32 {
-        self.lock().stalled
+        self.lock().stalled_polls
     }
 
-    /// Breaks off every look after one that will have shown an end.
+    /// Fails every poll after the next one that shows an end.
     pub fn fail_polls_after_shown_end(&self) {
-        self.lock().shows_once = true;
+        self.lock().fails_polls_after_shown_end = true;
     }
 
-    /// Answers nothing more once it will have shown an end.
+    /// Answers nothing after the next poll that shows an end.
     pub fn mute_after_shown_end(&self) {
-        self.lock().mutes_once_shown = true;
+        self.lock().mutes_after_shown_end = true;
     }
 
-    /// Returns up to which end it was asked to forget ends since it answers
-    /// nothing.
+    /// Returns the highest end that a poll has acknowledged while the worker
+    /// was mute.
     pub fn acknowledged_while_mute(&self) -> u64 {
-        self.lock().asked
+        self.lock().acknowledged_while_mute
     }
 
-    /// Returns how many calls it has broken off.
+    /// Returns the number of calls that the worker has failed.
     pub fn failed_calls(&self) -> u32 {
-        self.lock().broken_off
+        self.lock().failed_calls
     }
 
-    /// Breaks off every stop from now on, or takes them again.
-    pub fn fail_stops(&self, lose: bool) {
-        self.lock().keeps_on = lose;
+    /// Sets whether the worker fails every stop.
+    pub fn fail_stops(&self, fails: bool) {
+        self.lock().fails_stops = fails;
     }
 
-    /// Lets it answer no calls, nor send heartbeats, or do so again.
+    /// Sets whether the worker answers no call and sends no heartbeat.
     pub fn set_mute(&self, mute: bool) {
         self.lock().mute = mute;
     }
 
-    /// Changes how many accelerators it has.
+    /// Sets the number of the worker's accelerators.
     pub fn set_accelerators(&self, accelerators: i64) {
         self.lock().accelerators = Some(accelerators);
     }
 
-    /// Returns how many heartbeats it has sent.
+    /// Returns the number of heartbeats that the worker has sent.
     pub fn heartbeats(&self) -> u32 {
-        self.lock().beats
+        self.lock().heartbeats
     }
 
-    /// Returns how many looks it has answered.
+    /// Returns the number of polls that the worker has answered.
     pub fn polls(&self) -> u32 {
-        self.lock().looks
+        self.lock().polls
     }
 
-    /// Returns up to which end the last look has acknowledged.
+    /// Returns the highest end that the last poll has acknowledged.
     pub fn last_acknowledged(&self) -> u64 {
-        self.lock().acknowledged
+        self.lock().last_acknowledged
     }
 
-    /// Takes in late what a look has acknowledged.
-    pub fn apply_late_acknowledgement(&self, noted: u64) {
-        self.lock().ended.retain(|ended| ended.number > noted);
+    /// Applies the acknowledgement of a poll that arrives late.
+    pub fn apply_late_acknowledgement(&self, acknowledged: u64) {
+        self.lock()
+            .ended
+            .retain(|ended| ended.number > acknowledged);
     }
 
-    /// Returns whether the last look at it prolonged its lease.
+    /// Returns whether the last poll extended the worker's lease.
     pub fn lease_was_renewed(&self) -> bool {
-        self.lock().prolonged
+        self.lock().lease_renewed
     }
 
-    /// Lets the tasks of a job take it down as they begin.
+    /// Lets the tasks of a job take down the worker as they start.
     pub fn crash_on_start_of(&self, job: &'static str) {
-        self.lock().bad = Some(job);
+        self.lock().crashing_job = Some(job);
     }
 
-    /// Returns a worker that tells its births, and keeps its name.
+    /// Returns a worker that reports its births and keeps its name.
     pub fn with_births() -> FakeWorker {
         let fake = FakeWorker::new();
         {
-            let mut tasks = fake.lock();
-            tasks.keeps_name = true;
-            tasks.births = 1;
+            let mut state = fake.lock();
+            state.keeps_name = true;
+            state.births = 1;
         }
         fake
     }
 
-    /// Lets it start again, empty, under the name that it has.
+    /// Restarts the worker without tasks, under its name if it keeps that.
     pub fn restart(&self) {
         self.lock().crash();
     }
 
-    /// Returns how often it has gone down.
+    /// Returns the number of the worker's crashes.
     pub fn crashes(&self) -> u32 {
         self.lock().crashes
     }
 
-    /// Returns how many ends it lists.
+    /// Returns the number of ends that the worker lists.
     pub fn listed_ends(&self) -> usize {
         self.lock().ended.len()
     }
 
     fn life(&self) -> Life {
-        let tasks = self.lock();
-        match (tasks.keeps_name, tasks.birth()) {
-            (true, Some(born)) => Life::new("life", born),
-            _ => format!("life-{}", tasks.crashes + 1).into(),
+        let state = self.lock();
+        match (state.keeps_name, state.birth()) {
+            (true, Some(birth)) => Life::new("life", birth),
+            _ => format!("life-{}", state.crashes + 1).into(),
         }
     }
 
     fn time(&self) -> WorkerTime {
-        self.lock().time(self.started)
+        self.lock().time(self.created_at)
     }
 
-    fn fenced(
+    /// Checks the life and the fencing token of a call.
+    fn check_call(
         &self,
         call: &Call,
-    ) -> Result<MutexGuard<'_, Tasks>, worker::Error> {
-        // A call names the worker alone.
+    ) -> Result<MutexGuard<'_, State>, worker::Error> {
+        // A call names only the worker, not its birth.
         if call.life.name() != self.life().name() {
             return Err(worker::Error::OtherLife);
         }
-        let mut tasks = self.lock();
-        match call.token < tasks.token {
+        let mut state = self.lock();
+        match call.token < state.token {
             true => Err(worker::Error::Fenced),
             false => {
-                tasks.token = call.token;
-                Ok(tasks)
+                state.token = call.token;
+                Ok(state)
             }
         }
     }
 
-    /// Returns unless the worker is mute.
-    async fn speak(&self) -> Result<(), worker::Error> {
+    /// Returns unless the worker is mute; fails if the worker is deaf.
+    async fn check_reachable(&self) -> Result<(), worker::Error> {
         if self.lock().mute {
             std::future::pending::<()>().await;
         }
-        let mut tasks = self.lock();
-        match tasks.deaf {
+        let mut state = self.lock();
+        match state.deaf {
             true => {
-                tasks.broken_off += 1;
+                state.failed_calls += 1;
                 Err(worker::Error::Lost("reset".to_owned()))
             }
             false => Ok(()),
         }
     }
 
-    /// Returns whether a look has no answer.
-    fn stalls(&self) -> bool {
-        let mut tasks = self.lock();
-        let stalls = tasks.stalls && tasks.lost_starts > 0;
-        tasks.stalled += u32::from(stalls);
+    /// Returns whether a poll is not answered, and counts the poll if so.
+    fn stalls_poll(&self) -> bool {
+        let mut state = self.lock();
+        let stalls = state.stalls_polls && state.unanswered_starts > 0;
+        state.stalled_polls += u32::from(stalls);
         stalls
     }
 
+    /// Ends all running tasks.
     pub fn end_all(&self, how: RunOutcome) {
-        let mut tasks = self.lock();
-        for running in std::mem::take(&mut tasks.running) {
-            end(&mut tasks, running, how);
+        let mut state = self.lock();
+        for running in std::mem::take(&mut state.running) {
+            end_run(&mut state, running, how);
         }
     }
 }
 
-impl Tasks {
-    /// Begins a run, unless it is barred; returns whether it is there.
+impl State {
+    /// Starts a run, unless the run is barred; returns whether it is running.
     fn begin(&mut self, start: &Start) -> bool {
         let name = start.task.to_string();
         let same = |r: &Running| r.task == start.task && r.run == start.run;
         if self.running.iter().any(same) {
             return true;
         }
-        let over = |task: &String, run: u32| *task == name && start.run <= run;
-        let barred = self.barred.iter().any(|(t, r)| over(t, *r))
-            || self.ended.iter().any(|e| over(&e.task.to_string(), e.run));
+        let bars = |task: &String, run: u32| *task == name && start.run <= run;
+        let barred = self.barred.iter().any(|(t, r)| bars(t, *r))
+            || self.ended.iter().any(|e| bars(&e.task.to_string(), e.run));
         if barred {
             return false;
         }
-        self.began.push(format!("{name} {}", start.run));
+        self.started_runs.push(format!("{name} {}", start.run));
         self.running.push(Running {
             task: start.task.clone(),
             run: start.run,
@@ -584,42 +602,45 @@
             pace: 100.0,
             load: None,
         });
-        if self.bad == Some(&*start.task.job) {
+        if self.crashing_job == Some(&*start.task.job) {
             self.crash();
         }
         true
     }
 
-    /// Returns its time, if it has not started again since `started`.
-    fn time(&self, started: Instant) -> WorkerTime {
-        let began = self.clock.unwrap_or(started);
-        began.elapsed().as_millis() as u64
+    /// Returns the worker's time. Its clock started at `created_at`, or at the
+    /// last restart.
+    fn time(&self, created_at: Instant) -> WorkerTime {
+        let clock_start = self.clock_start.unwrap_or(created_at);
+        clock_start.elapsed().as_millis() as u64
     }
 
-    /// Returns its birth, in ms since 1970, if it tells that.
+    /// Returns the worker's birth, in ms since 1970, if the worker reports
+    /// births.
     fn birth(&self) -> Option<u64> {
         (self.births > 0).then(|| 1_768_183_507_960 + self.births)
     }
 
+    /// Restarts the worker as another life that runs nothing.
     fn crash(&mut self) {
         self.crashes += 1;
         if self.keeps_name {
             self.births += 1;
-            self.clock = Some(Instant::now());
+            self.clock_start = Some(Instant::now());
             self.sequence = 0;
         }
         self.token = 0;
         self.running.clear();
         self.ended.clear();
         self.barred.clear();
-        self.number = 0;
+        self.last_end = 0;
     }
 }
 
-fn end(tasks: &mut Tasks, running: Running, how: RunOutcome) {
-    tasks.number += 1;
-    let number = tasks.number;
-    tasks.ended.push(Ended {
+fn end_run(state: &mut State, running: Running, how: RunOutcome) {
+    state.last_end += 1;
+    let number = state.last_end;
+    state.ended.push(Ended {
         number,
         task: running.task,
         run: running.run,
@@ -636,24 +657,24 @@
         _expires: WorkerTime,
     ) -> Result<WorkerTime, worker::Error> {
         if self.lock().deaf {
-            self.lock().starts_broken_off += 1;
+            self.lock().failed_starts += 1;
         }
-        self.speak().await?;
+        self.check_reachable().await?;
         {
-            let mut tasks = self.fenced(call)?;
-            if tasks.late > 0 {
-                tasks.late -= 1;
-                tasks.lost_starts += 1;
-                tasks.held_up.push(start.clone());
+            let mut state = self.check_call(call)?;
+            if state.starts_to_leave_unanswered > 0 {
+                state.starts_to_leave_unanswered -= 1;
+                state.unanswered_starts += 1;
+                state.late_starts.push(start.clone());
                 return Err(worker::Error::Lost("on demand".to_owned()));
             }
-            if tasks.full {
+            if state.full {
                 return Err(worker::Error::Refused(Refusal::Room));
             }
         }
-        let mut tasks = self.fenced(call)?;
-        match tasks.begin(start) {
-            true => Ok(tasks.time(self.started)),
+        let mut state = self.check_call(call)?;
+        match state.begin(start) {
+            true => Ok(state.time(self.created_at)),
             false => Err(worker::Error::Refused(Refusal::Barred)),
         }
     }
@@ -663,19 +684,19 @@
         call: &Call,
         stop: &Stop,
     ) -> Result<WorkerTime, worker::Error> {
-        self.speak().await?;
-        let mut tasks = self.fenced(call)?;
-        if tasks.keeps_on {
+        self.check_reachable().await?;
+        let mut state = self.check_call(call)?;
+        if state.fails_stops {
             return Err(worker::Error::Lost("reset".to_owned()));
         }
         let same = |r: &Running| r.task == stop.task && r.run == stop.run;
-        let at = tasks.running.iter().position(same);
+        let at = state.running.iter().position(same);
         if let Some(at) = at {
-            let running = tasks.running.remove(at);
-            end(&mut tasks, running, RunOutcome::Stopped);
+            let running = state.running.remove(at);
+            end_run(&mut state, running, RunOutcome::Stopped);
         }
-        tasks.barred.push((stop.task.to_string(), stop.run));
-        Ok(tasks.time(self.started))
+        state.barred.push((stop.task.to_string(), stop.run));
+        Ok(state.time(self.created_at))
     }
 
     async fn pace(
@@ -683,14 +704,14 @@
         call: &Call,
         pace: &Pace,
     ) -> Result<WorkerTime, worker::Error> {
-        self.speak().await?;
-        let mut tasks = self.fenced(call)?;
-        for running in &mut tasks.running {
+        self.check_reachable().await?;
+        let mut state = self.check_call(call)?;
+        for running in &mut state.running {
             if running.task == pace.task && running.run == pace.run {
                 running.pace = f64::from(pace.percent);
             }
         }
-        Ok(tasks.time(self.started))
+        Ok(state.time(self.created_at))
     }
 
     async fn look(
@@ -701,37 +722,39 @@
         wait: Duration,
     ) -> Result<Look, worker::Error> {
         {
-            let mut tasks = self.lock();
-            tasks.prolonged = expires.is_some();
-            if tasks.mute {
-                tasks.asked = tasks.asked.max(noted);
+            let mut state = self.lock();
+            state.lease_renewed = expires.is_some();
+            if state.mute {
+                state.acknowledged_while_mute =
+                    state.acknowledged_while_mute.max(noted);
             }
         }
-        self.speak().await?;
+        self.check_reachable().await?;
         let deadline = Instant::now() + wait.min(Duration::from_millis(50));
         loop {
-            if self.stalls() {
+            if self.stalls_poll() {
                 std::future::pending::<()>().await;
             }
             {
-                let mut tasks = self.fenced(call)?;
-                tasks.acknowledged = noted;
-                if tasks.hides {
-                    tasks.broken_off += 1;
+                let mut state = self.check_call(call)?;
+                state.last_acknowledged = noted;
+                if state.fails_polls {
+                    state.failed_calls += 1;
                     return Err(worker::Error::Lost("reset".to_owned()));
                 }
-                tasks.ended.retain(|ended| ended.number > noted);
-                if !tasks.ended.is_empty() || Instant::now() >= deadline {
-                    tasks.looks += 1;
-                    tasks.hides |= tasks.shows_once && !tasks.ended.is_empty();
-                    let shown = !tasks.ended.is_empty();
-                    tasks.mute |= tasks.mutes_once_shown && shown;
+                state.ended.retain(|ended| ended.number > noted);
+                if !state.ended.is_empty() || Instant::now() >= deadline {
+                    state.polls += 1;
+                    state.fails_polls |= state.fails_polls_after_shown_end
+                        && !state.ended.is_empty();
+                    let shown = !state.ended.is_empty();
+                    state.mute |= state.mutes_after_shown_end && shown;
                     return Ok(Look {
-                        born: tasks.birth(),
-                        time: tasks.time(self.started),
+                        born: state.birth(),
+                        time: state.time(self.created_at),
                         lists: Lists {
-                            running: tasks.running.clone(),
-                            ended: tasks.ended.clone(),
+                            running: state.running.clone(),
+                            ended: state.ended.clone(),
                         },
                     });
                 }
@@ -742,7 +765,7 @@
     }
 }
 
-/// An entry's planner.
+/// An entry's planner and its server for agents.
 pub struct Entry {
     stop: watch::Sender<bool>,
     planning: JoinHandle<()>,
@@ -750,32 +773,34 @@
 }
 
 impl Entry {
+    /// Starts an entry of one core with default limits and options.
     pub async fn start(name: &str, store: &Memory) -> Entry {
         Entry::with_log(name, store, log::none()).await
     }
 
-    /// Starts an entry whose planner survives and takes what it is told.
+    /// Starts an entry with limits on its server and options of its planner.
     pub async fn with_limits(
         name: &str,
         store: &Memory,
         limits: Limits,
-        terms: Options,
+        options: Options,
     ) -> Entry {
-        Entry::start_on(name, store, limits, terms, 1.0, log::none()).await
+        Entry::start_on(name, store, limits, options, 1.0, log::none()).await
     }
 
-    /// Starts an entry of so many cores.
+    /// Starts an entry with a number of cores.
     pub async fn with_cores(name: &str, store: &Memory, cores: f64) -> Entry {
         let limits = Limits::default();
-        let terms = Options::default();
-        Entry::start_on(name, store, limits, terms, cores, log::none()).await
+        let options = Options::default();
+        Entry::start_on(name, store, limits, options, cores, log::none()).await
     }
 
-    /// Returns where agents reach it.
+    /// Returns the address for agents.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
+    /// Starts an entry that logs to `log`.
     pub async fn with_log(
         name: &str,
         store: &Memory,
@@ -790,7 +815,7 @@
         name: &str,
         store: &Memory,
         limits: Limits,
-        terms: Options,
+        options: Options,
         cores: f64,
         log: slog::Logger,
     ) -> Entry {
@@ -810,7 +835,7 @@
             host,
             source: Source::new(),
             advice: None,
-            terms,
+            terms: options,
             log,
         };
         let (stop, stopped) = watch::channel(false);
@@ -821,32 +846,34 @@
         }
     }
 
-    /// Ends at once, without giving its claim back.
+    /// Ends the planner at once, without releasing its claim.
     pub fn kill(self) {
         self.planning.abort();
     }
 
+    /// Stops the planner in order.
     pub async fn stop(self) {
         self.stop.send_replace(true);
         self.planning.await.expect("stops");
     }
 }
 
-/// How often a worker sends a heartbeat.
-/// Where operators write here.
+/// The store keys of the configuration in these tests.
 pub const CONFIGURATION_KEYS: Keys = Keys {
     prefix: "key",
     configuration: "key",
     closed: "key/closed/",
 };
 
-const BEAT: Duration = Duration::from_millis(300);
+/// The interval between a worker's heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
+/// Starts an agent with default settings.
 pub fn start_agent(store: &Memory, worker: &FakeWorker) -> JoinHandle<()> {
     start_agent_named("agent", Duration::from_secs(6), store, worker)
 }
 
-/// Starts an agent of that name, which leases its worker for so long.
+/// Starts an agent with a name and the length of its worker's lease.
 pub fn start_agent_named(
     name: &str,
     lease: Duration,
@@ -857,7 +884,7 @@
     start_agent_with_survival(name, survival, lease, store, worker)
 }
 
-/// Starts an agent whose worker's tasks go on for `survival` without a
+/// Starts an agent whose worker's tasks continue for `survival` without a
 /// planner.
 pub fn start_agent_with_survival(
     name: &str,
@@ -877,21 +904,22 @@
     member.heartbeat(next_heartbeat(worker));
     let worker = worker.clone();
     tokio::spawn(async move {
-        let beats = async {
-            let mut beat = tokio::time::interval(BEAT);
+        let heartbeats = async {
+            let mut interval = tokio::time::interval(HEARTBEAT_INTERVAL);
             loop {
-                beat.tick().await;
+                interval.tick().await;
                 if !worker.lock().mute {
                     member.heartbeat(next_heartbeat(&worker));
-                    worker.lock().beats += 1;
+                    worker.lock().heartbeats += 1;
                 }
             }
         };
-        tokio::join!(member.run(), beats);
+        tokio::join!(member.run(), heartbeats);
     })
 }
 
-/// Returns an agent that is told of its worker by the test.
+/// Returns an agent that does not run yet and gets its heartbeats from the
+/// test.
 pub fn member(
     name: &str,
     store: &Memory,
@@ -907,15 +935,17 @@
     Member::new(config, worker.clone(), store.clone())
 }
 
+/// Returns the worker's next heartbeat.
 fn next_heartbeat(worker: &FakeWorker) -> Heartbeat {
     let sequence = {
-        let mut tasks = worker.lock();
-        tasks.sequence += 1;
-        tasks.sequence
+        let mut state = worker.lock();
+        state.sequence += 1;
+        state.sequence
     };
     heartbeat(worker, sequence)
 }
 
+/// Returns a heartbeat of the worker with a sequence number.
 pub fn heartbeat(worker: &FakeWorker, sequence: u64) -> Heartbeat {
     let accelerators = worker.lock().accelerators.unwrap_or(8);
     Heartbeat {
@@ -937,6 +967,7 @@
     }
 }
 
+/// Returns a job of two tasks with one accelerator each.
 pub fn job(id: &str) -> Job {
     Job {
         id: id.into(),
@@ -965,16 +996,19 @@
     }
 }
 
+/// Returns the deadline of a call.
 pub fn deadline() -> Instant {
     Instant::now() + Duration::from_secs(2)
 }
 
+/// Waits until a worker runs as many tasks as wanted.
 pub async fn wait_for_running(worker: &FakeWorker, wanted: usize) {
     let running =
         || async { (worker.lock().running.len() == wanted).then_some(()) };
-    until("the tasks run", running).await;
+    until("the wanted number of tasks runs", running).await;
 }
 
+/// Waits until a job is at a stage.
 pub async fn wait_for_stage(
     admission: &Admission<Memory>,
     id: &str,
@@ -987,10 +1021,11 @@
     until("the job's stage", stage).await;
 }
 
+/// The stage of a job that succeeded.
 pub const SUCCEEDED: Stage = Stage::Ended(Outcome::Succeeded);
 
 #[tokio::test]
-async fn a_job_is_kept_run_once_and_done() {
+async fn a_job_is_accepted_run_once_and_succeeds() {
     let store = Memory::default();
     let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
@@ -998,21 +1033,22 @@
     let agent = start_agent(&store, &worker);
     let submitted = admission.submit(&job("a"), deadline()).await;
     assert_eq!(submitted, Submitted::Accepted);
-    // The same name again is the same job.
+    // A second submission under the same name is the same job.
     let submitted = admission.submit(&job("a"), deadline()).await;
     assert_eq!(submitted, Submitted::Accepted);
     wait_for_running(&worker, 2).await;
     worker.end_all(RunOutcome::Done);
     wait_for_stage(&admission, "a", SUCCEEDED).await;
-    assert_eq!(worker.lock().began, ["a.0.0.0 1", "a.0.0.1 1"]);
-    let noted = || async { worker.lock().ended.is_empty().then_some(()) };
-    until("the ends are acknowledged", noted).await;
+    assert_eq!(worker.lock().started_runs, ["a.0.0.0 1", "a.0.0.1 1"]);
+    let acknowledged =
+        || async { worker.lock().ended.is_empty().then_some(()) };
+    until("the ends are acknowledged", acknowledged).await;
     agent.abort();
     entry.stop().await;
 }
 
 #[tokio::test]
-async fn an_agent_that_restarts_learns_the_token_and_keeps_the_tasks() {
+async fn a_restarted_agent_learns_the_token_and_keeps_the_tasks() {
     let store = Memory::default();
     let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
@@ -1021,17 +1057,17 @@
     admission.submit(&job("a"), deadline()).await;
     wait_for_running(&worker, 2).await;
     first.abort();
-    // Its worker is fenced against whoever knows no token.
+    // The worker rejects calls without the present token.
     let second = start_agent(&store, &worker);
     worker.end_all(RunOutcome::Done);
     wait_for_stage(&admission, "a", SUCCEEDED).await;
-    assert_eq!(worker.lock().began.len(), 2, "started again");
+    assert_eq!(worker.lock().started_runs.len(), 2, "started again");
     second.abort();
     entry.kill();
 }
 
 #[tokio::test]
-async fn a_fenced_agent_does_not_call_its_worker_gone() {
+async fn a_fenced_agent_does_not_report_its_worker_as_lost() {
     let store = Memory::default();
     let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
@@ -1042,17 +1078,22 @@
     first.abort();
     entry.kill();
     worker.end_all(RunOutcome::Done);
-    // Long without a planner: longer than a silent worker is waited for.
-    store.lock().refuse = u32::MAX;
+    // The agent is without a planner for longer than it waits for a silent
+    // worker.
+    store.lock().calls_to_reject = u32::MAX;
     let second = start_agent(&store, &worker);
-    let before = Instant::now();
-    let long =
-        || async { (before.elapsed() > Duration::from_secs(3)).then_some(()) };
-    until("time passes without the store", long).await;
-    store.lock().refuse = 0;
+    let began = Instant::now();
+    let passed =
+        || async { (began.elapsed() > Duration::from_secs(3)).then_some(()) };
+    until("time passes without the store", passed).await;
+    store.lock().calls_to_reject = 0;
     let entry = Entry::start("other", &store).await;
     wait_for_stage(&admission, "a", SUCCEEDED).await;
-    assert_eq!(worker.lock().began.len(), 2, "started again though done");
+    assert_eq!(
+        worker.lock().started_runs.len(),
+        2,
+        "a done task was started again"
+    );
     second.abort();
     entry.kill();
 }
@@ -1064,37 +1105,41 @@
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
     let agent = start_agent(&store, &worker);
-    store.lock().lose = 1;
+    store.lock().answers_to_lose = 1;
     let submitted = admission.submit(&job("a"), deadline()).await;
-    assert_eq!(submitted, Submitted::Accepted, "the second try finds it");
-    store.lock().lose = 3;
+    assert_eq!(
+        submitted,
+        Submitted::Accepted,
+        "the second attempt finds the job"
+    );
+    store.lock().answers_to_lose = 3;
     wait_for_running(&worker, 2).await;
-    store.lock().lose = 3;
+    store.lock().answers_to_lose = 3;
     worker.end_all(RunOutcome::Done);
     wait_for_stage(&admission, "a", SUCCEEDED).await;
-    assert_eq!(worker.lock().began.len(), 2);
+    assert_eq!(worker.lock().started_runs.len(), 2);
     agent.abort();
     entry.kill();
 }
 
 #[tokio::test]
-async fn a_refusal_after_an_unanswered_write_is_not_given() {
+async fn a_submission_is_not_refused_after_an_unanswered_write() {
     let store = Memory::default();
     let admission = Admission::new(store.clone(), log::none());
-    store.lock().refuse = u32::MAX;
+    store.lock().calls_to_reject = u32::MAX;
     let submitted = admission.submit(&job("b"), deadline()).await;
     assert_eq!(submitted, Submitted::Refused, "nothing was written");
-    store.lock().refuse = 0;
+    store.lock().calls_to_reject = 0;
     let submitted = admission.submit(&job("d"), deadline()).await;
     assert_eq!(submitted, Submitted::Accepted, "the store is back");
-    store.lock().lose = 1;
-    // The write takes effect without an answer, and then the store is gone.
-    let late = Instant::now() + Duration::from_millis(50);
-    let submitted = admission.submit(&job("c"), late).await;
+    store.lock().answers_to_lose = 1;
+    // The write takes effect without an answer, and then the store is down.
+    let short = Instant::now() + Duration::from_millis(50);
+    let submitted = admission.submit(&job("c"), short).await;
     assert_eq!(submitted, Submitted::Unsure);
-    store.lock().refuse = u32::MAX;
+    store.lock().calls_to_reject = u32::MAX;
     let submitted = admission.submit(&job("c"), deadline()).await;
-    assert_eq!(submitted, Submitted::Unsure, "it may be kept");
+    assert_eq!(submitted, Submitted::Unsure, "the job may be stored");
 }
 
 #[tokio::test]
@@ -1112,13 +1157,17 @@
     wait_for_running(&worker, 0).await;
     let cancelled = Stage::Ended(Outcome::Cancelled);
     wait_for_stage(&admission, "a", cancelled).await;
-    assert_eq!(worker.lock().began.len(), 2, "nothing began anew");
+    assert_eq!(
+        worker.lock().started_runs.len(),
+        2,
+        "nothing was started again"
+    );
     agent.abort();
     second.kill();
 }
 
 #[tokio::test]
-async fn tasks_of_a_worker_that_falls_silent_begin_elsewhere() {
+async fn tasks_of_a_silent_worker_begin_elsewhere() {
     let store = Memory::default();
     let (silent, other) = (FakeWorker::new(), FakeWorker::new());
     let admission = Admission::new(store.clone(), log::none());
@@ -1127,7 +1176,7 @@
     let first = start_agent_named("first", lease, &store, &silent);
     admission.submit(&job("a"), deadline()).await;
     wait_for_running(&silent, 2).await;
-    // Its agent lives, and goes on being granted what runs.
+    // The agent is still up, and its leases are still extended.
     silent.lock().mute = true;
     let second = start_agent_named("second", lease, &store, &other);
     wait_for_running(&other, 2).await;
@@ -1137,7 +1186,7 @@
 }
 
 #[tokio::test]
-async fn what_was_done_by_a_worker_that_was_taken_for_gone_is_done() {
+async fn tasks_done_by_a_worker_that_was_considered_lost_are_done() {
     let store = Memory::default();
     let (silent, other) = (FakeWorker::new(), FakeWorker::new());
     let admission = Admission::new(store.clone(), log::none());
@@ -1149,24 +1198,25 @@
     silent.lock().mute = true;
     let second = start_agent_named("second", lease, &store, &other);
     wait_for_running(&other, 2).await;
-    // It ran on all the while, and says so.
+    // The worker was running all the time, and its agent reports so.
     silent.end_all(RunOutcome::Done);
     silent.lock().mute = false;
     wait_for_stage(&admission, "a", SUCCEEDED).await;
     wait_for_running(&other, 0).await;
-    let began = other.started().len() + silent.started().len();
-    assert_eq!(began, 4, "begun again though done");
+    let starts = other.started().len() + silent.started().len();
+    assert_eq!(starts, 4, "a done task was started again");
     first.abort();
     second.abort();
     entry.kill();
 }
 
-/// A worker said nothing while it was told to start two tasks. Its agent
-/// called it gone once its leases had run out, the tasks were done elsewhere,
-/// and the first thing it heard when it spoke again was the old order, which
-/// its agent had kept: a task began 0.4 s after it was noted as done.
+/// Guards against an order that outlives its run. A worker did not answer the
+/// starts of two tasks. Its agent reported the worker as lost once the leases
+/// had expired, and the tasks were done elsewhere. When the worker answered
+/// again, the agent still repeated the old order, and a task began 0.4 s after
+/// its end was acknowledged as done.
 #[tokio::test]
-async fn an_old_order_is_dropped_once_its_worker_is_told_to_be_gone() {
+async fn an_old_order_is_dropped_once_its_worker_is_reported_as_lost() {
     let store = Memory::default();
     let (silent, other) = (FakeWorker::new(), FakeWorker::new());
     let admission = Admission::new(store.clone(), log::none());
@@ -1175,37 +1225,38 @@
     let first = start_agent_named("first", lease, &store, &silent);
     silent.leave_starts_unanswered(u32::MAX);
     admission.submit(&job("a"), deadline()).await;
-    let lost = || async { (silent.unanswered_starts() >= 2).then_some(()) };
-    until("two starts have no answer", lost).await;
+    let unanswered =
+        || async { (silent.unanswered_starts() >= 2).then_some(()) };
+    until("two starts are unanswered", unanswered).await;
     silent.lock().mute = true;
     let second = start_agent_named("second", lease, &store, &other);
     wait_for_running(&other, 2).await;
     silent.leave_starts_unanswered(0);
     silent.lock().mute = false;
-    let looked = silent.polls();
-    let looks = || async { (silent.polls() >= looked + 20).then_some(()) };
-    until("it answers again", looks).await;
-    assert_eq!(silent.started(), Vec::<String>::new(), "begun twice");
+    let before = silent.polls();
+    let polls = || async { (silent.polls() >= before + 20).then_some(()) };
+    until("the worker answers again", polls).await;
+    assert_eq!(silent.started(), Vec::<String>::new(), "started twice");
     first.abort();
     second.abort();
     entry.kill();
 }
 
 #[tokio::test]
-async fn a_start_without_answer_is_barred_before_it_is_refused() {
+async fn an_unanswered_start_is_barred_before_it_is_refused() {
     let store = Memory::default();
     let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
     let entry = Entry::start("entry", &store).await;
     let agent = start_agent(&store, &worker);
     {
-        let mut tasks = worker.lock();
-        tasks.late = 2;
-        tasks.full = true;
+        let mut state = worker.lock();
+        state.starts_to_leave_unanswered = 2;
+        state.full = true;
     }
     admission.submit(&job("a"), deadline()).await;
-    // Before the planner may place the first run elsewhere, it is sure that
-    // the late order starts nothing here.
+    // The planner may place the runs elsewhere only once the late starts can
+    // no longer take effect here.
     let barred = || async {
         let barred = worker.lock().barred.clone();
         (barred.len() >= 2).then_some(barred)
@@ -1218,7 +1269,7 @@
 }
 
 #[tokio::test]
-async fn a_worker_that_answers_no_calls_gets_no_new_work() {
+async fn a_worker_that_answers_no_calls_gets_no_new_tasks() {
     let store = Memory::default();
     let (deaf, other) = (FakeWorker::new(), FakeWorker::new());
     let admission = Admission::new(store.clone(), log::none());
@@ -1229,15 +1280,15 @@
     wait_for_running(&deaf, 2).await;
     deaf.end_all(RunOutcome::Done);
     wait_for_stage(&admission, "a", SUCCEEDED).await;
-    // It breaks off all calls from now on; its heartbeats go on.
+    // The worker fails all calls from now on, but its heartbeats go on.
     deaf.lock().deaf = true;
-    let noticed = || async { (deaf.lock().broken_off >= 4).then_some(()) };
-    until("its agent notices", noticed).await;
+    let noticed = || async { (deaf.lock().failed_calls >= 4).then_some(()) };
+    until("the agent notices", noticed).await;
     let second = start_agent_named("second", lease, &store, &other);
     admission.submit(&job("b"), deadline()).await;
     wait_for_running(&other, 2).await;
-    assert_eq!(deaf.lock().starts_broken_off, 0, "work for a deaf worker");
-    // Once it answers again it is as good as any other.
+    assert_eq!(deaf.lock().failed_starts, 0, "a start on a deaf worker");
+    // Once the worker answers again, it gets new tasks.
     other.lock().full = true;
     deaf.lock().deaf = false;
     admission.submit(&job("c"), deadline()).await;
@@ -1248,7 +1299,7 @@
 }
 
 #[tokio::test]
-async fn a_job_that_takes_workers_down_is_given_up_and_the_others_go_on() {
+async fn a_job_that_takes_down_workers_is_given_up_and_other_jobs_go_on() {
     let store = Memory::default();
     let workers = [FakeWorker::new(), FakeWorker::new(), FakeWorker::new()];
     let admission = Admission::new(store.clone(), log::none());
@@ -1266,15 +1317,16 @@
     let failed = Stage::Ended(Outcome::Failed);
     wait_for_stage(&admission, "bad", failed).await;
     let crashes: u32 = workers.iter().map(|w| w.lock().crashes).sum();
-    // Both tasks at first, then one of them until it is told.
+    // Both tasks are started at first, and then only one until the job is
+    // given up.
     assert!(crashes <= 5, "{crashes} workers were taken down");
     admission.submit(&job("good"), deadline()).await;
-    let began = || async {
-        let all = workers.iter().flat_map(FakeWorker::started);
-        let good = all.filter(|start| start.starts_with("good")).count();
+    let started = || async {
+        let starts = workers.iter().flat_map(FakeWorker::started);
+        let good = starts.filter(|start| start.starts_with("good")).count();
         (good == 2).then_some(())
     };
-    until("the other job begins", began).await;
+    until("the other job starts", started).await;
     for worker in &workers {
         worker.end_all(RunOutcome::Done);
     }
@@ -1286,7 +1338,7 @@
 }
 
 #[tokio::test]
-async fn a_heartbeat_of_a_life_that_does_not_answer_here_changes_nothing() {
+async fn a_heartbeat_of_a_life_that_does_not_answer_changes_nothing() {
     let store = Memory::default();
     let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
@@ -1299,26 +1351,27 @@
     member.heartbeat(heartbeat(&worker, 1));
     admission.submit(&job("a"), deadline()).await;
     wait_for_running(&worker, 2).await;
-    // One of an earlier life was late, and one is from nobody.
+    // Two heartbeats of an earlier life are late, and one is of an unknown
+    // life.
     for (life, sequence) in [("life-0", 900), ("nobody", 1), ("life-0", 901)] {
         let beat = heartbeat(&worker, sequence);
         let life = life.into();
         member.heartbeat(Heartbeat { life, ..beat });
     }
-    let looked = worker.polls();
-    let later = || async { (worker.polls() >= looked + 20).then_some(()) };
-    until("several looks", later).await;
+    let before = worker.polls();
+    let later = || async { (worker.polls() >= before + 20).then_some(()) };
+    until("several polls", later).await;
     worker.end_all(RunOutcome::Done);
     wait_for_stage(&admission, "a", SUCCEEDED).await;
-    let mut began = worker.started();
-    began.sort();
-    assert_eq!(began, ["a.0.0.0 1", "a.0.0.1 1"]);
+    let mut started = worker.started();
+    started.sort();
+    assert_eq!(started, ["a.0.0.0 1", "a.0.0.1 1"]);
     running.abort();
     entry.kill();
 }
 
 #[tokio::test]
-async fn a_job_whose_progress_cannot_be_read_is_not_begun_again() {
+async fn a_job_whose_progress_cannot_be_read_is_not_started_again() {
     let store = Memory::default();
     let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
@@ -1332,9 +1385,9 @@
     wait_for_running(&worker, 2).await;
     worker.end_all(RunOutcome::Done);
     wait_for_stage(&admission, "b", SUCCEEDED).await;
-    let mut began = worker.started();
-    began.sort();
-    assert_eq!(began, ["b.0.0.0 1", "b.0.0.1 1"]);
+    let mut started = worker.started();
+    started.sort();
+    assert_eq!(started, ["b.0.0.0 1", "b.0.0.1 1"]);
     agent.abort();
     entry.kill();
 }
