--- a/tests/it/births.rs
+++ b/tests/it/births.rs
@@ -1,15 +1,11 @@
-//! Workers that start again under the names that they had.
+//! Workers that restart under their names.
 //!
-//! Four workers went down and were back within a second, empty, under their
-//! names. Their agents said `the worker does not answer ... error="not
-//! reached"` and nothing more, so everybody went on as if the same worker had
-//! been away for a moment. What had run there counted as running for ever:
-//! no line ever said that these runs had ended, and their jobs waited to the
-//! end. And the numbers of a worker's ends begin anew with its birth: a run
-//! that ended as done got number 2 where ends up to 9 had been acknowledged
-//! before, so the worker forgot it before anybody had read it. Once the
-//! worker left for good, `a run has ended ... how="worker gone"
-//! ran_ms=52280` began anew what had long been done.
+//! Guards against agents that treat a restarted worker as one that was
+//! unreachable for a moment. Runs of the earlier birth then counted as running
+//! for ever, and their jobs never ended. A worker also numbers its ends anew
+//! with each birth: an end got number 2 after ends up to 9 of the earlier birth
+//! had been acknowledged, so that the worker dropped the end before anybody had
+//! read it, and the task was started again although it was done.
 
 use std::time::Duration;
 
@@ -39,24 +35,26 @@
 use crate::cell::SUCCEEDED;
 use crate::support::until;
 
-/// Returns how many workers were lost under each task of a job, as it is
-/// kept for the next planner.
-async fn lost_under(store: &Memory, job: &str) -> Vec<u32> {
-    let kept = store.get(&keys::progress(job)).await.expect("answers");
-    let kept = kept.expect("it has begun").value;
-    let kept: Progress = serde_json::from_slice(&kept).expect("is progress");
-    let lost = kept.units.values().flat_map(|unit| unit.lost.values());
-    lost.map(|loss| loss.lost).collect()
+/// Returns the number of workers that were lost under each task of a job, as
+/// written for the next planner.
+async fn written_losses(store: &Memory, job: &str) -> Vec<u32> {
+    let item = store.get(&keys::progress(job)).await.expect("answers");
+    let value = item.expect("the job has begun").value;
+    let progress: Progress =
+        serde_json::from_slice(&value).expect("is progress");
+    let losses = progress.units.values().flat_map(|unit| unit.lost.values());
+    losses.map(|loss| loss.lost).collect()
 }
 
-async fn passes(time: Duration) {
-    let then = Instant::now() + time;
-    let later = || async { (Instant::now() >= then).then_some(()) };
-    until("time passes", later).await;
+/// Waits until time has passed.
+async fn wait_for(time: Duration) {
+    let end = Instant::now() + time;
+    let passed = || async { (Instant::now() >= end).then_some(()) };
+    until("time passes", passed).await;
 }
 
 #[tokio::test]
-async fn what_ran_in_an_earlier_birth_begins_anew() {
+async fn tasks_of_an_earlier_birth_are_started_again() {
     let store = Memory::default();
     let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
@@ -73,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn what_a_later_birth_has_done_is_read_before_it_is_forgotten() {
+async fn ends_of_a_later_birth_are_read_before_they_are_dropped() {
     let store = Memory::default();
     let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
@@ -85,22 +83,22 @@
         worker.end_all(RunOutcome::Done);
         wait_for_stage(&admission, name, SUCCEEDED).await;
     }
-    let forgotten = || async { (worker.listed_ends() == 0).then_some(()) };
-    until("four ends are acknowledged", forgotten).await;
+    let dropped = || async { (worker.listed_ends() == 0).then_some(()) };
+    until("four ends are acknowledged", dropped).await;
     worker.restart();
     admission.submit(&job("c"), deadline()).await;
     wait_for_running(&worker, 2).await;
     worker.end_all(RunOutcome::Done);
     wait_for_stage(&admission, "c", SUCCEEDED).await;
-    let began = worker.started();
-    let of_c = began.iter().filter(|start| start.starts_with('c'));
-    assert!(of_c.clone().count() == 2, "{began:?}");
+    let started = worker.started();
+    let of_c = started.iter().filter(|start| start.starts_with('c'));
+    assert!(of_c.clone().count() == 2, "{started:?}");
     agent.abort();
     entry.kill();
 }
 
 #[tokio::test]
-async fn a_start_that_comes_late_to_a_later_birth_begins_nothing() {
+async fn a_late_start_that_reaches_a_later_birth_starts_nothing() {
     let store = Memory::default();
     let (worker, other) =
         (FakeWorker::with_births(), FakeWorker::with_births());
@@ -110,26 +108,28 @@
     let first = start_agent_named("first", lease, &store, &worker);
     worker.leave_starts_unanswered(2);
     admission.submit(&job("a"), deadline()).await;
-    let lost = || async { (worker.unanswered_starts() == 2).then_some(()) };
-    until("two starts have no answer", lost).await;
-    // While it is down nobody can ask again.
+    let unanswered =
+        || async { (worker.unanswered_starts() == 2).then_some(()) };
+    until("two starts are unanswered", unanswered).await;
+    // While the worker is down the agent cannot repeat the starts.
     worker.set_mute(true);
-    passes(Duration::from_millis(2500)).await;
+    wait_for(Duration::from_millis(2500)).await;
     worker.set_full(true);
     worker.restart();
     worker.set_mute(false);
     let second = start_agent_named("second", lease, &store, &other);
     wait_for_running(&other, 2).await;
-    // Calls name the worker, not its birth: it would take them.
+    // Calls name the worker and not its birth, so that the late starts would
+    // be accepted.
     worker.execute_late_starts();
-    assert_eq!(worker.started(), Vec::<String>::new(), "begun twice");
+    assert_eq!(worker.started(), Vec::<String>::new(), "started twice");
     first.abort();
     second.abort();
     entry.kill();
 }
 
 #[tokio::test]
-async fn nothing_is_started_while_it_is_not_known_who_would_start_it() {
+async fn nothing_is_started_while_the_worker_s_birth_is_unknown() {
     let store = Memory::default();
     let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
@@ -137,15 +137,16 @@
     let agent = start_agent(&store, &worker);
     worker.leave_starts_unanswered(2);
     admission.submit(&job("a"), deadline()).await;
-    let lost = || async { (worker.unanswered_starts() == 2).then_some(()) };
-    until("two starts have no answer", lost).await;
-    // The worker may have gone down under them, and be back as another.
+    let unanswered =
+        || async { (worker.unanswered_starts() == 2).then_some(()) };
+    until("two starts are unanswered", unanswered).await;
+    // The worker may have gone down under the starts, and may have restarted.
     worker.fail_polls(true);
-    passes(Duration::from_millis(1000)).await;
+    wait_for(Duration::from_millis(1000)).await;
     assert_eq!(
         worker.started(),
         Vec::<String>::new(),
-        "tried again blindly"
+        "a start was repeated blindly"
     );
     worker.fail_polls(false);
     wait_for_running(&worker, 2).await;
@@ -154,7 +155,7 @@
 }
 
 #[tokio::test]
-async fn what_ran_begins_elsewhere_though_the_later_birth_never_answers() {
+async fn tasks_begin_elsewhere_although_the_later_birth_never_answers() {
     let store = Memory::default();
     let (worker, other) =
         (FakeWorker::with_births(), FakeWorker::with_births());
@@ -171,8 +172,8 @@
     wait_for_running(&worker, 2).await;
     worker.restart();
     worker.set_mute(true);
-    // One heartbeat of the later birth is all that is ever heard of it.
-    passes(Duration::from_millis(2000)).await;
+    // The later birth sends a single heartbeat and nothing else.
+    wait_for(Duration::from_millis(2000)).await;
     member.heartbeat(heartbeat(&worker, 1));
     let second = start_agent_named("second", lease, &store, &other);
     wait_for_running(&other, 2).await;
@@ -181,11 +182,12 @@
     entry.kill();
 }
 
-/// A new birth said nothing for so long that its agent called it gone, and
-/// then spoke: its agent had given up barring there what was ordered before,
-/// and showed nothing of it to planners for ever.
+/// Guards against a worker that is never used again. A new birth was silent for
+/// so long that its agent reported the worker as lost. When the worker answered
+/// again, the agent had given up barring earlier orders there, and never showed
+/// the worker to planners.
 #[tokio::test]
-async fn a_birth_that_was_silent_for_long_is_used_once_it_speaks() {
+async fn a_birth_that_was_silent_for_long_is_used_once_it_answers() {
     let store = Memory::default();
     let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
@@ -196,9 +198,9 @@
     wait_for_running(&worker, 2).await;
     worker.fail_stops(true);
     worker.restart();
-    passes(Duration::from_millis(1000)).await;
+    wait_for(Duration::from_millis(1000)).await;
     worker.set_mute(true);
-    passes(Duration::from_millis(4000)).await;
+    wait_for(Duration::from_millis(4000)).await;
     worker.set_mute(false);
     worker.fail_stops(false);
     wait_for_running(&worker, 2).await;
@@ -223,21 +225,21 @@
     admission.submit(&job("a"), deadline()).await;
     wait_for_running(&worker, 2).await;
     member.heartbeat(earlier.clone());
-    let looked = worker.polls();
-    let later = || async { (worker.polls() >= looked + 20).then_some(()) };
-    until("several looks", later).await;
+    let before = worker.polls();
+    let later = || async { (worker.polls() >= before + 20).then_some(()) };
+    until("several polls", later).await;
     member.heartbeat(earlier);
     worker.end_all(RunOutcome::Done);
     wait_for_stage(&admission, "a", SUCCEEDED).await;
-    let mut began = worker.started();
-    began.sort();
-    assert_eq!(began, ["a.0.0.0 1", "a.0.0.1 1"]);
+    let mut started = worker.started();
+    started.sort();
+    assert_eq!(started, ["a.0.0.0 1", "a.0.0.1 1"]);
     running.abort();
     entry.kill();
 }
 
 #[tokio::test]
-async fn a_late_goodbye_of_an_earlier_birth_ends_nothing() {
+async fn a_late_leave_notice_of_an_earlier_birth_ends_nothing() {
     let store = Memory::default();
     let (worker, other) =
         (FakeWorker::with_births(), FakeWorker::with_births());
@@ -252,13 +254,13 @@
     member.heartbeat(heartbeat(&worker, 1));
     admission.submit(&job("a"), deadline()).await;
     wait_for_running(&worker, 2).await;
-    // It names the worker, and that still answers.
+    // The notice names the worker, which still answers.
     member.left("life");
     let second =
         start_agent_named("second", Duration::from_secs(6), &store, &other);
-    passes(Duration::from_millis(2500)).await;
-    assert_eq!(other.started(), Vec::<String>::new(), "begun twice");
-    // Nor is the worker out of use for ever.
+    wait_for(Duration::from_millis(2500)).await;
+    assert_eq!(other.started(), Vec::<String>::new(), "started twice");
+    // The worker is also used again.
     member.heartbeat(heartbeat(&worker, 2));
     worker.end_all(RunOutcome::Done);
     wait_for_stage(&admission, "a", SUCCEEDED).await;
@@ -271,12 +273,12 @@
 }
 
 #[tokio::test]
-async fn what_was_placed_by_a_name_alone_goes_on_once_births_are_told() {
+async fn tasks_placed_by_a_name_alone_go_on_once_births_are_reported() {
     let store = Memory::default();
     let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
     admission.submit(&job("a"), deadline()).await;
-    // As an agent and a planner that know no births wrote and ordered it.
+    // The progress is as a planner without knowledge of births wrote it.
     let on = |index| {
         json!({ "run": 1, "on": [{ "agent": "agent", "life": "life" }],
                 "index": index })
@@ -293,18 +295,23 @@
     wait_for_running(&worker, 2).await;
     worker.end_all(RunOutcome::Done);
     wait_for_stage(&admission, "a", SUCCEEDED).await;
-    let mut began = worker.started();
-    began.sort();
-    assert_eq!(began, ["a.0.0.0 1", "a.0.0.1 1"], "another run was given");
+    let mut started = worker.started();
+    started.sort();
+    assert_eq!(
+        started,
+        ["a.0.0.0 1", "a.0.0.1 1"],
+        "another run was ordered"
+    );
     agent.abort();
     entry.kill();
 }
 
-/// Looks failed while an end was to be acknowledged, and the agent tried
-/// again and again: the worker had started anew meanwhile, took the number
-/// for one of its own, and forgot what it had done before anybody read it.
+/// Guards against ends that are dropped unread. Polls failed while an end was
+/// to be acknowledged, and the agent repeated them. The worker had restarted in
+/// between, so that the number acknowledged an end of the new birth that nobody
+/// had read.
 #[tokio::test]
-async fn nothing_is_acknowledged_while_it_is_not_known_who_would_forget_it() {
+async fn nothing_is_acknowledged_while_the_worker_s_birth_is_unknown() {
     let store = Memory::default();
     let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
@@ -316,18 +323,18 @@
     worker.end_all(RunOutcome::Done);
     wait_for_stage(&admission, "a", SUCCEEDED).await;
     let failed = || async { (worker.failed_calls() >= 6).then_some(()) };
-    until("several looks fail", failed).await;
+    until("several polls fail", failed).await;
     assert_eq!(worker.last_acknowledged(), 0);
     agent.abort();
     entry.kill();
 }
 
-/// A look had no answer yet when the planner's note came, and was broken off
-/// for one that acknowledged it. The worker had started anew within 40 ms and
-/// forgot two ends of its own unread: `w0 0 is up`, `job30.0.0.0 is noted as
-/// done`, `job30.0.0.0 run 2 begins when done`.
+/// Guards against ends that are dropped unread. A poll was still unanswered
+/// when the planner acknowledged an end, and was aborted for a poll with that
+/// acknowledgement. The worker had restarted within 40 ms and dropped two ends
+/// of the new birth; one of their tasks was started again although it was done.
 #[tokio::test]
-async fn nothing_is_acknowledged_in_place_of_a_look_without_answer() {
+async fn an_unanswered_poll_is_not_replaced_by_one_that_acknowledges() {
     let store = Memory::default();
     let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
@@ -336,22 +343,23 @@
     admission.submit(&job("a"), deadline()).await;
     wait_for_running(&worker, 2).await;
     worker.mute_after_shown_end();
-    // The note comes later than a moment after the end is shown.
+    // With a lost answer of the store, the acknowledgement comes well after
+    // the end is shown.
     store.lose_answers(1);
     worker.end_all(RunOutcome::Done);
     wait_for_stage(&admission, "a", SUCCEEDED).await;
-    passes(Duration::from_millis(500)).await;
+    wait_for(Duration::from_millis(500)).await;
     assert_eq!(worker.acknowledged_while_mute(), 0);
     agent.abort();
     entry.kill();
 }
 
-/// A worker was lost under a task that its agent knew only from the worker's
-/// own list, having started again itself. It told that nothing had begun
-/// there, so the loss was counted against nobody, and the task had one start
-/// more than it may.
+/// Guards against losses that count against no task. A worker was lost under a
+/// task that its agent knew only from the worker's list, because the agent had
+/// restarted. The agent reported that nothing had begun there, and the task was
+/// started once more than allowed.
 #[tokio::test]
-async fn a_loss_counts_though_the_agent_has_started_again() {
+async fn a_loss_counts_although_the_agent_has_restarted() {
     let store = Memory::default();
     let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
@@ -360,20 +368,20 @@
     admission.submit(&job("a"), deadline()).await;
     wait_for_running(&worker, 2).await;
     first.abort();
-    let looked = worker.polls();
+    let before = worker.polls();
     let second = start_agent(&store, &worker);
-    let looks = || async { (worker.polls() >= looked + 10).then_some(()) };
-    until("the new agent knows what runs", looks).await;
+    let polls = || async { (worker.polls() >= before + 10).then_some(()) };
+    until("the new agent knows the running tasks", polls).await;
     worker.restart();
-    let began = || async { (worker.started().len() == 4).then_some(()) };
-    until("both tasks begin anew", began).await;
-    assert_eq!(lost_under(&store, "a").await, [1, 1]);
+    let restarted = || async { (worker.started().len() == 4).then_some(()) };
+    until("both tasks start again", restarted).await;
+    assert_eq!(written_losses(&store, "a").await, [1, 1]);
     second.abort();
     entry.kill();
 }
 
 #[tokio::test]
-async fn a_loss_counts_though_the_agent_has_never_seen_what_ran() {
+async fn a_loss_counts_although_the_agent_never_saw_the_running_tasks() {
     let store = Memory::default();
     let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
@@ -382,25 +390,25 @@
     admission.submit(&job("a"), deadline()).await;
     wait_for_running(&worker, 2).await;
     first.abort();
-    // The new agent hears its worker, and no look is answered.
+    // The new agent gets heartbeats, but its polls fail.
     worker.fail_polls(true);
     let second = start_agent(&store, &worker);
-    passes(Duration::from_millis(700)).await;
+    wait_for(Duration::from_millis(700)).await;
     worker.restart();
     worker.fail_polls(false);
-    let began = || async { (worker.started().len() == 4).then_some(()) };
-    until("both tasks begin anew", began).await;
-    assert_eq!(lost_under(&store, "a").await, [1, 1]);
+    let restarted = || async { (worker.started().len() == 4).then_some(()) };
+    until("both tasks start again", restarted).await;
+    assert_eq!(written_losses(&store, "a").await, [1, 1]);
     second.abort();
     entry.kill();
 }
 
-/// The two tasks of a job were done, and their agent had read so, while no
-/// planner was there to hear it. Their worker started again before there was
-/// one: the agent told that nothing had been running there, `a run has ended
-/// how="worker gone"`, and both were done a second time.
+/// Guards against tasks that are done twice. An agent had read that two tasks
+/// were done while there was no planner, and their worker restarted before
+/// there was one. The agent reported that nothing had been running there, the
+/// runs ended as lost with their worker, and both tasks were started again.
 #[tokio::test]
-async fn what_was_read_as_done_is_not_done_again_though_its_worker_goes() {
+async fn tasks_read_as_done_are_not_started_again_after_a_restart() {
     let store = Memory::default();
     let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
@@ -410,21 +418,21 @@
     wait_for_running(&worker, 2).await;
     entry.kill();
     worker.end_all(RunOutcome::Done);
-    let looked = worker.polls();
-    let looks = || async { (worker.polls() >= looked + 3).then_some(()) };
-    until("the agent has read both ends", looks).await;
+    let before = worker.polls();
+    let polls = || async { (worker.polls() >= before + 3).then_some(()) };
+    until("the agent has read both ends", polls).await;
     worker.restart();
     let next = Entry::start("next", &store).await;
     wait_for_stage(&admission, "a", SUCCEEDED).await;
-    let mut began = worker.started();
-    began.sort();
-    assert_eq!(began, ["a.0.0.0 1", "a.0.0.1 1"], "done again");
+    let mut started = worker.started();
+    started.sort();
+    assert_eq!(started, ["a.0.0.0 1", "a.0.0.1 1"], "started again");
     agent.abort();
     next.kill();
 }
 
 #[tokio::test]
-async fn a_look_that_comes_late_to_a_later_birth_forgets_no_end() {
+async fn a_late_poll_that_reaches_a_later_birth_drops_no_end() {
     let store = Memory::default();
     let worker = FakeWorker::with_births();
     let admission = Admission::new(store.clone(), log::none());
@@ -434,17 +442,17 @@
     wait_for_running(&worker, 2).await;
     worker.end_all(RunOutcome::Done);
     wait_for_stage(&admission, "a", SUCCEEDED).await;
-    let forgotten = || async { (worker.listed_ends() == 0).then_some(()) };
-    until("both ends are acknowledged", forgotten).await;
-    let looked = worker.polls();
-    let later = || async { (worker.polls() >= looked + 5).then_some(()) };
-    until("several looks", later).await;
+    let dropped = || async { (worker.listed_ends() == 0).then_some(()) };
+    until("both ends are acknowledged", dropped).await;
+    let before = worker.polls();
+    let later = || async { (worker.polls() >= before + 5).then_some(()) };
+    until("several polls", later).await;
     let last = worker.last_acknowledged();
     worker.restart();
     admission.submit(&job("b"), deadline()).await;
     wait_for_running(&worker, 2).await;
     worker.end_all(RunOutcome::Done);
-    // It was under way when the worker went down.
+    // The poll was under way when the worker went down.
     worker.apply_late_acknowledgement(last);
     wait_for_stage(&admission, "b", SUCCEEDED).await;
     agent.abort();
@@ -474,7 +482,8 @@
     admission.submit(&job("bad"), deadline()).await;
     wait_for_stage(&admission, "bad", Stage::Ended(Outcome::Failed)).await;
     let crashes: u32 = workers.iter().map(FakeWorker::crashes).sum();
-    // Both tasks at first, then one of them until it is told.
+    // Both tasks are started at first, and then only one until the job is
+    // given up.
     assert!(crashes <= 5, "{crashes} workers were taken down");
     for agent in agents {
         agent.abort();
