--- a/tests/it/again.rs
+++ b/tests/it/again.rs
@@ -19,7 +19,7 @@
     for worker in &mut site.workers {
         worker.end(RunOutcome::Broken, |_| true);
     }
-    // The restart must not need time to pass.
+    // No time passes before the restart.
     site.settle();
     assert_eq!(site.running("urgent"), 2, "the gang was not restarted");
     let restarted = &site.workers[failed].running;
--- a/tests/it/broken.rs
+++ b/tests/it/broken.rs
@@ -27,26 +27,26 @@
     site.submit(job("gang", 1, vec![step(3, 8, true)], &site));
     site.settle();
     assert_eq!(site.running("gang"), 3);
-    let on = |at: &usize| !site.workers[*at].running.is_empty();
-    let on: Vec<usize> = (0..6).filter(on).collect();
-    (site, on)
+    let is_busy = |at: &usize| !site.workers[*at].running.is_empty();
+    let workers: Vec<usize> = (0..6).filter(is_busy).collect();
+    (site, workers)
 }
 
 /// Ends the gang's run on some workers.
-fn end(site: &mut Site, on: &[usize], how: RunOutcome) {
-    for at in on {
+fn end(site: &mut Site, workers: &[usize], how: RunOutcome) {
+    for at in workers {
         site.workers[*at].end(how, |_| true);
     }
 }
 
 #[test]
 fn a_gang_restarts_although_the_worker_that_broke_it_is_silent() {
-    let (mut site, on) = gang();
+    let (mut site, workers) = gang();
     // One worker is taken away; the others report that a member has ended.
-    let lost = site.workers.remove(on[2]);
-    end(&mut site, &on[..2], RunOutcome::Broken);
+    let lost = site.workers.remove(workers[2]);
+    end(&mut site, &workers[..2], RunOutcome::Broken);
     site.run_for(Duration::from_secs(4));
-    assert_eq!(site.running("gang"), 3, "restarted within 4 s");
+    assert_eq!(site.running("gang"), 3, "not restarted within 4 s");
     // If the lost worker returns, its report about that run no longer counts.
     let mut returned = lost;
     returned.end(RunOutcome::Done, |_| true);
@@ -61,9 +61,9 @@
 /// the gang waiting until the worker's leases had expired, 5.4 s later.
 #[test]
 fn a_gang_restarts_although_the_agent_of_the_silent_worker_still_reports() {
-    let (mut site, on) = gang();
-    site.workers[on[2]].unresponsive = true;
-    end(&mut site, &on[..2], RunOutcome::Broken);
+    let (mut site, workers) = gang();
+    site.workers[workers[2]].unresponsive = true;
+    end(&mut site, &workers[..2], RunOutcome::Broken);
     site.run_for(Duration::from_secs(1));
     assert_eq!(site.running("gang"), 4, "three restarted, one still listed");
 }
@@ -71,7 +71,7 @@
 #[test]
 fn a_last_attempt_waits_for_the_outcome_of_the_silent_member() {
     let (mut site, _) = gang();
-    let on_workers = |site: &Site| -> Vec<usize> {
+    let busy_workers = |site: &Site| -> Vec<usize> {
         let workers = site.workers.iter().enumerate();
         let busy = workers.filter(|(_, w)| !w.running.is_empty());
         busy.map(|(at, _)| at).collect()
@@ -79,28 +79,28 @@
     // Two of three attempts have failed. If the silent member has failed as
     // well, the job has failed.
     for _ in 0..2 {
-        let on = on_workers(&site);
-        end(&mut site, &on[..1], RunOutcome::Failed);
-        end(&mut site, &on[1..], RunOutcome::Broken);
+        let workers = busy_workers(&site);
+        end(&mut site, &workers[..1], RunOutcome::Failed);
+        end(&mut site, &workers[1..], RunOutcome::Broken);
         site.run_for(Duration::from_secs(6));
         assert_eq!(site.running("gang"), 3);
     }
-    let on = on_workers(&site);
-    site.workers[on[2]].unresponsive = true;
-    end(&mut site, &on[..2], RunOutcome::Broken);
+    let workers = busy_workers(&site);
+    site.workers[workers[2]].unresponsive = true;
+    end(&mut site, &workers[..2], RunOutcome::Broken);
     site.run_for(Duration::from_secs(4));
     assert_eq!(site.running("gang"), 1, "its leases have not expired");
 }
 
 #[test]
 fn a_gang_waits_for_a_silent_worker_if_another_member_has_failed() {
-    let (mut site, on) = gang();
-    site.workers.remove(on[2]);
-    // The first member's failure explains the broken one: the silent member
+    let (mut site, workers) = gang();
+    site.workers.remove(workers[2]);
+    // The first member's failure explains why the gang broke: the silent member
     // may still be running.
-    end(&mut site, &on[..1], RunOutcome::Failed);
+    end(&mut site, &workers[..1], RunOutcome::Failed);
     site.settle();
-    end(&mut site, &on[1..2], RunOutcome::Broken);
+    end(&mut site, &workers[1..2], RunOutcome::Broken);
     site.run_for(Duration::from_secs(8));
     assert_eq!(site.running("gang"), 0, "its leases have not expired");
     site.run_for(Duration::from_secs(7));
@@ -109,20 +109,20 @@
 
 #[test]
 fn a_gang_waits_for_two_silent_workers() {
-    let (mut site, on) = gang();
-    site.workers.remove(on[2]);
-    site.workers.remove(on[1]);
+    let (mut site, workers) = gang();
+    site.workers.remove(workers[2]);
+    site.workers.remove(workers[1]);
     // One of the two has ended; the other may still be running.
-    end(&mut site, &on[..1], RunOutcome::Broken);
+    end(&mut site, &workers[..1], RunOutcome::Broken);
     site.run_for(Duration::from_secs(8));
     assert_eq!(site.running("gang"), 0, "their leases have not expired");
 }
 
 #[test]
 fn a_gang_waits_for_a_worker_whose_report_is_late() {
-    let (mut site, on) = gang();
-    let late = site.workers.remove(on[2]);
-    end(&mut site, &on[..2], RunOutcome::Broken);
+    let (mut site, workers) = gang();
+    let late = site.workers.remove(workers[2]);
+    end(&mut site, &workers[..2], RunOutcome::Broken);
     site.run_for(Duration::from_secs(1));
     assert_eq!(site.running("gang"), 0, "its outcome may still be reported");
     let mut late = late;
@@ -148,10 +148,11 @@
     site.write_progress();
     // The worker with one member gets its order; the worker with two members
     // is silent for a long time.
-    let placed = site.scheduler.progress("gang").expect("it is placed");
-    let on: Vec<_> = placed.units.values().flat_map(|u| &u.on).collect();
-    let on = |agent: &str| on.iter().filter(|p| &*p.agent == agent).count();
-    let with_two = usize::from(on("w2") == 2);
+    let progress = site.scheduler.progress("gang").expect("it is placed");
+    let places: Vec<_> = progress.units.values().flat_map(|u| &u.on).collect();
+    let members =
+        |agent: &str| places.iter().filter(|p| &*p.agent == agent).count();
+    let with_two = usize::from(members("w2") == 2);
     let silent = site.workers.remove(with_two);
     for _ in 0..40 {
         site.advance(Duration::from_millis(500));
--- a/tests/it/cell.rs
+++ b/tests/it/cell.rs
@@ -996,7 +996,7 @@
     }
 }
 
-/// Returns the deadline of a call.
+/// Returns the deadline of a call, 2 s from now.
 pub fn deadline() -> Instant {
     Instant::now() + Duration::from_secs(2)
 }
--- a/tests/it/graph_faults.rs
+++ b/tests/it/graph_faults.rs
@@ -296,6 +296,7 @@
         self.faults && self.random.u32(..interval) == 0
     }
 
+    /// Submits a random job.
     fn submit(&mut self) {
         let id: Arc<str> = format!("job{}", self.jobs.len()).into();
         let steps = self.random.usize(1..=2);
@@ -325,6 +326,7 @@
         self.jobs.push(job);
     }
 
+    /// Returns a random step that depends on all `at` steps before it.
     fn step(&mut self, at: usize) -> Step {
         let gang = self.random.bool();
         Step {
@@ -340,6 +342,7 @@
         }
     }
 
+    /// Cancels a random job.
     fn cancel(&mut self) {
         let at = self.random.usize(..self.jobs.len());
         let id = self.jobs[at].id.clone();
@@ -786,9 +789,13 @@
             (false, _) if self.guarded => Some(Refusal::Room),
             _ => None,
         };
-        let most = worker.former_accelerators.iter().map(|(had, _)| *had);
-        let most = most.fold(worker.accelerators, i64::max);
-        assert!(why.is_some() || fits(most), "LIMIT: {} is full", start.task);
+        let former = worker.former_accelerators.iter().map(|(n, _)| *n);
+        let highest = former.fold(worker.accelerators, i64::max);
+        assert!(
+            why.is_some() || fits(highest),
+            "LIMIT: {} is full",
+            start.task
+        );
         if let Some(why) = why {
             // The agent ensures that a refused run never begins there.
             let barred = &mut self.workers[at].barred;
@@ -884,11 +891,14 @@
         };
         let failed = failed.map_or(0, others);
         assert!((failed as u32) < ATTEMPTS, "BUDGET: {task} has failed");
-        if let Some(most) = step.per_worker {
-            let here = self.workers[at].running.iter().filter(|r| {
+        if let Some(max) = step.per_worker {
+            let on_worker = self.workers[at].running.iter().filter(|r| {
                 r.task.job == task.job && r.task.step == task.step
             });
-            assert!(here.count() < most as usize, "ROUTE: {task} is too many");
+            assert!(
+                on_worker.count() < max as usize,
+                "ROUTE: {task} is too many"
+            );
         }
         if let Some(since) = self.cancelled.get(&task.job) {
             assert!(
