--- a/tests/it/guarantees.rs
+++ b/tests/it/guarantees.rs
@@ -70,7 +70,7 @@
         site.submit(job_of("other", "rest", priority, step, site));
         site.settle();
     }
-    // All runs are some seconds old, as on a busy site.
+    // All runs are 2 s old, as on a busy site.
     site.run_for(Duration::from_secs(2));
 }
 
@@ -192,8 +192,8 @@
 
 #[test]
 fn work_that_comes_within_its_guarantee_later_begins_in_time() {
-    // The account is over its guarantee until its first gang ends, and a
-    // borrower holds the worker that both need.
+    // The account's second job is beyond its guarantee until the first one
+    // ends, and a borrower uses the only other worker.
     let mut site = site(&TWO_RACKS[..2], 8);
     site.submit(job_of("sure", "first", 0, step(1, 8, false), &site));
     site.submit(job_of("other", "lent", 0, step(1, 8, false), &site));
--- a/tests/it/shrunk.rs
+++ b/tests/it/shrunk.rs
@@ -68,8 +68,8 @@
         apply_reports(&mut site);
         site.schedule();
         site.write_progress();
-        let orders = site.workers[at].agent.clone();
-        let orders = site.scheduler.orders(&orders);
+        let agent = site.workers[at].agent.clone();
+        let orders = site.scheduler.orders(&agent);
         assert!(orders.starts.is_empty(), "taken over: {taken_over}");
         assert_eq!(orders.stops.len(), 1, "taken over: {taken_over}");
     }
