--- a/crates/landingvalve-experiment/src/policy.rs
+++ b/crates/landingvalve-experiment/src/policy.rs
@@ -22,7 +22,7 @@
 ///
 /// ```
 /// let policy = landingvalve_experiment::policy::parse("spare=0,kept=0.5")?;
-/// assert_eq!((policy.spare, policy.kept), (0.0, 0.5));
+/// assert_eq!((policy.spare_share, policy.reserved_share), (0.0, 0.5));
 /// # Ok::<(), landingvalve_experiment::policy::Error>(())
 /// ```
 pub fn parse(text: &str) -> Result<Policy, Error> {
