--- a/src/cell/member/link.rs
+++ b/src/cell/member/link.rs
@@ -196,8 +196,9 @@
     }
 }
 
-/// Returns how long to wait before the next try after `turned_away` rejections
-/// in a row. The wait doubles each time, with jitter.
+/// Returns how long to wait before the next try after `rejections` in a row.
+/// The wait doubles each time, with jitter so that not all agents come back at
+/// once.
 fn back_off(rejections: u32) -> Duration {
     let Some(doublings) = rejections.checked_sub(1) else {
         return Duration::ZERO;
--- a/src/cell/relay/mod.rs
+++ b/src/cell/relay/mod.rs
@@ -114,7 +114,7 @@
 
     /// Returns whether a failed call may be made on another path. A write may
     /// be only if it certainly had no effect, and a call that the store's rate
-    /// limit refused may not be replaced by another.
+    /// limit refused only once the direct path counts as unusable.
     fn may_reroute(&self, call: &Call, error: &Error) -> bool {
         match error {
             Error::Forgotten(_) => false,
--- a/src/cell/relay/peers.rs
+++ b/src/cell/relay/peers.rs
@@ -44,8 +44,9 @@
 /// The longest time between two renewals of the registration. Each process
 /// makes two calls every 5 to 9 s, one of them at a tenth of the usual cost.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(9);
-/// The delay before the entries are read for the second time. All processes of
-/// a site may have started together, so the first read may miss some.
+/// The longest time from the first registration to the first read of the
+/// entries. All processes of a site may have started together, so an earlier
+/// read could miss some, and one after [`RENEWAL_INTERVAL`] would be late.
 const FIRST_READ_DELAY: Duration = Duration::from_millis(1500);
 /// The delay before a failed call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
--- a/src/graph/liveness.rs
+++ b/src/graph/liveness.rs
@@ -160,7 +160,7 @@
     /// A new planner sees only a small part of the site. Without this rule it
     /// spread gangs over the first racks that reported, which made them three
     /// times as slow, and stopped runs there although other workers would have
-    /// become free a moment later.
+    /// become free 0.2 s later.
     pub(super) fn awaits_reports(&self, now: Timestamp) -> bool {
         if !self.options.policy.await_reports
             || now.monotonic >= self.claimed_at + STARTUP_TIME
--- a/src/graph/reserve.rs
+++ b/src/graph/reserve.rs
@@ -4,9 +4,9 @@
 //! therefore reserves the workers that are expected to have room for it first,
 //! and nothing new is placed in the reserved resources until it has begun.
 //!
-//! A unit reserves nothing while it has time left. Gangs that could still have
-//! waited for long held reservations that stood empty while other units became
-//! late.
+//! A unit reserves nothing while it has time left. When gangs that had 17 s
+//! left reserved after 1.5 s, their reservations stood empty while other units
+//! became late.
 
 use std::time::Duration;
 use std::time::Instant;
--- a/src/graph/unconfirmed.rs
+++ b/src/graph/unconfirmed.rs
@@ -23,10 +23,10 @@
 use crate::graph::UnitKey;
 use crate::graph::WorkerReport;
 
-/// How long a worker must stay silent, after its tasks were ended, before its
-/// loss is confirmed without other evidence. Without this limit a task that
-/// takes down VMs along with their agents would be tried on one VM after the
-/// other.
+/// How long a worker must stay silent, after its runs were given up to begin
+/// elsewhere, before its loss is confirmed without other evidence. Without
+/// this limit a task that takes down VMs along with their agents would be
+/// tried on one VM after the other.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A loss of a worker that may still be there.
--- a/src/plan/home.rs
+++ b/src/plan/home.rs
@@ -6,10 +6,10 @@
 //! itself to show that all client accounts together can have their unused
 //! guaranteed shapes within the reclaim time.
 //!
-//! Moving an unused block costs nothing. A job that is charged to a block may
-//! run anywhere that the block can move to, and a job that cannot be stopped
-//! may borrow anywhere that all blocks in its way can move away from. A move
-//! that leaves any block without a place is not made.
+//! Moving a block costs nothing, because no job moves with it. A job that is
+//! charged to a block may run anywhere that the block can move to, and a job
+//! that cannot be stopped may borrow anywhere that all blocks in its way can
+//! move away from. A move that leaves any block without a place is not made.
 
 use crate::account;
 use crate::job;
