--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -44,7 +44,7 @@
 
 /// The body of a request that submits a job.
 #[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(rename = "Submit", deny_unknown_fields)]
 struct Submission {
     template: String,
     #[serde(default)]
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -37,7 +37,7 @@
 
 /// The body of an operator's request to edit an item.
 #[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(rename = "Asked", deny_unknown_fields)]
 struct EditRequest {
     value: Json,
     #[serde(default)]
--- a/src/plan/admit.rs
+++ b/src/plan/admit.rs
@@ -37,8 +37,7 @@
     if !spec.is_reclaimable() && !fits(&|w| state.nominal_unguaranteed[w]) {
         return Some(format!(
             "accelerators: {shape} may not repeat, is in no guaranteed \
-             shape of the account, and is too large for the accelerators \
-             that no guarantee needs"
+             shape of the account, and too large for unguaranteed room"
         ));
     }
     None
--- a/src/plan/intake.rs
+++ b/src/plan/intake.rs
@@ -105,7 +105,7 @@
         } => apply_not_started(state, &job, attempt, worker, now, commands),
         Event::StartUnknown { job, attempt } => {
             if is_current(state, &job, attempt) {
-                let reason = "whether the job ran cannot be determined";
+                let reason = "it cannot be known whether it ran";
                 finish(state, &job, Outcome::Unknown, reason, now, commands);
             }
         }
@@ -382,7 +382,7 @@
     }
     if failed_workers >= health::MAX_FAILED_WORKERS {
         let reason = format!(
-            "the job failed on {failed_workers} workers that run others well"
+            "it failed on {failed_workers} workers that others run well on"
         );
         return finish(state, id, Outcome::Failed, &reason, now, commands);
     }
@@ -441,11 +441,11 @@
             finish(state, id, Outcome::Cancelled, reason, now, commands);
         }
         Reason::Broken if !repeatable && proven => {
-            let reason = "the job lost a worker and may not repeat";
+            let reason = "it lost a worker, and may not run again";
             finish(state, id, Outcome::Failed, reason, now, commands);
         }
         _ if !repeatable => {
-            let reason = "a worker of the job cannot report how it ended";
+            let reason = "a worker it ran on cannot be asked how it ended";
             finish(state, id, Outcome::Unknown, reason, now, commands);
         }
         _ => release(state, id, now),
--- a/src/planner/actor/adoption.rs
+++ b/src/planner/actor/adoption.rs
@@ -183,7 +183,7 @@
         let id = record.spec.id.clone();
         self.jobs.insert(Entry::new(record, true, None));
         let outcome = job::Outcome::Unknown;
-        let reason = "whether the job ran cannot be determined";
+        let reason = "it cannot be known whether it ran";
         self.finish(myself, &id, outcome, reason.to_owned());
     }
 }
--- a/src/replay/baseline.rs
+++ b/src/replay/baseline.rs
@@ -135,7 +135,7 @@
             },
         );
         if !possible {
-            let reason = "the shape fits on no part of the site";
+            let reason = "no part of the site holds it";
             self.finish(&id, Outcome::NotRun, reason, out);
         }
     }
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -22,26 +22,23 @@
 
 /// The descriptions of all metrics.
 pub const ALL: &[Description] = &[
-    describe("landingvalve_jobs_admitted", "Jobs admitted, by account."),
+    describe("landingvalve_jobs_admitted", "Jobs taken in, by account."),
     describe("landingvalve_jobs_ended", "Jobs that ended, by outcome."),
     describe("landingvalve_starts", "Gangs that were started."),
-    describe("landingvalve_stops", "Stops ordered for gangs, by reason."),
+    describe("landingvalve_stops", "Gangs told to stop, by reason."),
     describe("landingvalve_refused", "Requests refused, by status."),
     describe("landingvalve_store_calls", "Calls of the store, by path."),
     describe(
         "landingvalve_start_seconds",
-        "Time from submission to the start of all tasks.",
+        "Submission to all tasks begun.",
     ),
     describe("landingvalve_step_seconds", "Wall time of one decision."),
-    describe(
-        "landingvalve_takeover_seconds",
-        "Time from claim to first decision.",
-    ),
-    describe("landingvalve_jobs_waiting", "Jobs waiting."),
-    describe("landingvalve_jobs_running", "Jobs holding accelerators."),
+    describe("landingvalve_takeover_seconds", "Claim to first decision."),
+    describe("landingvalve_jobs_waiting", "Jobs that wait."),
+    describe("landingvalve_jobs_running", "Jobs that have accelerators."),
     describe(
         "landingvalve_fragmentation",
-        "Share of free accelerators on partly used workers, 0 to 1.",
+        "Share of free accelerators in no free whole worker, 0 to 1.",
     ),
     describe(
         "landingvalve_guarantee_missing",
@@ -57,7 +54,7 @@
     ),
     describe(
         "landingvalve_request_seconds",
-        "Time to answer a request of a caller, by method and status.",
+        "Time of an answer to a caller, by method and status.",
     ),
     describe("landingvalve_submissions", "Submissions, by outcome."),
     describe(
@@ -67,55 +64,49 @@
     describe("landingvalve_decisions", "Decisions of a planner, by kind."),
     describe(
         "landingvalve_wait_seconds",
-        "Time that a unit waited until it was placed.",
+        "Waiting of a unit until it was placed.",
     ),
     describe(
         "landingvalve_owed_seconds",
-        "Time that a first run within a guarantee waited, by lateness.",
+        "The same of first runs within a guarantee, by whether it was late.",
     ),
     describe(
         "landingvalve_run_seconds",
-        "Length of ended runs, by how they ended.",
+        "Length of runs that ended, by how.",
     ),
     describe(
         "landingvalve_job_seconds",
-        "Time from acceptance to end of a job, by outcome and lateness.",
+        "Acceptance to end of a job, by outcome and whether it was late.",
     ),
     describe(
         "landingvalve_order_seconds",
         "Time of an order to a worker, by kind and outcome.",
     ),
-    describe(
-        "landingvalve_looks",
-        "Queries of the worker's state, by outcome.",
-    ),
+    describe("landingvalve_looks", "Looks at the worker, by outcome."),
     describe(
         "landingvalve_starts_waiting",
-        "Starts delayed by an agent, by reason.",
+        "Starts that an agent has kept waiting, by reason.",
     ),
     describe(
         "landingvalve_limited",
-        "Connections and requests rejected at a limit, by limit.",
+        "What was turned away at a limit of this process, by limit.",
     ),
     describe(
         "landingvalve_relayed",
-        "Calls of the store relayed by another entry, by outcome.",
+        "Calls of the store by way of another entry, by outcome.",
     ),
     describe(
         "landingvalve_strange",
-        "Unusable input from outside, by kind.",
-    ),
-    describe(
-        "landingvalve_claims",
-        "Claims of the planner role, by outcome.",
+        "What came from outside and could not be used, by kind.",
     ),
+    describe("landingvalve_claims", "Claims, by what became of them."),
     describe(
         "landingvalve_ready",
-        "Whether new callers are accepted, 0 or 1.",
+        "Whether new callers are taken, 0 or 1.",
     ),
     describe(
         "landingvalve_configuration_age_seconds",
-        "Age of the configuration used to answer a request.",
+        "Age of the configuration that a request was answered by.",
     ),
     describe(
         "landingvalve_configuration_bytes",
