--- a/src/agent/lead.rs
+++ b/src/agent/lead.rs
@@ -118,8 +118,8 @@
     pub fn overdue_member(&self, now: Instant) -> Option<usize> {
         self.decision?;
         let lease = gang_lease(self.members.len());
-        (1..self.members.len()).find(|&at| {
-            let member = &self.members[at];
+        (1..self.members.len()).find(|&position| {
+            let member = &self.members[position];
             let silent = now.saturating_duration_since(member.last_contact);
             member.end.is_none() && silent >= lease
         })
--- a/src/agent/ledger.rs
+++ b/src/agent/ledger.rs
@@ -4,7 +4,7 @@
 //! ledger returns [`Effect`]s to execute. Its rules keep a gang from running
 //! with only some of its members:
 //!
-//! * A member that holds does not release its accelerators by itself. When
+//! * A member that holds does not release its accelerators on its own. When
 //!   its deadline has passed, the member asks the lead, which decides once.
 //!   Only if the lead cannot be reached for a further [`gang_lease`] does the
 //!   member release: by then a lead that had decided to run has halted the
--- a/src/cell/admission.rs
+++ b/src/cell/admission.rs
@@ -27,7 +27,7 @@
 use crate::telemetry::metrics::label;
 
 /// How long a submission retries a store that rejects calls before the job is
-/// refused. The caller is then told when to come back.
+/// refused and its caller asked to retry later.
 const DEFAULT_PATIENCE: Duration = Duration::from_millis(600);
 /// The delay before a failed call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
--- a/src/cell/configuration.rs
+++ b/src/cell/configuration.rs
@@ -49,16 +49,15 @@
     pub priority: u32,
     /// The number of a unit's runs that may fail.
     pub max_attempts: u32,
-    /// The factor applied to a job's longest chain of work in its time
-    /// objective.
+    /// The factor on a job's critical path in its time objective.
     pub stretch: f64,
-    /// The time allowed beyond the stretched chain of work.
+    /// The fixed part of a job's time objective.
     pub target: Duration,
     /// The longest that a call may take.
     pub timeout: Duration,
     /// Whether callers need no key.
     pub anonymous: bool,
-    /// The approval that starts need from the advice service, if any.
+    /// The advice that starts need, if the queue requires advice.
     pub advice: Option<Advice>,
 }
 
@@ -177,7 +176,7 @@
         let state = self.lock();
         let in_contact = state
             .last_answer
-            .is_some_and(|at| at.elapsed() <= CONTACT_TIMEOUT);
+            .is_some_and(|answered| answered.elapsed() <= CONTACT_TIMEOUT);
         in_contact && state.confirmed.is_some() && state.current.is_some()
     }
 
--- a/src/cell/decision_log.rs
+++ b/src/cell/decision_log.rs
@@ -62,8 +62,8 @@
             | Decision::Paced { .. } => &mut self.workers,
             _ => &mut self.units,
         };
-        let over = matches!(decision, Decision::JobEnded { .. });
-        if budget.lines >= MAX_LINES_PER_WINDOW && !over {
+        let is_job_end = matches!(decision, Decision::JobEnded { .. });
+        if budget.lines >= MAX_LINES_PER_WINDOW && !is_job_end {
             budget.left_out += 1;
             return;
         }
@@ -98,7 +98,7 @@
         Decision::Resized { .. } => "worker resized",
         Decision::WorkerQuarantined { .. } => "worker kept apart",
         Decision::Paced { .. } => "paced",
-        Decision::Waiting { reason: what, .. } => match what {
+        Decision::Waiting { reason, .. } => match reason {
             WaitReason::Worker => "waits for a worker",
             WaitReason::Room => "waits for room",
             WaitReason::Rack => "waits for a rack",
@@ -107,13 +107,13 @@
         Decision::Placed {
             waited,
             run,
-            guarantee: standing,
+            guarantee,
             ..
         } => {
             metrics.wait_seconds.record(waited.as_secs_f64(), &[]);
-            match standing {
-                Some(standing) if standing.within && *run == 1 => {
-                    let late = if standing.left_ms < 0 { "yes" } else { "no" };
+            match guarantee {
+                Some(status) if status.within && *run == 1 => {
+                    let late = if status.left_ms < 0 { "yes" } else { "no" };
                     let labels = [label("late", late)];
                     metrics.owed_seconds.record(waited.as_secs_f64(), &labels);
                 }
@@ -122,10 +122,10 @@
             "placed"
         }
         Decision::Stopped { .. } => "stopped",
-        Decision::Ended { end: how, ran, .. } => {
+        Decision::Ended { end, ran, .. } => {
             metrics
                 .run_seconds
-                .record(ran.as_secs_f64(), &[label("how", how)]);
+                .record(ran.as_secs_f64(), &[label("how", end)]);
             "run ended"
         }
         Decision::LossCounted { .. } => "worker lost under a task",
@@ -170,11 +170,12 @@
             "accelerators_used" => used.accelerators, "token" => token),
         Decision::WorkerQuarantined {
             life,
-            duration: time,
+            duration,
             failed,
         } => slog::warn!(log,
             "planner: a worker is quarantined"; "worker" => &**life,
-            "for_ms" => millis(time), "failed" => failed, "token" => token),
+            "for_ms" => millis(duration), "failed" => failed,
+            "token" => token),
         Decision::Paced {
             agent,
             from,
@@ -184,15 +185,15 @@
             "planner: filler runs on a worker are paced"; "agent" => &**agent,
             "from" => from, "to" => to, "worst" => worst, "token" => token),
         Decision::Waiting {
-            subject: of,
-            reason: what,
-            slack_ms: slack,
+            subject,
+            reason,
+            slack_ms,
             workers,
-            guarantee: standing,
+            guarantee,
             shortage,
         } => slog::info!(log,
-            "planner: a unit waits"; of, "on" => waits_on(*what),
-            "slack_ms" => slack, "of_workers" => workers,
+            "planner: a unit waits"; subject, "on" => waits_on(*reason),
+            "slack_ms" => slack_ms, "of_workers" => workers,
             "lacks" => shortage.map(|s| s.kind.word()),
             "accelerators" => shortage.map(|s| s.needed),
             "free" => shortage.map(|s| s.free),
@@ -201,57 +202,57 @@
             "held_within" => shortage.map(|s| s.usage.within),
             "held_lent" => shortage.map(|s| s.usage.borrowed),
             "held_lower" => shortage.map(|s| s.usage.lower),
-            Guarantee(*standing),
+            Guarantee(*guarantee),
             "token" => token),
         Decision::Reserved {
-            subject: of,
-            lives: on,
+            subject,
+            lives,
             stopped,
             cost,
         } => slog::info!(log,
-            "planner: room is kept"; of, "workers" => names(on),
+            "planner: room is kept"; subject, "workers" => names(lives),
             "stopped" => stopped, "cost_core_s" => cost.round(),
             "token" => token),
         Decision::Placed {
-            subject: of,
+            subject,
             run,
-            lives: on,
+            lives,
             waited,
-            slack_ms: slack,
+            slack_ms,
             expected,
-            guarantee: standing,
+            guarantee,
         } => slog::info!(log,
-            "planner: a unit is placed"; of, "run" => run,
-            "workers" => names(on), "waited_ms" => millis(waited),
-            "slack_ms" => slack, "expected_ms" => millis(expected),
-            Guarantee(*standing), "token" => token),
+            "planner: a unit is placed"; subject, "run" => run,
+            "workers" => names(lives), "waited_ms" => millis(waited),
+            "slack_ms" => slack_ms, "expected_ms" => millis(expected),
+            Guarantee(*guarantee), "token" => token),
         Decision::Stopped {
-            subject: of,
+            subject,
             run,
-            reason: why,
+            reason,
         } => slog::info!(log,
-            "planner: a run is stopped"; of, "run" => run, "why" => why,
-            "token" => token),
+            "planner: a run is stopped"; subject, "run" => run,
+            "why" => reason, "token" => token),
         Decision::Ended {
-            subject: of,
+            subject,
             run,
             member,
             life,
-            end: how,
+            end,
             ran,
         } => slog::info!(log,
-            "planner: a run has ended"; of, "run" => run, "member" => member,
-            "worker" => &**life, "how" => how, "ran_ms" => millis(ran),
-            "token" => token),
+            "planner: a run has ended"; subject, "run" => run,
+            "member" => member, "worker" => &**life, "how" => end,
+            "ran_ms" => millis(ran), "token" => token),
         Decision::LossCounted {
-            subject: of,
+            subject,
             run,
             task,
             life,
             ran,
             loss,
         } => slog::warn!(log,
-            "planner: a worker was lost under a task"; of, "run" => run,
+            "planner: a worker was lost under a task"; subject, "run" => run,
             "task" => task, "worker" => &**life, "ran_ms" => millis(ran),
             "lost" => loss.lost, "sudden" => loss.sudden,
             "silent" => loss.silent.len(), "token" => token),
@@ -280,13 +281,13 @@
         _record: &slog::Record<'_>,
         to: &mut dyn slog::Serializer,
     ) -> slog::Result {
-        let Guarantee(Some(standing)) = self else {
+        let Guarantee(Some(status)) = self else {
             return Ok(());
         };
-        to.emit_i64("guaranteed", standing.guaranteed)?;
-        to.emit_i64("account_needs", standing.needed)?;
-        to.emit_bool("within_guarantee", standing.within)?;
-        to.emit_i64("owed_in_ms", standing.left_ms)
+        to.emit_i64("guaranteed", status.guaranteed)?;
+        to.emit_i64("account_needs", status.needed)?;
+        to.emit_bool("within_guarantee", status.within)?;
+        to.emit_i64("owed_in_ms", status.left_ms)
     }
 }
 
@@ -312,8 +313,8 @@
     names.join(",")
 }
 
-fn waits_on(what: WaitReason) -> &'static str {
-    match what {
+fn waits_on(reason: WaitReason) -> &'static str {
+    match reason {
         WaitReason::Worker => "a worker",
         WaitReason::Room => "room",
         WaitReason::Rack => "a rack",
--- a/src/cell/keys.rs
+++ b/src/cell/keys.rs
@@ -74,8 +74,8 @@
 
 /// Parses a key below [`INTAKE`].
 pub fn intake(key: &str) -> Option<Intake<'_>> {
-    let (id, what) = key.strip_prefix(INTAKE)?.split_once('/')?;
-    match what {
+    let (id, kind) = key.strip_prefix(INTAKE)?.split_once('/')?;
+    match kind {
         "job" => Some(Intake::Job(id)),
         "cancel" => Some(Intake::Cancel(id)),
         _ => None,
--- a/src/cell/member/act.rs
+++ b/src/cell/member/act.rs
@@ -103,8 +103,8 @@
                     self.start(&call, &start, expires, key).await
                 }
                 Action::Stop(call) => self.stop(&call, key).await,
-                Action::Wait(why) => {
-                    self.log_wait(key, why, &mut waited);
+                Action::Wait(reason) => {
+                    self.log_wait(key, reason, &mut waited);
                     false
                 }
                 Action::Done => return,
@@ -163,8 +163,8 @@
     }
 
     /// Logs that a start waits, once for each change of the reason.
-    fn log_wait(&self, key: &Key, why: Wait, waited: &mut Option<Wait>) {
-        if waited.replace(why) == Some(why) {
+    fn log_wait(&self, key: &Key, reason: Wait, waited: &mut Option<Wait>) {
+        if waited.replace(reason) == Some(reason) {
             return;
         }
         let state = self.lock();
@@ -173,9 +173,9 @@
         drop(state);
         metrics::get()
             .starts_waiting
-            .add(1, &[label("why", why.word())]);
+            .add(1, &[label("why", reason.word())]);
         slog::info!(self.0.config.log, "agent: a start waits";
-            "task" => %key.0, "run" => key.1, "why" => why.word(),
+            "task" => %key.0, "run" => key.1, "why" => reason.word(),
             "tried" => tried);
     }
 
@@ -212,8 +212,8 @@
                 }
                 true
             }
-            Ok(Err(Error::Refused(why))) => {
-                self.bar_and_refuse(call, key, why).await
+            Ok(Err(Error::Refused(reason))) => {
+                self.bar_and_refuse(call, key, reason).await
             }
             Ok(Err(Error::Late(time))) => {
                 let mut state = self.lock();
@@ -253,9 +253,9 @@
         &self,
         call: &Call,
         key: &Key,
-        why: Refusal,
+        reason: Refusal,
     ) -> bool {
-        self.bar(call, key).await && self.mark_refused(call, key, why)
+        self.bar(call, key).await && self.mark_refused(call, key, reason)
     }
 
     /// Stops a run, or bars it from starting. Returns whether the worker has
@@ -325,20 +325,20 @@
 
     /// Records a refusal, which is reported once a later poll does not list
     /// the run.
-    fn mark_refused(&self, call: &Call, key: &Key, why: Refusal) -> bool {
+    fn mark_refused(&self, call: &Call, key: &Key, reason: Refusal) -> bool {
         let mut state = self.lock();
         let view = state.worker.as_mut();
         let view = view.filter(|view| view.heartbeat.life == call.life);
         let Some(view) = view else {
             return true;
         };
-        if why != Refusal::Barred && view.stops.contains(key) {
+        if reason != Refusal::Barred && view.stops.contains(key) {
             // A stop that was ordered meanwhile will bar the run.
             return true;
         }
         let poll = view.polls + 1;
         let refused = Phase::Refused {
-            why,
+            reason,
             poll,
             confirmed: false,
         };
--- a/src/cell/member/link.rs
+++ b/src/cell/member/link.rs
@@ -121,7 +121,7 @@
     }
 
     /// Records a claim's fencing token. An agent that has just started knows
-    /// none, and a worker that has seen a token shows nothing without one.
+    /// none, and a worker that has seen a token lists nothing without one.
     fn learn_token(&self, token: Revision) {
         let mut state = self.lock();
         if token > state.token {
@@ -196,8 +196,8 @@
     }
 }
 
-/// Returns how long to wait before the next try after `turned_away` rejections
-/// in a row. The wait doubles each time, with jitter.
+/// Returns how long to wait before the next try after this many rejections in
+/// a row. The wait doubles each time, with jitter.
 fn back_off(rejections: u32) -> Duration {
     let Some(doublings) = rejections.checked_sub(1) else {
         return Duration::ZERO;
--- a/src/cell/member/save.rs
+++ b/src/cell/member/save.rs
@@ -1,8 +1,8 @@
 //! Saves the listed ends in the store while no planner is reached.
 //!
-//! A planner that has not heard from an agent for long starts the agent's runs
-//! elsewhere. Runs that ended here meanwhile must not be repeated, so their
-//! ends are saved in the store, which the planner reads first.
+//! A planner that receives no reports of an agent for a long time starts the
+//! agent's runs elsewhere. Runs that ended here meanwhile must not be repeated,
+//! so their ends are saved in the store, which the planner reads first.
 
 use std::time::Duration;
 
--- a/src/cell/member/state.rs
+++ b/src/cell/member/state.rs
@@ -27,7 +27,7 @@
 use crate::store::Revision;
 
 /// How much longer than its lease a run may last: the worker's clock may be 2%
-/// slow over 6 s, and ending the run takes a moment.
+/// slow over 6 s, and ending the run takes some time.
 const LEASE_SLACK: Duration = Duration::from_millis(400);
 /// How long after a poll's answer an acknowledgement may be sent: less than a
 /// process takes to crash and restart under the same name.
@@ -145,7 +145,7 @@
         let same = view.heartbeat.leaving == heartbeat.leaving
             && view.heartbeat.capacity == heartbeat.capacity;
         view.shrunk |= !heartbeat.capacity.holds(&view.heartbeat.capacity);
-        // A worker that announced its end does not return from that. An end
+        // A worker that announced its end does not revoke that. An end
         // that was only reported under the worker's name may have been meant
         // for another life.
         if view.reported_left && view.is_responding(now) && !heartbeat.leaving
@@ -292,7 +292,7 @@
         let is_recent = view
             .last_poll_answer
             .take()
-            .is_some_and(|at| now < at + ACKNOWLEDGE_WITHIN);
+            .is_some_and(|answered| now < answered + ACKNOWLEDGE_WITHIN);
         let acknowledged = match has_acknowledgeable && is_recent {
             true => view.acknowledged,
             false => 0,
--- a/src/cell/member/view.rs
+++ b/src/cell/member/view.rs
@@ -46,7 +46,7 @@
     /// once a poll that began later does not list the run.
     Refused {
         /// The reason of the refusal.
-        why: Refusal,
+        reason: Refusal,
         /// The number of the first poll that can confirm the refusal.
         poll: u64,
         /// Whether such a poll has confirmed the refusal.
@@ -233,9 +233,9 @@
 
     /// Returns whether the last poll was answered, and recently.
     pub(super) fn is_responding(&self, now: Instant) -> bool {
-        let recent = self
-            .clock
-            .is_some_and(|(_, at)| now < at + CONFIRMATION_LIFETIME);
+        let recent = self.clock.is_some_and(|(_, received)| {
+            now < received + CONFIRMATION_LIFETIME
+        });
         recent && self.is_current()
     }
 
@@ -250,8 +250,8 @@
 
     /// Returns the worker's time at an instant, or a little before it.
     pub fn worker_time_at(&self, instant: Instant) -> Option<WorkerTime> {
-        let (time, at) = self.clock?;
-        let ahead = instant.saturating_duration_since(at);
+        let (time, received) = self.clock?;
+        let ahead = instant.saturating_duration_since(received);
         Some(time + ahead.as_millis() as u64)
     }
 
@@ -309,7 +309,9 @@
                 Some(Phase::Stopping) => false,
                 // A refused start may still arrive late, unless the run is
                 // barred.
-                Some(Phase::Refused { why, .. }) => *why != Refusal::Barred,
+                Some(Phase::Refused { reason, .. }) => {
+                    *reason != Refusal::Barred
+                }
             };
             if idle {
                 due.push(key.clone());
@@ -330,13 +332,13 @@
         let refused =
             self.phases.iter().filter_map(|(key, phase)| match phase {
                 Phase::Refused {
-                    why,
+                    reason,
                     confirmed: true,
                     ..
                 } => Some(Refused {
                     task: key.0.clone(),
                     run: key.1,
-                    why: *why,
+                    why: *reason,
                 }),
                 _ => None,
             });
--- a/src/cell/planner/mod.rs
+++ b/src/cell/planner/mod.rs
@@ -97,7 +97,7 @@
     pub source: Source,
     /// The channel for questions to the advice service, if there is one.
     pub advice: Option<advice::Sender>,
-    /// The times and the policy that decisions rest on.
+    /// The timing bounds and the policy of the scheduler.
     pub options: Options,
     /// The jobs and cancellations that entries have written so far.
     pub intake: Listing,
--- a/src/cell/reachability.rs
+++ b/src/cell/reachability.rs
@@ -19,9 +19,10 @@
 
 /// Tracks whether the store is reachable, shared by all writers of a process.
 ///
-/// A write that is sent during an outage may have taken effect, and its caller
-/// can then no longer be told that it had none. Writers therefore wait for a
-/// successful read first, and one probe serves all that wait.
+/// A write that is sent during an outage may have taken effect, and the process
+/// can then no longer answer its caller that there was no effect. Writers
+/// therefore wait for a successful read first, and one probe serves all that
+/// wait.
 #[derive(Clone, Debug)]
 pub struct Reachability {
     reached: watch::Sender<bool>,
--- a/src/cell/server.rs
+++ b/src/cell/server.rs
@@ -145,7 +145,10 @@
             .unwrap_or_else(PoisonError::into_inner);
         unreported.1 += 1;
         let now = Instant::now();
-        if unreported.0.is_some_and(|at| now < at + WARNING_INTERVAL) {
+        if unreported
+            .0
+            .is_some_and(|warned| now < warned + WARNING_INTERVAL)
+        {
             return;
         }
         slog::warn!(self.log, "planner: connections of agents are rejected";
--- a/src/cell/session.rs
+++ b/src/cell/session.rs
@@ -137,7 +137,7 @@
     pub source: Source,
     /// The channel for questions to the advice service, if there is one.
     pub advice: Option<advice::Sender>,
-    /// The times and the policy that decisions rest on.
+    /// The timing bounds and the policy of the scheduler.
     pub options: Options,
     /// The log.
     pub log: slog::Logger,
@@ -332,6 +332,6 @@
     }
 }
 
-fn count_claim(what: &'static str) {
-    metrics::get().claims.add(1, &[label("what", what)]);
+fn count_claim(event: &'static str) {
+    metrics::get().claims.add(1, &[label("what", event)]);
 }
--- a/src/explain/history.rs
+++ b/src/explain/history.rs
@@ -193,9 +193,9 @@
     }
 
     /// Adds the time since the start of the present wait to its cause.
-    fn end_wait(&mut self, at: SystemTime) {
+    fn end_wait(&mut self, time: SystemTime) {
         if let Some((cause, since)) = self.wait {
-            self.add(cause, at.duration_since(since).unwrap_or_default());
+            self.add(cause, time.duration_since(since).unwrap_or_default());
         }
     }
 
--- a/src/graph/crash.rs
+++ b/src/graph/crash.rs
@@ -3,9 +3,9 @@
 //! No report says whether a worker was lost because of a task that it ran. The
 //! scheduler only knows under which tasks workers were lost, and for how long
 //! each had run. A task that takes down every worker soon after its start is
-//! told apart from one that was there by chance by trying it again: first on
-//! another worker, then on a worker of its own, one such task of a job at a
-//! time.
+//! distinguished from one that was there by chance by further runs: first on
+//! another worker, then on a worker that runs nothing else, one such task of a
+//! job at a time.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
 const SUSPECT_LOSSES: u32 = 2;
 /// The number of sudden losses in a row after which a task is given up. The
 /// callers' rules allow two. The third, on a worker that ran nothing else,
-/// tells a bad task from one that met two bad workers.
+/// distinguishes a bad task from one that met two bad workers.
 const MAX_SUDDEN_LOSSES: u32 = 3;
 /// The number of lost workers from which the further runs of a task are
 /// limited to [`EXTRA_RUNS`].
--- a/src/graph/decision.rs
+++ b/src/graph/decision.rs
@@ -75,8 +75,8 @@
         /// The number of units that failed there in a row.
         failed: usize,
     },
-    /// A unit finds no place. Reported once, and again when the reason
-    /// changes.
+    /// A unit finds no place. Reported once, and again when the reason changes
+    /// or the unit comes within or beyond its account's guarantee.
     Waiting {
         /// The waiting unit.
         subject: Subject,
--- a/src/graph/inquiry.rs
+++ b/src/graph/inquiry.rs
@@ -2,8 +2,8 @@
 //!
 //! An agent that cannot reach the planner writes the ends that its worker
 //! lists to the store. The planner reads them before it considers the worker
-//! lost, because a task that is done must not begin again, whatever kept its
-//! agent from reporting.
+//! lost: a task that is done must not begin again, even if its agent could not
+//! report the end.
 
 use std::time::Instant;
 
--- a/src/graph/job.rs
+++ b/src/graph/job.rs
@@ -286,7 +286,8 @@
     ) -> Duration {
         let mut ends: Vec<Duration> = Vec::new();
         for (number, step) in self.steps.iter().enumerate() {
-            let before = step.after.iter().filter_map(|on| ends.get(*on));
+            let before =
+                step.after.iter().filter_map(|index| ends.get(*index));
             let before = before.max().copied().unwrap_or_default();
             ends.push(before + expected(number));
         }
--- a/src/graph/policy.rs
+++ b/src/graph/policy.rs
@@ -63,8 +63,8 @@
     /// failures.
     pub probation: bool,
     /// Whether a new planner preempts nothing, and does not spread gangs over
-    /// racks, until it has heard of all workers that are known to run
-    /// something.
+    /// racks, until all workers that are known to run something have
+    /// reported, or a short time has passed.
     pub await_reports: bool,
     /// Whether a gang's run ends on its only silent worker once all other
     /// members report that another one has ended.
--- a/src/graph/preempt.rs
+++ b/src/graph/preempt.rs
@@ -54,8 +54,8 @@
 
 impl Victim {
     /// Returns the resources that a stop frees on a worker.
-    fn frees(&self, on: &Place) -> Resources {
-        let here = self.places.iter().filter(|p| p.agent == on.agent);
+    fn frees(&self, place: &Place) -> Resources {
+        let here = self.places.iter().filter(|p| p.agent == place.agent);
         here.fold(Resources::default(), |room, _| room.plus(&self.charge))
     }
 
--- a/src/graph/progress.rs
+++ b/src/graph/progress.rs
@@ -102,7 +102,7 @@
     /// another planner.
     pub run: Run,
     /// Further workers that were lost after they had announced that they leave
-    /// and after the task had run for long. They may have left by themselves.
+    /// and after the task had run for long. The task need not be the cause.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub excused: u32,
     /// Workers that are silent and may or may not be lost.
--- a/src/graph/report.rs
+++ b/src/graph/report.rs
@@ -67,8 +67,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// The run or a later one was stopped or has ended there, or never will
-    /// start there.
+    /// The run or a later one was stopped or has ended on the worker, or is
+    /// barred from starting there.
     Barred,
     /// The worker lacks the resources.
     Room,
--- a/src/graph/schedule.rs
+++ b/src/graph/schedule.rs
@@ -520,7 +520,7 @@
         if !definition
             .after
             .iter()
-            .all(|on| record.is_step_done(time, *on))
+            .all(|index| record.is_step_done(time, *index))
         {
             continue;
         }
--- a/src/graph/scheduler.rs
+++ b/src/graph/scheduler.rs
@@ -145,7 +145,7 @@
 pub struct Scheduler {
     pub(super) options: Options,
     /// When this planner claimed the cell. No earlier planner has granted
-    /// anything after it.
+    /// anything after that time.
     pub(super) claimed_at: Instant,
     pub(super) workers: BTreeMap<AgentId, Worker>,
     /// What agents report of the lives before those in `workers`.
--- a/src/graph/settle.rs
+++ b/src/graph/settle.rs
@@ -151,8 +151,8 @@
         }
         let progress = record.progress.units.entry(*key).or_default();
         let run = progress.run;
-        // Counted at once, whatever happens to the other members: the end may
-        // be acknowledged before theirs are known.
+        // The failure is counted before the ends of the other members are
+        // known, because this end may be acknowledged earlier than theirs.
         if failed && progress.counted < run {
             progress.counted = run;
             progress.failed += 1;
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -61,7 +61,9 @@
         };
         metrics::get().limited.add(1, &[label("limit", limit)]);
         let now = Instant::now();
-        if last_logged.is_some_and(|at| now < at + REJECTION_LOG_INTERVAL) {
+        if last_logged
+            .is_some_and(|logged| now < logged + REJECTION_LOG_INTERVAL)
+        {
             return;
         }
         *last_logged = Some(now);
--- a/src/plan/command.rs
+++ b/src/plan/command.rs
@@ -33,7 +33,7 @@
         job: job::Id,
         /// How the job ended.
         outcome: Outcome,
-        /// Why the job ended so, in words for its caller.
+        /// The reason for the outcome, in words for the job's caller.
         reason: String,
     },
     /// A worker gets no work until a probe has run well on it.
--- a/src/plan/health.rs
+++ b/src/plan/health.rs
@@ -10,7 +10,8 @@
 
 use crate::job;
 
-/// The length of the first quarantine; each directly after doubles it.
+/// The length of the first quarantine; each one that directly follows is twice
+/// as long.
 const FIRST_QUARANTINE: Duration = Duration::from_secs(20);
 /// The longest quarantine.
 const MAX_QUARANTINE: Duration = Duration::from_secs(15 * 60);
--- a/src/planner/actor.rs
+++ b/src/planner/actor.rs
@@ -269,7 +269,7 @@
     fn dispatch(&mut self, myself: &ActorRef<Message>, message: Message) {
         match message {
             Message::Admit(admit, reply) => self.admit(myself, *admit, reply),
-            Message::Status(wait, reply) => self.status(wait, reply),
+            Message::Status(query, reply) => self.status(query, reply),
             Message::Cancel(job, reply) => self.cancel(myself, job, reply),
             Message::List(account, reply) => {
                 let _ = reply.send(self.list(account.as_ref()));
--- a/src/planner/actor/admission.rs
+++ b/src/planner/actor/admission.rs
@@ -161,16 +161,16 @@
         let _ = reply.send(status.ok_or(Refusal::UnknownJob));
     }
 
-    pub(super) fn status(&mut self, wait: Query, reply: Reply) {
+    pub(super) fn status(&mut self, query: Query, reply: Reply) {
         let end_visible =
-            self.jobs.get(&wait.job).map(|entry| entry.end_visible);
+            self.jobs.get(&query.job).map(|entry| entry.end_visible);
         match end_visible {
-            Some(false) if wait.timeout_ms > 0 => {
-                let within = Duration::from_millis(wait.timeout_ms);
-                let deadline = Instant::now() + within;
-                self.jobs.wait(&wait.job, reply, deadline);
+            Some(false) if query.timeout_ms > 0 => {
+                let timeout = Duration::from_millis(query.timeout_ms);
+                let deadline = Instant::now() + timeout;
+                self.jobs.wait(&query.job, reply, deadline);
             }
-            Some(_) => self.reply_status(&wait.job, reply),
+            Some(_) => self.reply_status(&query.job, reply),
             None if matches!(self.phase, Phase::Reading { .. }) => {
                 let _ = reply.send(Err(Refusal::TakingOver));
             }
--- a/src/planner/actor/commands.rs
+++ b/src/planner/actor/commands.rs
@@ -328,9 +328,9 @@
         entry.record.end = Some(end);
         slog::info!(self.config.log, "planner: job {id} has ended";
             "outcome" => %outcome);
-        // An end that a run decided may be shown at once. That a job will not
-        // run may be shown only when no later planner can find its record
-        // without an end.
+        // An end that a run decided may be shown at once. Any other end may be
+        // shown only once the store holds it: a later planner that finds the
+        // record without an end could still run the job.
         let shown_at_once =
             !matches!(outcome, job::Outcome::NotRun | job::Outcome::Cancelled);
         self.write_record(id, Some(Completion::Ended(id.clone())));
--- a/src/planner/actor/platform.rs
+++ b/src/planner/actor/platform.rs
@@ -74,7 +74,7 @@
             ),
             answered: false,
             incarnation: String::new(),
-            // Until the agent answers it counts as unreachable; otherwise a
+            // An agent counts as unreachable until it answers; otherwise a
             // gang adopted from the previous planner would wait forever for a
             // lost worker.
             unreachable_since: Some(Instant::now()),
--- a/src/planner/jobs.rs
+++ b/src/planner/jobs.rs
@@ -119,12 +119,12 @@
     }
 
     /// Adds a line to the job's log.
-    pub fn note(&mut self, at: SystemTime, text: impl Into<String>) {
+    pub fn note(&mut self, time: SystemTime, text: impl Into<String>) {
         if self.log.len() == MAX_LOG_LINES {
             self.log.pop_front();
         }
         let text = text.into();
-        self.log.push_back(LogLine { time: at, text });
+        self.log.push_back(LogLine { time, text });
     }
 }
 
--- a/src/replay/baseline.rs
+++ b/src/replay/baseline.rs
@@ -95,29 +95,35 @@
         &mut self,
         event: Event,
         now: SystemTime,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         match event {
-            Event::Submitted { spec } => self.submitted(spec, out),
-            Event::Cancelled { job } => self.cancelled(&job, out),
+            Event::Submitted { spec } => self.apply_submitted(spec, commands),
+            Event::Cancelled { job } => self.apply_cancelled(&job, commands),
             Event::WorkerUp { worker } => self.set_available(&worker, true),
             Event::WorkerLeaving { worker } => {
                 self.set_available(&worker, false)
             }
             Event::WorkerLost { worker } => {
                 self.set_available(&worker, false);
-                self.stop_jobs_on(&worker, out);
+                self.stop_jobs_on(&worker, commands);
             }
             Event::Completed { job, .. } => {
-                self.finish(&job, Outcome::Done, "", out);
+                self.finish(&job, Outcome::Done, "", commands);
             }
-            Event::Failed { job, .. } => self.failed(&job, now, out),
-            Event::Stopped { job, .. } => self.stopped(&job, out),
+            Event::Failed { job, .. } => {
+                self.apply_failed(&job, now, commands)
+            }
+            Event::Stopped { job, .. } => self.apply_stopped(&job, commands),
             _ => {}
         }
     }
 
-    fn submitted(&mut self, spec: job::Spec, out: &mut Vec<Command>) {
+    fn apply_submitted(
+        &mut self,
+        spec: job::Spec,
+        commands: &mut Vec<Command>,
+    ) {
         let id = spec.id.clone();
         let whole = self.site.full_mask();
         let possible = self.fit(spec.shape, &|_| whole).is_some();
@@ -136,29 +142,34 @@
         );
         if !possible {
             let reason = "no part of the site holds it";
-            self.finish(&id, Outcome::NotRun, reason, out);
+            self.finish(&id, Outcome::NotRun, reason, commands);
         }
     }
 
-    fn cancelled(&mut self, id: &job::Id, out: &mut Vec<Command>) {
+    fn apply_cancelled(&mut self, id: &job::Id, commands: &mut Vec<Command>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         job.cancelled = true;
         match job.run {
-            None => self.finish(id, Outcome::Cancelled, "", out),
-            Some(_) => self.stop(id, Reason::Cancel, out),
+            None => self.finish(id, Outcome::Cancelled, "", commands),
+            Some(_) => self.stop(id, Reason::Cancel, commands),
         }
     }
 
-    fn stop(&mut self, id: &job::Id, reason: Reason, out: &mut Vec<Command>) {
+    fn stop(
+        &mut self,
+        id: &job::Id,
+        reason: Reason,
+        commands: &mut Vec<Command>,
+    ) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         let attempt = job.attempts;
         if let Some(run) = job.run.as_mut().filter(|run| !run.stopping) {
             run.stopping = true;
-            out.push(Command::Stop {
+            commands.push(Command::Stop {
                 job: id.clone(),
                 attempt,
                 reason,
@@ -173,7 +184,7 @@
     }
 
     /// Orders a stop of every job that uses a lost worker.
-    fn stop_jobs_on(&mut self, worker: &str, out: &mut Vec<Command>) {
+    fn stop_jobs_on(&mut self, worker: &str, commands: &mut Vec<Command>) {
         let Some(index) = self.site.index(worker) else {
             return;
         };
@@ -188,15 +199,15 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in ids {
-            self.stop(&id, Reason::Broken, out);
+            self.stop(&id, Reason::Broken, commands);
         }
     }
 
-    fn failed(
+    fn apply_failed(
         &mut self,
         id: &job::Id,
         _now: SystemTime,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         self.release(id);
         let Some(job) = self.jobs.get_mut(id) else {
@@ -205,18 +216,18 @@
         job.failures += 1;
         match job.spec.repeatable && job.failures < MAX_FAILURES {
             true => self.requeue(id),
-            false => self.finish(id, Outcome::Failed, "task failed", out),
+            false => self.finish(id, Outcome::Failed, "task failed", commands),
         }
     }
 
-    fn stopped(&mut self, id: &job::Id, out: &mut Vec<Command>) {
+    fn apply_stopped(&mut self, id: &job::Id, commands: &mut Vec<Command>) {
         self.release(id);
         match self.jobs.get(id) {
             Some(job) if job.cancelled => {
-                self.finish(id, Outcome::Cancelled, "", out);
+                self.finish(id, Outcome::Cancelled, "", commands);
             }
             Some(job) if !job.spec.repeatable => {
-                self.finish(id, Outcome::Failed, "worker lost", out);
+                self.finish(id, Outcome::Failed, "worker lost", commands);
             }
             _ => self.requeue(id),
         }
@@ -240,12 +251,12 @@
         id: &job::Id,
         outcome: Outcome,
         reason: &str,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         self.release(id);
         if let Some(job) = self.jobs.remove(id) {
             self.queue.remove(&job.arrival);
-            out.push(Command::Finish {
+            commands.push(Command::Finish {
                 job: id.clone(),
                 outcome,
                 reason: reason.to_owned(),
@@ -258,7 +269,7 @@
         id: &job::Id,
         pieces: Vec<Piece>,
         now: SystemTime,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -273,7 +284,7 @@
             ends: now + job.spec.declared,
             stopping: false,
         });
-        out.push(Command::Start {
+        commands.push(Command::Start {
             job: id.clone(),
             attempt: job.attempts,
             pieces,
@@ -282,7 +293,7 @@
 
     /// Starts queued jobs that fit, in the order and with the reservation of
     /// the kind of baseline.
-    fn schedule(&mut self, now: SystemTime, out: &mut Vec<Command>) {
+    fn schedule(&mut self, now: SystemTime, commands: &mut Vec<Command>) {
         let mut reserved: Option<(SystemTime, Vec<Piece>)> = None;
         // A shape that fits nowhere does not fit for later jobs either.
         let mut unplaceable: Vec<Shape> = Vec::new();
@@ -303,7 +314,7 @@
                 _ => self.free(w),
             };
             match self.fit(shape, &open) {
-                Some(pieces) => self.start(&id, pieces, now, out),
+                Some(pieces) => self.start(&id, pieces, now, commands),
                 None if self.kind == Kind::Fifo => break,
                 None if self.kind == Kind::Backfill && reserved.is_none() => {
                     reserved = self.reservation(shape, now);
@@ -409,12 +420,12 @@
 
 impl Policy for Baseline {
     fn step(&mut self, events: Vec<Event>, now: SystemTime) -> Vec<Command> {
-        let mut out = Vec::new();
+        let mut commands = Vec::new();
         for event in events {
-            self.handle(event, now, &mut out);
+            self.handle(event, now, &mut commands);
         }
-        self.schedule(now, &mut out);
-        out
+        self.schedule(now, &mut commands);
+        commands
     }
 
     fn next_deadline(&self, now: SystemTime) -> Option<SystemTime> {
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -463,8 +463,8 @@
     })
 }
 
-fn request_op(put: Mutation) -> api::RequestOp {
-    match put {
+fn request_op(mutation: Mutation) -> api::RequestOp {
+    match mutation {
         Mutation::Value(key, value, lease) => {
             api::RequestOp::Put(api::PutRequest {
                 key: key.into_bytes(),
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -180,7 +180,7 @@
     pub job_seconds: Histogram<f64>,
     /// Time of an order to a worker, in seconds.
     pub order_seconds: Histogram<f64>,
-    /// Queries of the worker's state.
+    /// Polls of the worker.
     pub looks: Counter<u64>,
     /// Starts delayed by an agent.
     pub starts_waiting: Counter<u64>,
--- a/src/wire/entry.rs
+++ b/src/wire/entry.rs
@@ -132,13 +132,13 @@
 pub struct WorkerView {
     /// The worker's name.
     pub worker: WorkerId,
-    /// The hall that the worker stands in.
+    /// The hall of the worker.
     pub hall: HallId,
-    /// The rack that the worker stands in.
+    /// The rack of the worker.
     pub rack: RackId,
-    /// Whether it is up, silent, leaving or lost.
+    /// The presence of the worker: up, silent, leaving or lost.
     pub presence: String,
-    /// The planner's health state of the worker, in words.
+    /// The health of the worker: good or quarantined.
     pub health: String,
     /// The accelerators in use, one item for each job.
     pub jobs: Vec<Allocation>,
