--- a/src/cell/member/view.rs
+++ b/src/cell/member/view.rs
@@ -214,8 +214,8 @@
         self.over_at = self.over_at.filter(|_| self.heartbeat.leaving);
     }
 
-    /// Returns whether the worker answers no calls. It may still send
-    /// heartbeats, but orders would not be carried out.
+    /// Returns whether the worker answers no calls. Such a worker may still
+    /// send heartbeats, but orders would not be carried out.
     pub fn is_unresponsive(&self) -> bool {
         self.failed_polls >= UNRESPONSIVE_POLLS
     }
--- a/src/graph/budget.rs
+++ b/src/graph/budget.rs
@@ -3,7 +3,7 @@
 //! The rule is made for short gangs of up to nine whole workers, due within
 //! one and a half times their length, on a fleet whose workers are all partly
 //! in use. To make room for such a gang, a second or two of work is lost on
-//! each of nine workers. That is more than any fixed limit that suits a gang
+//! each of nine workers. This loss exceeds any fixed limit that suits a gang
 //! of one worker. Under a fixed limit these gangs waited until enough runs had
 //! ended by themselves, and other runs were then stopped when it no longer
 //! helped. The benefit grows with the unit's own work, so the limit is
--- a/src/graph/life.rs
+++ b/src/graph/life.rs
@@ -19,7 +19,7 @@
 ///
 /// The text form is `NAME BIRTH`, or the name alone. Two lives are equal only
 /// if both parts are: a worker that restarts under its name runs nothing, has
-/// acknowledged nothing and numbers its ends anew.
+/// acknowledged nothing and restarts the numbering of its ends.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
--- a/src/graph/policy.rs
+++ b/src/graph/policy.rs
@@ -1,7 +1,7 @@
 //! Choices between scheduling decisions that all keep the guarantees.
 //!
-//! The policy only changes how well callers are served. It is a single value
-//! so that an experiment can switch off one choice at a time.
+//! The policy only changes how well callers are served. All choices are in one
+//! value, so that an experiment can switch off one at a time.
 
 /// The source of run time estimates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/graph/unit.rs
+++ b/src/graph/unit.rs
@@ -37,7 +37,7 @@
     pub last_listed: Option<Instant>,
 }
 
-/// What a unit waited for when that was last checked.
+/// The reason for which a unit waited at the last check.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoggedWait {
     pub reason: WaitReason,
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -153,8 +153,8 @@
     /// Sends a request and returns the complete response, without a limit on
     /// the total time.
     ///
-    /// This is for responses whose size depends on the data of others: a
-    /// total limit would cut them off on a narrow link, and every retry too.
+    /// For responses whose size depends on the data of others: a total limit
+    /// would cut them off on a narrow link, and every retry too.
     ///
     /// # Errors
     ///
--- a/src/plan/state.rs
+++ b/src/plan/state.rs
@@ -91,7 +91,7 @@
     pub started: SystemTime,
 }
 
-/// Accelerators kept for a job until their present users have stopped.
+/// Accelerators booked for a job until their present users have stopped.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Booking {
     /// The accelerators to run on.
@@ -121,7 +121,7 @@
     pub spec: job::Spec,
     /// The state of the job.
     pub phase: Phase,
-    /// Accelerators kept for the job.
+    /// Accelerators booked for the job.
     pub booking: Option<Booking>,
     /// The number of the job's last start, 0 before the first.
     pub attempts: job::Attempt,
--- a/src/site.rs
+++ b/src/site.rs
@@ -1,7 +1,7 @@
 //! The site: halls of racks of workers, and the shapes that fit on them.
 //!
-//! A [`Site`] only grows. It does not know whether a worker is healthy,
-//! leaving or lost; the [`plan`](crate::plan) tracks that.
+//! A [`Site`] only grows. Whether a worker is healthy, leaving or lost is
+//! tracked by the [`plan`](crate::plan).
 
 use std::collections::BTreeMap;
 use std::fmt;
--- a/src/wire/gang.rs
+++ b/src/wire/gang.rs
@@ -60,7 +60,7 @@
     pub spec: job::Spec,
     /// The members; the first is the lead.
     pub members: Vec<Member>,
-    /// What each member runs.
+    /// The task that each member runs.
     pub work: Work,
 }
 
