--- a/src/graph/policy.rs
+++ b/src/graph/policy.rs
@@ -1,7 +1,7 @@
 //! Choices between scheduling decisions that all keep the guarantees.
 //!
-//! The policy only changes how well callers are served. It is a single value
-//! so that an experiment can switch off one choice at a time.
+//! The policy only changes how well callers are served. All choices are in one
+//! value, so that an experiment can switch off one at a time.
 
 /// The source of run time estimates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,8 +63,8 @@
     /// failures.
     pub probation: bool,
     /// Whether a new planner preempts nothing, and does not spread gangs over
-    /// racks, until it has heard of all workers that are known to run
-    /// something.
+    /// racks, until all workers that are known to run something have
+    /// reported, or a short time has passed.
     pub await_reports: bool,
     /// Whether a gang's run ends on its only silent worker once all other
     /// members report that another one has ended.
--- a/src/plan/health.rs
+++ b/src/plan/health.rs
@@ -10,7 +10,7 @@
 
 use crate::job;
 
-/// The length of the first quarantine; each one that follows directly is twice
+/// The length of the first quarantine; each one that directly follows is twice
 /// as long.
 const FIRST_QUARANTINE: Duration = Duration::from_secs(20);
 /// The longest quarantine.
