--- a/crates/landingvalve-sim/src/day.rs
+++ b/crates/landingvalve-sim/src/day.rs
@@ -1,4 +1,4 @@
-//! A day: processes, workers, jobs and faults, drawn by a seed.
+//! Simulates a day: processes, workers, jobs and faults, drawn from a seed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -29,47 +29,49 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
+use crate::invariants::Checker;
 use crate::lock;
 use crate::network::Network;
-use crate::network::Process;
-use crate::promise::Promise;
+use crate::network::ProcessId;
 use crate::store;
-use crate::store::Shared;
+use crate::store::Server;
 use crate::worker;
-use crate::worker::Site;
-
-/// How often workers are looked after.
-const TICK: Duration = Duration::from_millis(20);
-/// How often a worker sends a heartbeat.
-const BEAT: Duration = Duration::from_millis(500);
-/// How long a caller waits for an answer, and how often it asks.
-const CALLER: Duration = Duration::from_millis(3000);
-const TRIES: u32 = 6;
-/// How long everything goes on after the last fault until what was accepted
-/// must have ended.
-const CALM: Duration = Duration::from_secs(90);
-/// The least time from one fault to the next on average.
-const FAULT: Duration = Duration::from_millis(1500);
-
-/// What is played.
+use crate::worker::Endpoint;
+
+/// Interval at which the workers and the day's schedule advance.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which a worker sends heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Time after which a caller's call fails.
+const CALL_TIMEOUT: Duration = Duration::from_millis(3000);
+/// Number of times that a caller tries to submit its job.
+const MAX_SUBMIT_ATTEMPTS: u32 = 6;
+/// Time after the last fault within which all accepted jobs must have ended.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(90);
+/// Mean time from one fault to the next.
+const MEAN_FAULT_INTERVAL: Duration = Duration::from_millis(1500);
+
+/// Parameters of a simulated day.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Plan {
-    /// What it is drawn by.
+pub struct Scenario {
+    /// Seed of all random draws.
     pub seed: u64,
-    /// How many entries there are.
+    /// Number of entries.
     pub entries: usize,
-    /// How many workers, each with an agent.
+    /// Number of workers, each with an agent.
     pub workers: usize,
-    /// How many jobs are handed in.
+    /// Number of jobs submitted.
     pub jobs: usize,
-    /// For how long there are faults.
+    /// Duration of the first part of the day, in which faults begin and over
+    /// which the jobs are spread.
     pub faults: Duration,
 }
 
-impl Plan {
-    /// Returns a day of 3 entries, 6 workers and 40 jobs.
-    pub fn of(seed: u64) -> Plan {
-        Plan {
+impl Scenario {
+    /// Returns a scenario with 3 entries, 6 workers, 40 jobs and 40 s of
+    /// faults.
+    pub fn with_seed(seed: u64) -> Scenario {
+        Scenario {
             seed,
             entries: 3,
             workers: 6,
@@ -79,30 +81,30 @@
     }
 }
 
-/// What was seen of a day.
+/// Results of a simulated day.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The promises that were broken.
-    pub broken: Vec<String>,
-    /// How many tasks began.
+    /// Violations of the invariants.
+    pub violations: Vec<String>,
+    /// Number of starts of tasks.
     pub starts: u64,
-    /// How many of them were listed as done before, in vain.
-    pub again: u64,
-    /// How many jobs were accepted.
+    /// Number of these starts whose task had been listed as done before.
+    pub repeated_starts: u64,
+    /// Number of accepted jobs.
     pub accepted: usize,
-    /// How often each fault was played.
+    /// Number of times that each fault was injected.
     pub faults: BTreeMap<&'static str, u32>,
-    /// What happened, in order.
+    /// Events of the day, one line each, in order.
     pub timeline: Vec<String>,
 }
 
-/// Plays a day, in virtual time.
+/// Simulates a day under virtual time.
 ///
 /// # Panics
 ///
-/// If no runtime can be built.
-pub fn play(plan: Plan) -> Report {
-    fastrand::seed(plan.seed);
+/// If the runtime cannot be built.
+pub fn simulate(scenario: Scenario) -> Report {
+    fastrand::seed(scenario.seed);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -112,45 +114,45 @@
         clock::simulate_wall_time(
             SystemTime::UNIX_EPOCH + Duration::from_secs(1 << 30),
         );
-        let mut day = Day::new(plan);
+        let mut day = Day::new(scenario);
         day.run().await;
         day.report()
     })
 }
 
-/// An entry or an agent while it is up.
+/// A running entry or agent.
 struct Program {
-    process: Process,
+    process: ProcessId,
     task: JoinHandle<()>,
 }
 
-/// The entries that are up, as callers find them.
-type Doors = Arc<Mutex<BTreeMap<usize, Admission<Relay<store::Handle>>>>>;
+/// Admission of each entry that is up, by the entry's number.
+type Admissions = Arc<Mutex<BTreeMap<usize, Admission<Relay<store::Client>>>>>;
 
 struct Agent {
     program: Option<Program>,
-    member: Option<Member<worker::Handle, store::Handle>>,
-    site: Site,
+    member: Option<Member<worker::Client, store::Client>>,
+    endpoint: Endpoint,
 }
 
 struct Day {
-    plan: Plan,
+    scenario: Scenario,
     random: fastrand::Rng,
     network: Network,
-    store: Shared,
-    promise: Promise,
+    store: Server,
+    checker: Checker,
     entries: Vec<Option<Program>>,
-    doors: Doors,
+    admissions: Admissions,
     agents: Vec<Agent>,
     jobs: BTreeMap<Id, (Job, Duration)>,
     faults: BTreeMap<&'static str, u32>,
-    /// What is undone, and when.
-    undo: Vec<(Instant, Undo)>,
+    /// Active faults with the time at which each ends.
+    pending_undos: Vec<(Instant, Undo)>,
     callers: Vec<JoinHandle<()>>,
-    began: Instant,
+    start: Instant,
 }
 
-/// The end of a fault.
+/// Action that ends a fault. Its `Debug` text is part of the timeline.
 #[derive(Clone, Copy, Debug)]
 enum Undo {
     Entry(usize),
@@ -163,93 +165,94 @@
 }
 
 impl Day {
-    fn new(plan: Plan) -> Day {
-        let promise = Promise::default();
+    fn new(scenario: Scenario) -> Day {
+        let checker = Checker::default();
         let agent = |at: usize| Agent {
             program: None,
             member: None,
-            site: Site::new(
+            endpoint: Endpoint::new(
                 &format!("w{at}"),
-                plan.seed ^ (1 + at as u64) << 32,
-                promise.clone(),
+                scenario.seed ^ (1 + at as u64) << 32,
+                checker.clone(),
             ),
         };
         Day {
-            plan,
-            random: fastrand::Rng::with_seed(plan.seed),
+            scenario,
+            random: fastrand::Rng::with_seed(scenario.seed),
             network: Network::default(),
-            store: Shared::new(plan.seed),
-            promise: promise.clone(),
-            entries: (0..plan.entries).map(|_| None).collect(),
-            doors: Doors::default(),
-            agents: (0..plan.workers).map(agent).collect(),
+            store: Server::new(scenario.seed),
+            checker: checker.clone(),
+            entries: (0..scenario.entries).map(|_| None).collect(),
+            admissions: Admissions::default(),
+            agents: (0..scenario.workers).map(agent).collect(),
             jobs: BTreeMap::new(),
             faults: BTreeMap::new(),
-            undo: Vec::new(),
+            pending_undos: Vec::new(),
             callers: Vec::new(),
-            began: Instant::now(),
+            start: Instant::now(),
         }
     }
 
     fn report(self) -> Report {
-        let (broken, starts, accepted) = self.promise.seen();
+        let (violations, starts, accepted) = self.checker.results();
         Report {
-            broken,
+            violations,
             starts,
-            again: self.promise.again(),
+            repeated_starts: self.checker.repeated_starts(),
             accepted,
             faults: self.faults,
-            timeline: self.promise.timeline(),
+            timeline: self.checker.timeline(),
         }
     }
 
     async fn run(&mut self) {
-        self.promise.begin();
+        self.checker.start_clock();
         for at in 0..self.entries.len() {
             self.start_entry(at);
         }
         for at in 0..self.agents.len() {
             self.start_agent(at);
         }
-        let faults_end = self.began + self.plan.faults;
-        let every = self.plan.faults / (self.plan.jobs as u32 + 1);
-        let mut next_job = self.began + Duration::from_secs(3);
-        let mut next_fault = self.began + Duration::from_secs(4);
-        let mut next_beat = self.began;
-        let mut handed_in = 0;
-        let mut tick = tokio::time::interval(TICK);
+        let faults_end = self.start + self.scenario.faults;
+        let every = self.scenario.faults / (self.scenario.jobs as u32 + 1);
+        let mut next_job = self.start + Duration::from_secs(3);
+        let mut next_fault = self.start + Duration::from_secs(4);
+        let mut next_heartbeat = self.start;
+        let mut submitted = 0;
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         loop {
             tick.tick().await;
             let now = Instant::now();
-            self.work();
-            if now >= next_beat {
-                next_beat = now + BEAT;
-                self.beat();
+            self.advance_workers();
+            if now >= next_heartbeat {
+                next_heartbeat = now + HEARTBEAT_INTERVAL;
+                self.send_heartbeats();
             }
-            self.undo(now);
-            if now >= next_job && handed_in < self.plan.jobs {
+            self.end_due_faults(now);
+            if now >= next_job && submitted < self.scenario.jobs {
                 next_job = now + every;
-                self.hand_in(handed_in);
-                handed_in += 1;
+                self.submit_job(submitted);
+                submitted += 1;
             }
             if now >= next_fault && now < faults_end {
-                let wait = FAULT.mul_f64(2.0 * self.random.f64());
+                let wait =
+                    MEAN_FAULT_INTERVAL.mul_f64(2.0 * self.random.f64());
                 next_fault = now + wait;
-                self.fault(now);
+                self.inject_fault(now);
             }
-            let over = now >= faults_end + CALM;
-            let calm = now >= faults_end && self.undo.is_empty();
-            let done = calm
-                && handed_in == self.plan.jobs
+            let timed_out = now >= faults_end + SETTLE_TIMEOUT;
+            let settled = now >= faults_end && self.pending_undos.is_empty();
+            let done = settled
+                && submitted == self.scenario.jobs
                 && self.callers.iter().all(JoinHandle::is_finished)
-                && self.promise.open().is_empty();
-            if over || done {
+                && self.checker.unfinished_jobs().is_empty();
+            if timed_out || done {
                 break;
             }
         }
-        for id in self.promise.open() {
+        for id in self.checker.unfinished_jobs() {
             let line = format!("LOST: {id} has not ended");
-            self.promise.breaks(line);
+            self.checker.record_violation(line);
         }
     }
 
@@ -257,9 +260,9 @@
         let process = self.network.start(at);
         let address = format!("entry-{at}-{process}");
         let name = format!("entry-{at}");
-        let dial = self.network.dial(process);
+        let dial = self.network.connector(process);
         let peers = Peers::new(&name, dial, log::none());
-        let direct = self.store.of(&self.network, process);
+        let direct = self.store.client(&self.network, process);
         let store = Relay::new(direct, peers.clone(), log::none());
         let host = Host::new().with_carrier(Arc::new(store.clone()));
         self.network.listen(&address, process, host.clone());
@@ -278,19 +281,20 @@
             terms: Terms::default(),
             log: log::none(),
         };
-        // Nobody stops it in an orderly way: who drops the other end would.
+        // The task keeps the sender: dropping it would stop the session in an
+        // orderly way.
         let (stop, stopped) = watch::channel(false);
         let task = tokio::spawn(async move {
             tokio::join!(session.run(stopped), named);
             drop(stop);
         });
         self.entries[at] = Some(Program { process, task });
-        let door = Admission::new(store, log::none());
-        lock(&self.doors).insert(at, door);
+        let admission = Admission::new(store, log::none());
+        lock(&self.admissions).insert(at, admission);
     }
 
     fn kill_entry(&mut self, at: usize) {
-        lock(&self.doors).remove(&at);
+        lock(&self.admissions).remove(&at);
         if let Some(program) = self.entries[at].take() {
             self.network.kill(program.process);
             program.task.abort();
@@ -298,18 +302,18 @@
     }
 
     fn start_agent(&mut self, at: usize) {
-        let machine = self.plan.entries + at;
+        let machine = self.scenario.entries + at;
         let process = self.network.start(machine);
         let agent = &mut self.agents[at];
         let config = Config {
             agent: format!("agent-{at}").into(),
             survival: Terms::default().survival,
             lease: Duration::from_secs(6),
-            dial: self.network.dial(process),
+            dial: self.network.connector(process),
             log: log::none(),
         };
-        let worker = agent.site.of(&self.network, process);
-        let store = self.store.of(&self.network, process);
+        let worker = agent.endpoint.client(&self.network, process);
+        let store = self.store.client(&self.network, process);
         let member = Member::new(config, worker, store);
         let running = member.clone();
         let task = tokio::spawn(async move { running.run().await });
@@ -326,16 +330,17 @@
         }
     }
 
-    /// Lets workers work, gangs as a whole.
-    fn work(&mut self) {
+    /// Advances all workers; a gang works only while all of its members are
+    /// present.
+    fn advance_workers(&mut self) {
         let mut present: BTreeMap<(Task, Run), u32> = BTreeMap::new();
         for agent in &self.agents {
-            for (unit, count) in agent.site.here() {
+            for (unit, count) in agent.endpoint.member_counts() {
                 *present.entry(unit).or_default() += count;
             }
         }
         let jobs = &self.jobs;
-        let whole = |task: &Task, run: Run| {
+        let is_complete = |task: &Task, run: Run| {
             let (job, _) = jobs.get(&task.job)?;
             let step = &job.steps[task.step];
             let first = Task {
@@ -349,49 +354,53 @@
             jobs.get(&task.job)
                 .map_or(Duration::ZERO, |(_, work)| *work)
         };
-        let mut over = Vec::new();
+        let mut ended_gangs = Vec::new();
         for agent in &self.agents {
-            over.extend(agent.site.pass(TICK, whole, work));
+            ended_gangs.extend(agent.endpoint.advance(
+                TICK_INTERVAL,
+                is_complete,
+                work,
+            ));
         }
-        for (task, run, how) in over {
+        for (task, run, how) in ended_gangs {
             let how = match how {
                 landingvalve::graph::How::Done => how,
                 _ => landingvalve::graph::How::Broken,
             };
             for agent in &self.agents {
-                agent.site.end_gang(&task, run, how);
+                agent.endpoint.end_gang(&task, run, how);
             }
         }
-        self.go_down();
+        self.schedule_restarts();
     }
 
-    /// Lets workers that went down by themselves come back.
-    fn go_down(&mut self) {
+    /// Schedules the restart of workers that a job has crashed.
+    fn schedule_restarts(&mut self) {
         let now = Instant::now();
         for at in 0..self.agents.len() {
             let back = |(_, undo): &(Instant, Undo)| matches!(undo, Undo::Up(other) if *other == at);
-            let waits = self.undo.iter().any(back);
-            if !self.agents[at].site.is_up() && !waits {
+            let waits = self.pending_undos.iter().any(back);
+            if !self.agents[at].endpoint.is_up() && !waits {
                 let ms = self.random.u64(..3000);
                 let then = now + Duration::from_millis(ms);
-                self.undo.push((then, Undo::Up(at)));
+                self.pending_undos.push((then, Undo::Up(at)));
             }
         }
     }
 
-    fn beat(&mut self) {
+    fn send_heartbeats(&mut self) {
         for agent in &self.agents {
             if let Some(member) = &agent.member {
-                if let Some(beat) = agent.site.heartbeat() {
-                    member.heartbeat(beat);
+                if let Some(heartbeat) = agent.endpoint.heartbeat() {
+                    member.heartbeat(heartbeat);
                 }
             }
         }
     }
 
-    fn hand_in(&mut self, at: usize) {
+    fn submit_job(&mut self, at: usize) {
         let steps = self.random.usize(1..=2);
-        let steps = (0..steps).map(|step| self.step(step)).collect();
+        let steps = (0..steps).map(|step| self.draw_step(step)).collect();
         let job = Job {
             id: format!("job{at}").into(),
             account: "account".into(),
@@ -412,25 +421,25 @@
         self.jobs.insert(job.id.clone(), (job.clone(), work));
         if self.random.u32(..20) == 0 {
             for agent in &self.agents {
-                agent.site.crash_under(&job.id);
+                agent.endpoint.crash_on_job(&job.id);
             }
         }
-        self.promise.submits(&job);
+        self.checker.record_submission(&job);
         let cancel = self.random.u32(..10) == 0;
         let cancel = cancel.then(|| self.random.u64(100..5000));
-        let until = self.began + self.plan.faults + CALM;
+        let until = self.start + self.scenario.faults + SETTLE_TIMEOUT;
         let caller = Caller {
             job,
-            promise: self.promise.clone(),
+            checker: self.checker.clone(),
             random: self.random.fork(),
-            cancel: cancel.map(Duration::from_millis),
+            cancel_after: cancel.map(Duration::from_millis),
             until,
-            doors: self.doors.clone(),
+            admissions: self.admissions.clone(),
         };
         self.callers.push(tokio::spawn(caller.run()));
     }
 
-    fn step(&mut self, at: usize) -> Step {
+    fn draw_step(&mut self, at: usize) -> Step {
         let gang = self.random.u32(..3) == 0;
         Step {
             replicas: self.random.u32(1..=3),
@@ -446,14 +455,14 @@
         }
     }
 
-    fn undo(&mut self, now: Instant) {
-        let undo = std::mem::take(&mut self.undo);
-        for (at, undo) in undo {
+    fn end_due_faults(&mut self, now: Instant) {
+        let pending = std::mem::take(&mut self.pending_undos);
+        for (at, undo) in pending {
             if now < at {
-                self.undo.push((at, undo));
+                self.pending_undos.push((at, undo));
                 continue;
             }
-            self.promise.tell(format!("over: {undo:?}"));
+            self.checker.record(format!("over: {undo:?}"));
             match undo {
                 Undo::Entry(at) => {
                     self.kill_entry(at);
@@ -463,21 +472,23 @@
                     self.kill_agent(at);
                     self.start_agent(at);
                 }
-                Undo::Up(at) => self.agents[at].site.start_again(),
+                Undo::Up(at) => self.agents[at].endpoint.restart(),
                 Undo::Worker(at) => {
-                    self.agents[at].site.set(worker::Mode::default());
+                    self.agents[at]
+                        .endpoint
+                        .set_faults(worker::Faults::default());
                 }
-                Undo::Store => self.store.set(store::Mode::default()),
-                Undo::Cut(at) => self.network.cut(at, false),
-                Undo::Part(at) => self.network.part(at, false),
+                Undo::Store => self.store.set_faults(store::Faults::default()),
+                Undo::Cut(at) => self.network.set_isolated(at, false),
+                Undo::Part(at) => self.network.set_store_cut(at, false),
             }
         }
     }
 
-    fn fault(&mut self, now: Instant) {
+    fn inject_fault(&mut self, now: Instant) {
         let entry = self.random.usize(..self.entries.len());
         let worker = self.random.usize(..self.agents.len());
-        let machines = self.plan.entries + self.plan.workers;
+        let machines = self.scenario.entries + self.scenario.workers;
         let machine = self.random.usize(..machines);
         let ms = self.random.u64(100..3000);
         let (soon, long) = (ms, ms * 5);
@@ -491,92 +502,129 @@
                 ("kill agent", Undo::Agent(worker), soon)
             }
             3..=5 => {
-                self.agents[worker].site.crash();
+                self.agents[worker].endpoint.crash();
                 ("crash", Undo::Up(worker), soon)
             }
             6 => {
                 for at in 0..self.entries.len() {
                     self.kill_entry(at);
                     let later = now + Duration::from_millis(soon);
-                    self.undo.push((later, Undo::Entry(at)));
+                    self.pending_undos.push((later, Undo::Entry(at)));
                 }
                 for at in 0..self.agents.len() {
                     self.kill_agent(at);
                     let later = now + Duration::from_millis(soon);
-                    self.undo.push((later, Undo::Agent(at)));
+                    self.pending_undos.push((later, Undo::Agent(at)));
                 }
                 ("kill all", Undo::Entry(0), soon)
             }
             7 => {
-                self.network.cut(machine, true);
+                self.network.set_isolated(machine, true);
                 ("cut", Undo::Cut(machine), long)
             }
             8 => {
-                self.network.part(machine, true);
+                self.network.set_store_cut(machine, true);
                 ("part", Undo::Part(machine), long)
             }
             9..=11 => {
-                let (name, mode) = self.store_fault();
-                self.store.set(mode);
+                let (name, faults) = self.draw_store_fault();
+                self.store.set_faults(faults);
                 (name, Undo::Store, soon)
             }
             _ => {
-                let (name, mode) = self.worker_fault();
-                self.agents[worker].site.set(mode);
+                let (name, faults) = self.draw_worker_fault();
+                self.agents[worker].endpoint.set_faults(faults);
                 (name, Undo::Worker(worker), long)
             }
         };
         *self.faults.entry(name).or_default() += 1;
         let line = format!("fault: {name}, {undo:?} after {ms} ms");
-        self.promise.tell(line);
-        self.undo.push((now + Duration::from_millis(ms), undo));
+        self.checker.record(line);
+        self.pending_undos
+            .push((now + Duration::from_millis(ms), undo));
     }
 
-    fn store_fault(&mut self) -> (&'static str, store::Mode) {
-        let mode = store::Mode::default();
+    fn draw_store_fault(&mut self) -> (&'static str, store::Faults) {
+        let faults = store::Faults::default();
         match self.random.u32(..5) {
-            0 => ("store down", store::Mode { down: true, ..mode }),
+            0 => (
+                "store down",
+                store::Faults {
+                    down: true,
+                    ..faults
+                },
+            ),
             1 => {
-                let refuses = true;
-                ("store refuses", store::Mode { refuses, ..mode })
+                let refusing = true;
+                ("store refuses", store::Faults { refusing, ..faults })
             }
-            2 => ("store loses", store::Mode { loses: 0.5, ..mode }),
+            2 => (
+                "store loses",
+                store::Faults {
+                    lost_share: 0.5,
+                    ..faults
+                },
+            ),
             3 => {
-                let slow = Duration::from_millis(300);
-                ("store slow", store::Mode { slow, ..mode })
+                let delay = Duration::from_millis(300);
+                ("store slow", store::Faults { delay, ..faults })
             }
             _ => {
-                let forgets = true;
-                ("store forgets", store::Mode { forgets, ..mode })
+                let compacted = true;
+                (
+                    "store forgets",
+                    store::Faults {
+                        compacted,
+                        ..faults
+                    },
+                )
             }
         }
     }
 
-    fn worker_fault(&mut self) -> (&'static str, worker::Mode) {
-        let mode = worker::Mode::default();
+    fn draw_worker_fault(&mut self) -> (&'static str, worker::Faults) {
+        let faults = worker::Faults::default();
         match self.random.u32(..4) {
-            0 => ("late", worker::Mode { late: 0.3, ..mode }),
+            0 => (
+                "late",
+                worker::Faults {
+                    delayed_share: 0.3,
+                    ..faults
+                },
+            ),
             1 => (
                 "fails",
-                worker::Mode {
-                    fails: true,
-                    ..mode
+                worker::Faults {
+                    failing: true,
+                    ..faults
+                },
+            ),
+            2 => (
+                "mute",
+                worker::Faults {
+                    silent: true,
+                    ..faults
+                },
+            ),
+            _ => (
+                "deaf",
+                worker::Faults {
+                    drops_calls: true,
+                    ..faults
                 },
             ),
-            2 => ("mute", worker::Mode { mute: true, ..mode }),
-            _ => ("deaf", worker::Mode { deaf: true, ..mode }),
         }
     }
 }
 
-/// Who hands a job in and asks for it.
+/// A caller that submits a job and polls it until it has ended.
 struct Caller {
     job: Job,
-    promise: Promise,
+    checker: Checker,
     random: fastrand::Rng,
-    cancel: Option<Duration>,
+    cancel_after: Option<Duration>,
     until: Instant,
-    doors: Doors,
+    admissions: Admissions,
 }
 
 impl Caller {
@@ -585,26 +633,29 @@
             return;
         }
         let id = self.job.id.clone();
-        self.promise.accepts(&id);
+        self.checker.record_acceptance(&id);
         let asked = Instant::now();
         while Instant::now() < self.until {
             tokio::time::sleep(Duration::from_millis(400)).await;
-            let Some(door) = self.door() else {
+            let Some(admission) = self.pick_admission() else {
                 continue;
             };
-            let deadline = Instant::now() + CALLER;
-            if self.cancel.is_some_and(|after| asked.elapsed() >= after) {
-                let cancelled = door.cancel(&id, deadline);
-                let call = tokio::time::timeout(CALLER, cancelled).await;
+            let deadline = Instant::now() + CALL_TIMEOUT;
+            if self
+                .cancel_after
+                .is_some_and(|after| asked.elapsed() >= after)
+            {
+                let cancelled = admission.cancel(&id, deadline);
+                let call = tokio::time::timeout(CALL_TIMEOUT, cancelled).await;
                 if let Ok(Ok(true)) = call {
-                    self.promise.cancels(&id);
-                    self.cancel = None;
+                    self.checker.record_cancellation(&id);
+                    self.cancel_after = None;
                 }
             }
-            let stage = door.stage(&id, deadline);
-            let stage = tokio::time::timeout(CALLER, stage).await;
+            let stage = admission.stage(&id, deadline);
+            let stage = tokio::time::timeout(CALL_TIMEOUT, stage).await;
             if let Ok(Ok(stage)) = stage {
-                self.promise.shows(&id, stage);
+                self.checker.record_stage(&id, stage);
                 if matches!(stage, Some(landingvalve::cell::Stage::Ended(_))) {
                     return;
                 }
@@ -613,11 +664,11 @@
     }
 
     async fn submit(&mut self) -> bool {
-        for _ in 0..TRIES {
-            if let Some(door) = self.door() {
-                let deadline = Instant::now() + CALLER;
-                let submitted = door.submit(&self.job, deadline);
-                let call = tokio::time::timeout(CALLER, submitted).await;
+        for _ in 0..MAX_SUBMIT_ATTEMPTS {
+            if let Some(admission) = self.pick_admission() {
+                let deadline = Instant::now() + CALL_TIMEOUT;
+                let submitted = admission.submit(&self.job, deadline);
+                let call = tokio::time::timeout(CALL_TIMEOUT, submitted).await;
                 if let Ok(Submitted::Accepted) = call {
                     return true;
                 }
@@ -627,10 +678,10 @@
         false
     }
 
-    fn door(&mut self) -> Option<Admission<Relay<store::Handle>>> {
-        let doors = lock(&self.doors);
-        let at =
-            (!doors.is_empty()).then(|| self.random.usize(..doors.len()))?;
-        doors.values().nth(at).cloned()
+    fn pick_admission(&mut self) -> Option<Admission<Relay<store::Client>>> {
+        let admissions = lock(&self.admissions);
+        let at = (!admissions.is_empty())
+            .then(|| self.random.usize(..admissions.len()))?;
+        admissions.values().nth(at).cloned()
     }
 }
--- a/crates/landingvalve-sim/src/lib.rs
+++ b/crates/landingvalve-sim/src/lib.rs
@@ -1,20 +1,20 @@
-//! Whole days of the real code under virtual time.
+//! Deterministic simulation of whole days: the real code under virtual time.
 //!
-//! [`day::play`] runs the product's own admission, claim, planner and agents
-//! on one thread whose clock jumps from one timer to the next: a day of two
-//! minutes takes a fraction of a second. What stands around them is
+//! [`day::simulate`] runs the product's own admission, claim, planner and
+//! agents on one thread whose clock jumps from one timer to the next, so a day
+//! of two minutes takes a fraction of a second. Their environment is
 //! simulated: the store ([`store`]), connections ([`network`]) and workers
-//! ([`worker`]), all of which fail as the users' pages say they may. What
-//! callers and workers see is checked against the promises ([`promise`]),
-//! never what the product believes.
+//! ([`worker`]) fail in the ways that their specifications allow. The
+//! invariants ([`invariants`]) are checked against what callers and workers
+//! observe, never against the state of the product.
 //!
-//! A seed tells a day: its jobs, its faults and when they come. Two plays of
-//! a seed may still differ in which of two tasks that are due at once goes
-//! first, so that a finding is played several times.
+//! A seed determines a day: its jobs, its faults and their times. Two runs of
+//! a seed may still differ in the order of two tasks that are due at the same
+//! time, so run a failing seed several times.
 
 pub mod day;
+pub mod invariants;
 pub mod network;
-pub mod promise;
 pub mod store;
 pub mod worker;
 
--- a/crates/landingvalve-sim/src/main.rs
+++ b/crates/landingvalve-sim/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the simulation.
+//! Command line of the simulation.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -7,48 +7,49 @@
 
 use clap::Parser;
 use landingvalve_sim::day;
-use landingvalve_sim::day::Plan;
+use landingvalve_sim::day::Scenario;
 
-/// Plays days of the real code under virtual time, and checks the promises.
+/// Simulates days of the real code under virtual time and checks the
+/// invariants.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
-    /// The first seed.
+    /// Seed of the first day.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many days are played, by one seed each.
+    /// Number of days, one seed each.
     #[arg(long, default_value_t = 100)]
     days: u64,
-    /// How many entries there are.
+    /// Number of entries.
     #[arg(long, default_value_t = 3)]
     entries: usize,
-    /// How many workers.
+    /// Number of workers.
     #[arg(long, default_value_t = 6)]
     workers: usize,
-    /// How many jobs are handed in.
+    /// Number of jobs submitted on a day.
     #[arg(long, default_value_t = 40)]
     jobs: usize,
-    /// For how many seconds there are faults.
+    /// Duration of the faults, in seconds.
     #[arg(long, default_value_t = 40)]
     seconds: u64,
-    /// Stop at the first day that breaks a promise.
+    /// Stop at the first day that violates an invariant.
     #[arg(long)]
     first: bool,
-    /// Print the timeline of each day that breaks a promise, or of the only
-    /// one.
+    /// Print the timeline of each day that violates an invariant, or of the
+    /// only day.
     #[arg(long)]
     timeline: bool,
 }
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    let began = Instant::now();
+    let start = Instant::now();
     let mut broken = 0;
     let mut faults: BTreeMap<&str, u32> = BTreeMap::new();
     let mut starts = 0;
     let mut again = 0;
     for seed in args.seed..args.seed + args.days {
-        let report = day::play(Plan {
+        let report = day::simulate(Scenario {
             seed,
             entries: args.entries,
             workers: args.workers,
@@ -56,28 +57,28 @@
             faults: Duration::from_secs(args.seconds),
         });
         starts += report.starts;
-        again += report.again;
+        again += report.repeated_starts;
         for (name, count) in report.faults {
             *faults.entry(name).or_default() += count;
         }
-        if args.timeline && (args.days == 1 || !report.broken.is_empty()) {
+        if args.timeline && (args.days == 1 || !report.violations.is_empty()) {
             println!("{}", report.timeline.join("\n"));
         }
-        if report.broken.is_empty() {
+        if report.violations.is_empty() {
             continue;
         }
         broken += 1;
-        println!("seed {seed}: {:#?}", report.broken);
+        println!("seed {seed}: {:#?}", report.violations);
         if args.first {
             break;
         }
     }
-    let took = began.elapsed();
+    let elapsed = start.elapsed();
     println!(
         "{} days in {:.1} s, {starts} starts, {again} of them of what was \
          listed as done, {broken} broke a promise, faults {faults:?}",
         args.days,
-        took.as_secs_f64(),
+        elapsed.as_secs_f64(),
     );
     match broken {
         0 => ExitCode::SUCCESS,
--- a/crates/landingvalve-sim/src/network.rs
+++ b/crates/landingvalve-sim/src/network.rs
@@ -1,4 +1,5 @@
-//! Connections between processes, and which of them are alive.
+//! Simulated network: which processes are alive, and the connections between
+//! them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -20,29 +21,29 @@
 
 use crate::lock;
 
-/// How long a message takes.
-const WAY: Duration = Duration::from_millis(1);
-/// How long a connection that nobody answers takes to fail.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Time that a message takes in one direction.
+const MESSAGE_TIME: Duration = Duration::from_millis(1);
+/// Time after which an attempt to connect to an unreachable address fails.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Names one life of a process.
-pub type Process = u64;
-/// Names a machine, through all lives of its process.
-pub type Machine = usize;
+/// Identifies a process from its start to its end; never used again.
+pub type ProcessId = u64;
+/// Identifies a machine, which keeps its number when its process restarts.
+pub type MachineId = usize;
 
 #[derive(Default)]
 struct Data {
-    next: Process,
-    alive: BTreeMap<Process, Machine>,
-    /// Planners by the address of their life.
-    hosts: BTreeMap<String, (Process, Host)>,
-    /// Machines that no other reaches, nor they any.
-    cut: BTreeSet<Machine>,
-    /// Machines that the store turns away or does not hear.
-    apart: BTreeSet<Machine>,
+    last_process: ProcessId,
+    alive: BTreeMap<ProcessId, MachineId>,
+    /// Hosts that can be called, by the address of their process.
+    hosts: BTreeMap<String, (ProcessId, Host)>,
+    /// Machines that are cut off from all other processes, in both directions.
+    isolated: BTreeSet<MachineId>,
+    /// Machines that cannot reach the store.
+    without_store: BTreeSet<MachineId>,
 }
 
-/// The network of a site.
+/// A simulated network.
 #[derive(Clone, Default)]
 pub struct Network(Arc<Mutex<Data>>);
 
@@ -53,97 +54,97 @@
 }
 
 impl Network {
-    /// Starts a process on a machine.
-    pub fn start(&self, machine: Machine) -> Process {
+    /// Starts a process on a machine and returns its identifier.
+    pub fn start(&self, machine: MachineId) -> ProcessId {
         let mut data = lock(&self.0);
-        data.next += 1;
-        let process = data.next;
+        data.last_process += 1;
+        let process = data.last_process;
         data.alive.insert(process, machine);
         process
     }
 
-    /// Ends a process at once: whatever it still does reaches nobody.
-    pub fn kill(&self, process: Process) {
+    /// Kills a process. Messages that its remaining tasks send are lost.
+    pub fn kill(&self, process: ProcessId) {
         let mut data = lock(&self.0);
         data.alive.remove(&process);
         data.hosts.retain(|_, (host, _)| *host != process);
     }
 
-    /// Lets a planner be reached.
-    pub fn listen(&self, address: &str, process: Process, host: Host) {
+    /// Makes a process's host reachable at an address.
+    pub fn listen(&self, address: &str, process: ProcessId, host: Host) {
         let entry = (process, host);
         lock(&self.0).hosts.insert(address.to_owned(), entry);
     }
 
-    /// Cuts a machine off from the other processes, or ends that.
-    pub fn cut(&self, machine: Machine, cut: bool) {
-        let cuts = &mut lock(&self.0).cut;
-        match cut {
-            true => cuts.insert(machine),
-            false => cuts.remove(&machine),
+    /// Cuts a machine off from the other processes, or reconnects it.
+    pub fn set_isolated(&self, machine: MachineId, isolated: bool) {
+        let isolated_machines = &mut lock(&self.0).isolated;
+        match isolated {
+            true => isolated_machines.insert(machine),
+            false => isolated_machines.remove(&machine),
         };
     }
 
-    /// Cuts a machine off from the store, or ends that.
-    pub fn part(&self, machine: Machine, apart: bool) {
-        let parted = &mut lock(&self.0).apart;
-        match apart {
-            true => parted.insert(machine),
-            false => parted.remove(&machine),
+    /// Cuts a machine off from the store, or reconnects it.
+    pub fn set_store_cut(&self, machine: MachineId, store_cut: bool) {
+        let store_cuts = &mut lock(&self.0).without_store;
+        match store_cut {
+            true => store_cuts.insert(machine),
+            false => store_cuts.remove(&machine),
         };
     }
 
-    /// Returns whether a process is alive.
-    pub fn is_alive(&self, process: Process) -> bool {
+    /// Returns whether a process has been started and not killed.
+    pub fn is_alive(&self, process: ProcessId) -> bool {
         lock(&self.0).alive.contains_key(&process)
     }
 
-    /// Returns whether a process reaches the store.
-    pub fn reaches_store(&self, process: Process) -> bool {
+    /// Returns whether a process is alive and its machine can reach the store.
+    pub fn reaches_store(&self, process: ProcessId) -> bool {
         let data = lock(&self.0);
         let machine = data.alive.get(&process);
-        machine.is_some_and(|machine| !data.apart.contains(machine))
+        machine.is_some_and(|machine| !data.without_store.contains(machine))
     }
 
-    /// Waits for ever if a process is dead.
-    pub async fn live(&self, process: Process) {
+    /// Never returns if a process is dead, and returns at once otherwise.
+    pub async fn block_if_dead(&self, process: ProcessId) {
         if !self.is_alive(process) {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Returns the dial of a process.
-    pub fn dial(&self, process: Process) -> Arc<dyn Dial> {
+    /// Returns a process's way to open connections to other processes.
+    pub fn connector(&self, process: ProcessId) -> Arc<dyn Dial> {
         let network = self.clone();
-        Arc::new(Dialler { network, process })
+        Arc::new(ProcessConnector { network, process })
     }
 
-    fn reach(&self, from: Process, address: &str) -> Option<Host> {
+    fn reach(&self, from: ProcessId, address: &str) -> Option<Host> {
         let data = lock(&self.0);
         let (to, host) = data.hosts.get(address)?;
         let machines = [data.alive.get(&from)?, data.alive.get(to)?];
-        let cut = machines.iter().any(|m| data.cut.contains(m));
-        (!cut).then(|| host.clone())
+        let isolated = machines.iter().any(|m| data.isolated.contains(m));
+        (!isolated).then(|| host.clone())
     }
 }
 
 #[derive(Clone, Debug)]
-struct Dialler {
+struct ProcessConnector {
     network: Network,
-    process: Process,
+    process: ProcessId,
 }
 
 #[async_trait]
-impl Dial for Dialler {
+impl Dial for ProcessConnector {
     async fn dial(&self, address: &str) -> Result<Arc<dyn Peer>, Error> {
-        tokio::time::sleep(WAY * 2).await;
+        tokio::time::sleep(MESSAGE_TIME * 2).await;
         match self.network.reach(self.process, address) {
             Some(_) => Ok(Arc::new(Connection {
-                dialler: self.clone(),
+                connector: self.clone(),
                 address: address.to_owned(),
             })),
             None => {
-                tokio::time::sleep(CONNECT).await;
+                tokio::time::sleep(CONNECT_TIMEOUT).await;
                 Err(Error::new(address, "not connected"))
             }
         }
@@ -151,15 +152,15 @@
 }
 
 struct Connection {
-    dialler: Dialler,
+    connector: ProcessConnector,
     address: String,
 }
 
 impl Connection {
-    /// Returns the other side, or waits for ever: who is cut off or has lost
-    /// power says nothing.
+    /// Returns the host at the other end. Never returns if the host is cut off
+    /// or dead, because such a machine does not even reset its connections.
     async fn host(&self) -> Host {
-        let Dialler { network, process } = &self.dialler;
+        let ProcessConnector { network, process } = &self.connector;
         match network.reach(*process, &self.address) {
             Some(host) => host,
             None => std::future::pending().await,
@@ -172,13 +173,13 @@
     async fn sync(&self, report: Report) -> Result<Answer, Error> {
         let error = |e: serde_json::Error| Error::new(&self.address, e);
         let sent = serde_json::to_vec(&report).map_err(error)?;
-        tokio::time::sleep(WAY).await;
+        tokio::time::sleep(MESSAGE_TIME).await;
         let host = self.host().await;
         let report = serde_json::from_slice(&sent).map_err(error)?;
         let answer = host.sync(report).await;
         let answer = answer.map_err(|e| Error::new(&self.address, e))?;
         let sent = serde_json::to_vec(&answer).map_err(error)?;
-        tokio::time::sleep(WAY).await;
+        tokio::time::sleep(MESSAGE_TIME).await;
         self.host().await;
         serde_json::from_slice(&sent).map_err(error)
     }
@@ -186,13 +187,13 @@
     async fn store(&self, call: Call) -> Result<Reply, Error> {
         let error = |e: serde_json::Error| Error::new(&self.address, e);
         let sent = serde_json::to_vec(&call).map_err(error)?;
-        tokio::time::sleep(WAY).await;
+        tokio::time::sleep(MESSAGE_TIME).await;
         let host = self.host().await;
         let call = serde_json::from_slice(&sent).map_err(error)?;
         let reply = host.store(call).await;
         let reply = reply.map_err(|e| Error::new(&self.address, e))?;
         let sent = serde_json::to_vec(&reply).map_err(error)?;
-        tokio::time::sleep(WAY).await;
+        tokio::time::sleep(MESSAGE_TIME).await;
         self.host().await;
         serde_json::from_slice(&sent).map_err(error)
     }
--- a/crates/landingvalve-sim/src/store.rs
+++ b/crates/landingvalve-sim/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store, in memory, with its faults.
+//! In-memory simulation of the platform's store, with its faults.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,72 +21,73 @@
 
 use crate::lock;
 use crate::network::Network;
-use crate::network::Process;
+use crate::network::ProcessId;
 
-/// How long an answer takes.
-const ANSWER: Duration = Duration::from_millis(4);
-/// How long a client waits for a store that says nothing.
-const SILENT: Duration = Duration::from_millis(1000);
-/// How often one that waits looks for changes.
-const LOOK: Duration = Duration::from_millis(10);
-/// When a write without answer is done at the latest, in ms.
-const LATE_MS: u64 = 4000;
+/// Time that the store takes to answer a call.
+const RESPONSE_TIME: Duration = Duration::from_millis(4);
+/// Time after which a client's call to an unresponsive store fails.
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Interval at which a waiting call checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum delay of a write whose answer is lost, in ms.
+const MAX_DELAY_MS: u64 = 4000;
 
-/// How the store fares.
+/// Active faults of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Mode {
-    /// It says nothing.
+pub struct Faults {
+    /// Calls are not answered.
     pub down: bool,
-    /// It turns calls away.
-    pub refuses: bool,
-    /// This share of the writes has no answer; half of them are done at
-    /// once, the others seconds later if their condition still holds.
-    pub loses: f64,
-    /// How much longer its answers take.
-    pub slow: Duration,
-    /// It keeps no history.
-    pub forgets: bool,
+    /// Calls are refused.
+    pub refusing: bool,
+    /// Share of the writes whose answer is lost. Half of these writes are
+    /// applied at once, the others seconds later if their condition still
+    /// holds.
+    pub lost_share: f64,
+    /// Additional time that an answer takes.
+    pub delay: Duration,
+    /// The history of changes is discarded once, when the fault begins.
+    pub compacted: bool,
 }
 
 #[derive(Default)]
 struct Data {
-    mode: Mode,
+    faults: Faults,
     random: fastrand::Rng,
     revision: Revision,
     items: BTreeMap<String, (Item, LeaseId)>,
     leases: BTreeMap<LeaseId, (Instant, Duration)>,
     log: Vec<Change>,
-    /// Changes up to this revision are forgotten.
-    forgotten: Revision,
+    /// Revision up to which the history of changes is discarded.
+    compacted_revision: Revision,
 }
 
-/// The store of a site.
+/// The store itself, shared by the clients of all processes.
 #[derive(Clone)]
-pub struct Shared(Arc<Mutex<Data>>);
+pub struct Server(Arc<Mutex<Data>>);
 
-impl Shared {
-    /// Returns an empty store whose faults are drawn by a seed.
-    pub fn new(seed: u64) -> Shared {
+impl Server {
+    /// Returns an empty store that draws its faults from a seed.
+    pub fn new(seed: u64) -> Server {
         let random = fastrand::Rng::with_seed(seed);
-        Shared(Arc::new(Mutex::new(Data {
+        Server(Arc::new(Mutex::new(Data {
             random,
             ..Data::default()
         })))
     }
 
-    /// Sets how it fares from now on.
-    pub fn set(&self, mode: Mode) {
+    /// Replaces the active faults.
+    pub fn set_faults(&self, faults: Faults) {
         let mut data = lock(&self.0);
-        data.mode = mode;
-        if mode.forgets {
-            data.forgotten = data.revision;
+        data.faults = faults;
+        if faults.compacted {
+            data.compacted_revision = data.revision;
         }
     }
 
-    /// Returns what a process sees of it.
-    pub fn of(&self, network: &Network, process: Process) -> Handle {
-        Handle {
-            store: self.clone(),
+    /// Returns a client for a process.
+    pub fn client(&self, network: &Network, process: ProcessId) -> Client {
+        Client {
+            server: self.clone(),
             network: network.clone(),
             process,
         }
@@ -95,32 +96,32 @@
     fn write(
         &self,
         conditions: &[Compare],
-        puts: Vec<Mutation>,
+        mutations: Vec<Mutation>,
     ) -> Result<Swap, Error> {
         let mut data = lock(&self.0);
-        data.lapse();
-        data.swap(conditions, puts)
+        data.expire_leases();
+        data.swap(conditions, mutations)
     }
 }
 
 impl Data {
-    fn lapse(&mut self) {
+    fn expire_leases(&mut self) {
         let now = Instant::now();
-        // While the store is down its leases wait.
-        if self.mode.down {
+        // Leases do not expire while the store is down.
+        if self.faults.down {
             return;
         }
-        let over = self.leases.iter().filter(|(_, (end, _))| *end <= now);
-        let over: Vec<LeaseId> = over.map(|(lease, _)| *lease).collect();
-        for lease in over {
+        let expired = self.leases.iter().filter(|(_, (end, _))| *end <= now);
+        let expired: Vec<LeaseId> = expired.map(|(lease, _)| *lease).collect();
+        for lease in expired {
             self.end_lease(lease);
         }
     }
 
     fn end_lease(&mut self, lease: LeaseId) {
         self.leases.remove(&lease);
-        let held = self.items.values().filter(|(_, on)| *on == lease);
-        let keys: Vec<String> = held.map(|(i, _)| i.key.clone()).collect();
+        let attached = self.items.values().filter(|(_, on)| *on == lease);
+        let keys: Vec<String> = attached.map(|(i, _)| i.key.clone()).collect();
         for key in keys {
             self.revision += 1;
             self.items.remove(&key);
@@ -131,7 +132,7 @@
     fn swap(
         &mut self,
         conditions: &[Compare],
-        puts: Vec<Mutation>,
+        mutations: Vec<Mutation>,
     ) -> Result<Swap, Error> {
         let holds = |condition: &Compare| {
             let (key, wanted, created) = match condition {
@@ -153,24 +154,24 @@
             let items = items.map(|(item, _)| item.clone()).collect();
             return Ok(Swap::Refused(items));
         }
-        let on = |put: &Mutation| match put {
+        let on = |mutation: &Mutation| match mutation {
             Mutation::Value(_, _, lease) if *lease != 0 => Some(*lease),
             _ => None,
         };
-        let mut leases = puts.iter().filter_map(on);
+        let mut leases = mutations.iter().filter_map(on);
         if leases.any(|lease| !self.leases.contains_key(&lease)) {
-            return Err(Error::Unreached(none("no such lease")));
+            return Err(Error::Unreached(connection_error("no such lease")));
         }
         self.revision += 1;
-        for put in puts {
-            self.put(put);
+        for mutation in mutations {
+            self.apply(mutation);
         }
         Ok(Swap::Written(self.revision))
     }
 
-    fn put(&mut self, put: Mutation) {
+    fn apply(&mut self, mutation: Mutation) {
         let revision = self.revision;
-        match put {
+        match mutation {
             Mutation::Value(key, value, lease) => {
                 let earlier = self.items.get(&key);
                 let created = earlier.map_or(revision, |(i, _)| i.created);
@@ -192,98 +193,103 @@
     }
 }
 
-fn none(reason: &str) -> http::Error {
+fn connection_error(reason: &str) -> http::Error {
     http::Error::Lost {
         url: "store".to_owned(),
         reason: reason.to_owned(),
     }
 }
 
-/// What one process sees of the store.
+/// The store client of one process.
 #[derive(Clone)]
-pub struct Handle {
-    store: Shared,
+pub struct Client {
+    server: Server,
     network: Network,
-    process: Process,
+    process: ProcessId,
 }
 
-impl Handle {
-    /// Returns once the call has come to the store.
-    async fn call(&self) -> Result<(), Error> {
-        self.network.live(self.process).await;
-        let mode = lock(&self.store.0).mode;
-        tokio::time::sleep(ANSWER + mode.slow).await;
-        self.network.live(self.process).await;
-        let mode = lock(&self.store.0).mode;
-        match mode {
+impl Client {
+    /// Waits until a call has reached the store.
+    ///
+    /// # Errors
+    ///
+    /// If the store does not answer or refuses the call.
+    async fn reach_server(&self) -> Result<(), Error> {
+        self.network.block_if_dead(self.process).await;
+        let faults = lock(&self.server.0).faults;
+        tokio::time::sleep(RESPONSE_TIME + faults.delay).await;
+        self.network.block_if_dead(self.process).await;
+        let faults = lock(&self.server.0).faults;
+        match faults {
             _ if !self.network.reaches_store(self.process) => {
-                tokio::time::sleep(SILENT).await;
-                Err(Error::Unreached(none("not reached")))
+                tokio::time::sleep(CLIENT_TIMEOUT).await;
+                Err(Error::Unreached(connection_error("unreachable")))
             }
-            Mode { down: true, .. } => {
-                tokio::time::sleep(SILENT).await;
-                Err(Error::Unreached(none("down")))
+            Faults { down: true, .. } => {
+                tokio::time::sleep(CLIENT_TIMEOUT).await;
+                Err(Error::Unreached(connection_error("down")))
             }
-            Mode { refuses: true, .. } => {
-                Err(Error::Unreached(none("turned away")))
+            Faults { refusing: true, .. } => {
+                Err(Error::Unreached(connection_error("refused")))
             }
             _ => {
-                lock(&self.store.0).lapse();
+                lock(&self.server.0).expire_leases();
                 Ok(())
             }
         }
     }
 }
 
-impl Store for Handle {
+impl Store for Client {
     async fn get(&self, key: &str) -> Result<Option<Item>, Error> {
-        self.call().await?;
-        let data = lock(&self.store.0);
+        self.reach_server().await?;
+        let data = lock(&self.server.0);
         Ok(data.items.get(key).map(|(item, _)| item.clone()))
     }
 
     async fn list(&self, prefix: &str) -> Result<Listing, Error> {
-        self.call().await?;
-        let data = lock(&self.store.0);
+        self.reach_server().await?;
+        let data = lock(&self.server.0);
         let items = data.items.values().map(|(item, _)| item);
-        let here = items.filter(|item| item.key.starts_with(prefix));
+        let matching = items.filter(|item| item.key.starts_with(prefix));
         Ok(Listing {
             revision: data.revision,
-            items: here.cloned().collect(),
+            items: matching.cloned().collect(),
         })
     }
 
     async fn swap(
         &self,
         conditions: &[Compare],
-        puts: Vec<Mutation>,
+        mutations: Vec<Mutation>,
     ) -> Result<Swap, Error> {
-        self.call().await?;
-        let (lost, late) = {
-            let mut data = lock(&self.store.0);
-            let share = data.mode.loses;
+        self.reach_server().await?;
+        let (lost, delay_ms) = {
+            let mut data = lock(&self.server.0);
+            let share = data.faults.lost_share;
             let lost = data.random.f64() < share;
-            let late = data.random.bool().then(|| data.random.u64(..LATE_MS));
-            (lost, late)
+            let delay_ms =
+                data.random.bool().then(|| data.random.u64(..MAX_DELAY_MS));
+            (lost, delay_ms)
         };
         if !lost {
-            return self.store.write(conditions, puts);
+            return self.server.write(conditions, mutations);
         }
-        let store = self.store.clone();
+        let server = self.server.clone();
         let conditions = conditions.to_vec();
         tokio::spawn(async move {
-            let late = Duration::from_millis(late.unwrap_or_default());
-            tokio::time::sleep(late).await;
-            // Nobody is told what came of it.
-            let _ = store.write(&conditions, puts);
+            let delay = Duration::from_millis(delay_ms.unwrap_or_default());
+            tokio::time::sleep(delay).await;
+            // The caller never learns the result.
+            let _ = server.write(&conditions, mutations);
         });
-        tokio::time::sleep(SILENT).await;
-        Err(Error::Lost(none("no answer")))
+        tokio::time::sleep(CLIENT_TIMEOUT).await;
+        Err(Error::Lost(connection_error("no answer")))
     }
 
     async fn grant(&self, ttl: Duration) -> Result<LeaseId, Error> {
-        self.call().await?;
-        let mut data = lock(&self.store.0);
+        self.reach_server().await?;
+        let mut data = lock(&self.server.0);
         data.revision += 1;
         let lease = data.revision;
         data.leases.insert(lease, (Instant::now() + ttl, ttl));
@@ -291,16 +297,16 @@
     }
 
     async fn keep_alive(&self, lease: LeaseId) -> Result<bool, Error> {
-        self.call().await?;
-        let mut data = lock(&self.store.0);
-        let kept = data.leases.get_mut(&lease);
-        let kept = kept.map(|(end, ttl)| *end = Instant::now() + *ttl);
-        Ok(kept.is_some())
+        self.reach_server().await?;
+        let mut data = lock(&self.server.0);
+        let renewed = data.leases.get_mut(&lease);
+        let renewed = renewed.map(|(end, ttl)| *end = Instant::now() + *ttl);
+        Ok(renewed.is_some())
     }
 
     async fn revoke(&self, lease: LeaseId) -> Result<(), Error> {
-        self.call().await?;
-        lock(&self.store.0).end_lease(lease);
+        self.reach_server().await?;
+        lock(&self.server.0).end_lease(lease);
         Ok(())
     }
 
@@ -310,32 +316,36 @@
         after: Revision,
         wait: Duration,
     ) -> Result<Changes, Error> {
-        self.call().await?;
+        self.reach_server().await?;
         let deadline = Instant::now() + wait;
         loop {
             {
-                let mut data = lock(&self.store.0);
-                data.lapse();
-                if after < data.forgotten {
+                let mut data = lock(&self.server.0);
+                data.expire_leases();
+                if after < data.compacted_revision {
                     return Err(Error::Forgotten(after));
                 }
-                let about = |c: &&Change| c.key().starts_with(prefix);
+                let has_prefix = |c: &&Change| c.key().starts_with(prefix);
                 let new = data.log.partition_point(|c| c.revision() <= after);
-                let changes = data.log[new..].iter().filter(about);
+                let changes = data.log[new..].iter().filter(has_prefix);
                 let changes: Vec<Change> = changes.cloned().collect();
                 if !changes.is_empty() || Instant::now() >= deadline {
                     let revision = data.revision;
                     return Ok(Changes { revision, changes });
                 }
-                if data.mode.down || data.mode.refuses {
-                    return Err(Error::Unreached(none("cut")));
+                if data.faults.down || data.faults.refusing {
+                    return Err(Error::Unreached(connection_error(
+                        "connection closed",
+                    )));
                 }
             }
             if !self.network.reaches_store(self.process) {
-                tokio::time::sleep(SILENT).await;
-                return Err(Error::Unreached(none("cut")));
+                tokio::time::sleep(CLIENT_TIMEOUT).await;
+                return Err(Error::Unreached(connection_error(
+                    "connection closed",
+                )));
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/landingvalve-sim/src/worker.rs
+++ b/crates/landingvalve-sim/src/worker.rs
@@ -1,4 +1,4 @@
-//! Workers as the users' pages say they are.
+//! Simulated workers, which behave and fail as their specification allows.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,131 +26,133 @@
 use landingvalve::store::Revision;
 use tokio::time::Instant;
 
+use crate::invariants::Checker;
+use crate::invariants::Key;
+use crate::invariants::When;
 use crate::lock;
 use crate::network::Network;
-use crate::network::Process;
-use crate::promise::Key;
-use crate::promise::Promise;
-use crate::promise::When;
-
-/// How long an answer takes.
-const ANSWER: Duration = Duration::from_millis(1);
-/// How often one that waits for an end looks.
-const LOOK: Duration = Duration::from_millis(10);
-/// The longest lease.
-const LEASE: Duration = Duration::from_millis(6000);
-/// How long a stop takes.
-const STOP: Duration = Duration::from_millis(300);
-/// How long a member of a gang waits for the others.
-const ALONE: Duration = Duration::from_millis(3000);
-/// For how long a bad task works before it takes its worker down.
-const DOOM: Duration = Duration::from_millis(180);
-/// When a call without answer is carried out at the latest, in ms.
-const LATE_MS: u64 = 4000;
-/// The accelerators of a worker.
+use crate::network::ProcessId;
+
+/// Time that a worker takes to answer a call.
+const RESPONSE_TIME: Duration = Duration::from_millis(1);
+/// Interval at which a waiting poll checks for ended tasks.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum duration of the worker's lease.
+const MAX_LEASE: Duration = Duration::from_millis(6000);
+/// Time that a task takes to stop.
+const STOP_TIME: Duration = Duration::from_millis(300);
+/// Time that a member of a gang waits for the other members.
+const GANG_TIMEOUT: Duration = Duration::from_millis(3000);
+/// Time that a task of the crashing job works before its worker crashes.
+const TIME_TO_CRASH: Duration = Duration::from_millis(180);
+/// Maximum delay of a call whose answer is lost, in ms.
+const MAX_DELAY_MS: u64 = 4000;
+/// Number of accelerators of a worker.
 pub const ACCELERATORS: i64 = 8;
 
-/// How a worker fares.
+/// Active faults of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Mode {
-    /// This share of the calls has no answer and is carried out later.
-    pub late: f64,
-    /// All that runs fails.
-    pub fails: bool,
-    /// It says nothing, and runs on.
-    pub mute: bool,
-    /// It breaks off every call, while its heartbeats go on.
-    pub deaf: bool,
+pub struct Faults {
+    /// Share of the calls that are not answered and are carried out later.
+    pub delayed_share: f64,
+    /// Every running task fails.
+    pub failing: bool,
+    /// Calls are not answered and heartbeats are not sent, while tasks run on.
+    pub silent: bool,
+    /// Every call is reset, while heartbeats are still sent.
+    pub drops_calls: bool,
 }
 
-struct Work {
+struct Execution {
     run: Run,
     charge: i64,
-    /// How long it has worked, with its gang there.
-    worked: Duration,
-    since: Instant,
-    whole: bool,
-    stops: Option<Instant>,
+    /// Time that the task has worked while all members of its gang were
+    /// present.
+    work_done: Duration,
+    started: Instant,
+    complete: bool,
+    stop_at: Option<Instant>,
 }
 
 struct Data {
-    mode: Mode,
+    faults: Faults,
     random: fastrand::Rng,
     name: String,
     keeps_name: bool,
-    guards: bool,
+    checks_capacity: bool,
     up: bool,
     births: u64,
-    clock: Instant,
-    /// How far the clock is from that of others, in ms.
+    started: Instant,
+    /// Difference of the worker's clock from the simulation's clock, in ms.
     offset: u64,
     sequence: u64,
     token: Revision,
-    leased: Instant,
-    running: BTreeMap<Task, Work>,
+    lease_end: Instant,
+    running: BTreeMap<Task, Execution>,
     ended: Vec<Ended>,
-    number: u64,
-    /// Up to which end an answer has listed them.
-    listed: u64,
-    lapsed: u64,
+    last_end: u64,
+    /// Number of the last end that an answer has listed.
+    last_listed: u64,
+    lapse_end: u64,
     barred: BTreeMap<Task, Run>,
-    /// The task that takes it down.
-    bad: Option<String>,
+    /// Job whose tasks crash the worker.
+    crash_job: Option<String>,
 }
 
-/// A worker.
+/// The endpoint of a simulated worker.
 #[derive(Clone)]
-pub struct Site {
+pub struct Endpoint {
     data: Arc<Mutex<Data>>,
-    promise: Promise,
+    checker: Checker,
 }
 
-impl Site {
-    /// Returns a worker that runs nothing.
-    pub fn new(name: &str, seed: u64, promise: Promise) -> Site {
+impl Endpoint {
+    /// Returns a worker that is up and runs no tasks.
+    pub fn new(name: &str, seed: u64, checker: Checker) -> Endpoint {
         let mut random = fastrand::Rng::with_seed(seed);
         let keeps_name = random.bool();
-        let guards = random.bool();
+        let checks_capacity = random.bool();
         let offset = random.u64(1000..5_000_000);
         let now = Instant::now();
         let data = Data {
-            mode: Mode::default(),
+            faults: Faults::default(),
             random,
             name: name.to_owned(),
             keeps_name,
-            guards,
+            checks_capacity,
             up: true,
             births: 1,
-            clock: now,
+            started: now,
             offset,
             sequence: 0,
             token: 0,
-            leased: now,
+            lease_end: now,
             running: BTreeMap::new(),
             ended: Vec::new(),
-            number: 0,
-            listed: 0,
-            lapsed: 0,
+            last_end: 0,
+            last_listed: 0,
+            lapse_end: 0,
             barred: BTreeMap::new(),
-            bad: None,
+            crash_job: None,
         };
-        Site {
+        Endpoint {
             data: Arc::new(Mutex::new(data)),
-            promise,
+            checker,
         }
     }
 
-    /// Sets how it fares from now on.
-    pub fn set(&self, mode: Mode) {
-        lock(&self.data).mode = mode;
+    /// Replaces the active faults.
+    pub fn set_faults(&self, faults: Faults) {
+        lock(&self.data).faults = faults;
     }
 
-    /// Lets a job's tasks take the worker down as they work.
-    pub fn crash_under(&self, job: &str) {
-        lock(&self.data).bad = Some(job.to_owned());
+    /// Makes the worker crash whenever it has run a task of this job for a
+    /// while.
+    pub fn crash_on_job(&self, job: &str) {
+        lock(&self.data).crash_job = Some(job.to_owned());
     }
 
-    /// Takes it down, with all that runs.
+    /// Takes the worker down together with its running tasks.
     pub fn crash(&self) {
         let mut data = lock(&self.data);
         self.go_down(&mut data);
@@ -158,49 +160,51 @@
 
     fn go_down(&self, data: &mut Data) {
         let life = data.life();
-        self.promise.tell(format!("{life} goes down"));
+        self.checker.record(format!("{life} goes down"));
         for (task, work) in std::mem::take(&mut data.running) {
             let key = (task, work.run);
-            self.promise.ends(&key, &life, None);
+            self.checker.record_end(&key, &life, None);
         }
-        // Nobody can know of these: they are told as gone with the worker.
-        let listed = data.listed;
+        // No process can learn of these ends: the tasks are reported as lost
+        // with the worker.
+        let listed = data.last_listed;
         for end in data.ended.iter().filter(|end| end.number > listed) {
-            self.promise.hides(&(end.task.clone(), end.run), &life);
+            self.checker
+                .record_unlisted_end(&(end.task.clone(), end.run), &life);
         }
         data.up = false;
     }
 
-    /// Returns whether it is up.
+    /// Returns whether the worker is up.
     pub fn is_up(&self) -> bool {
         lock(&self.data).up
     }
 
-    /// Starts it again, empty.
-    pub fn start_again(&self) {
+    /// Starts a new birth of the worker, without tasks.
+    pub fn restart(&self) {
         let mut data = lock(&self.data);
         if data.up {
             return;
         }
         data.up = true;
         data.births += 1;
-        data.clock = Instant::now();
+        data.started = Instant::now();
         data.offset = data.random.u64(1000..5_000_000);
         data.sequence = 0;
         data.token = 0;
-        data.leased = data.clock;
+        data.lease_end = data.started;
         data.ended.clear();
-        data.number = 0;
-        data.listed = 0;
-        data.lapsed = 0;
+        data.last_end = 0;
+        data.last_listed = 0;
+        data.lapse_end = 0;
         data.barred.clear();
-        self.promise.tell(format!("{} is up", data.life()));
+        self.checker.record(format!("{} is up", data.life()));
     }
 
-    /// Returns what it says of itself, if it says anything.
+    /// Returns the next heartbeat, or `None` if the worker is down or silent.
     pub fn heartbeat(&self) -> Option<Heartbeat> {
         let mut data = lock(&self.data);
-        if !data.up || data.mode.mute {
+        if !data.up || data.faults.silent {
             return None;
         }
         data.sequence += 1;
@@ -223,98 +227,104 @@
         })
     }
 
-    /// Returns the gang runs that are here, and how many members of each.
-    pub fn here(&self) -> BTreeMap<(Task, Run), u32> {
+    /// Returns the number of tasks of each run on this worker, by the run's
+    /// first task.
+    pub fn member_counts(&self) -> BTreeMap<(Task, Run), u32> {
         let data = lock(&self.data);
-        let mut here = BTreeMap::new();
+        let mut counts = BTreeMap::new();
         for (task, work) in &data.running {
             let first = Task {
                 index: 0,
                 ..task.clone()
             };
-            *here.entry((first, work.run)).or_default() += 1;
+            *counts.entry((first, work.run)).or_default() += 1;
         }
-        here
+        counts
     }
 
-    /// Lets time pass; `whole` says whether all members of a gang's run are
-    /// there, `work` how long a task works. Returns the gang runs that end
-    /// here, and how.
-    pub fn pass(
+    /// Advances the running tasks by some time. `complete` returns whether all
+    /// members of a gang's run are present (`None` if the task is of no gang),
+    /// and `work` returns how long a task works. Returns the gang runs that
+    /// have ended on this worker, and how.
+    pub fn advance(
         &self,
         time: Duration,
-        whole: impl Fn(&Task, Run) -> Option<bool>,
+        complete: impl Fn(&Task, Run) -> Option<bool>,
         work: impl Fn(&Task) -> Duration,
     ) -> Vec<(Task, Run, How)> {
         let mut data = lock(&self.data);
         let now = Instant::now();
-        let lapsed = now >= data.leased;
-        let mut over: Vec<(Task, How)> = Vec::new();
+        let lapsed = now >= data.lease_end;
+        let mut finished: Vec<(Task, How)> = Vec::new();
         let mut gangs = Vec::new();
-        let fails = data.mode.fails;
-        let bad = data.bad.clone();
-        let mut doomed = false;
+        let fails = data.faults.failing;
+        let crash_job = data.crash_job.clone();
+        let mut crash_due = false;
         for (task, running) in &mut data.running {
-            if whole(task, running.run) != Some(false) {
-                running.worked += time;
-                running.whole = true;
+            if complete(task, running.run) != Some(false) {
+                running.work_done += time;
+                running.complete = true;
             }
-            let is_bad = bad.as_deref() == Some(&*task.job);
-            doomed |= is_bad && running.worked > DOOM;
+            let crashes = crash_job.as_deref() == Some(&*task.job);
+            crash_due |= crashes && running.work_done > TIME_TO_CRASH;
         }
-        if doomed && data.up {
+        if crash_due && data.up {
             self.go_down(&mut data);
         }
         for (task, running) in &data.running {
-            let gang = whole(task, running.run);
+            let gang = complete(task, running.run);
             let how = match gang {
                 _ if lapsed => How::Lapsed,
-                _ if running.stops.is_some_and(|at| now >= at) => How::Stopped,
-                Some(false) if running.whole => How::Broken,
-                Some(false) if now > running.since + ALONE => How::Alone,
+                _ if running.stop_at.is_some_and(|at| now >= at) => {
+                    How::Stopped
+                }
+                Some(false) if running.complete => How::Broken,
+                Some(false) if now > running.started + GANG_TIMEOUT => {
+                    How::Alone
+                }
                 Some(false) => continue,
-                _ if fails && !running.worked.is_zero() => How::Failed,
-                _ if running.worked >= work(task) => How::Done,
+                _ if fails && !running.work_done.is_zero() => How::Failed,
+                _ if running.work_done >= work(task) => How::Done,
                 _ => continue,
             };
-            over.push((task.clone(), how));
+            finished.push((task.clone(), how));
             if gang.is_some() {
                 gangs.push((task.clone(), running.run, how));
             }
         }
-        for (task, how) in over {
-            self.end(&mut data, &task, how);
+        for (task, how) in finished {
+            self.finish(&mut data, &task, how);
         }
         if lapsed {
-            data.lapsed = data.number;
+            data.lapse_end = data.last_end;
         }
         gangs
     }
 
-    /// Ends what is here of a gang's run.
+    /// Ends all members of a gang's run on this worker.
     pub fn end_gang(&self, of: &Task, run: Run, how: How) {
         let mut data = lock(&self.data);
-        let same = |task: &Task, work: &Work| {
+        let same = |task: &Task, work: &Execution| {
             let one = (&task.job, task.time, task.step, work.run);
             one == (&of.job, of.time, of.step, run)
         };
-        let here = data.running.iter().filter(|(task, w)| same(task, w));
-        let here: Vec<Task> = here.map(|(task, _)| task.clone()).collect();
-        for task in here {
-            self.end(&mut data, &task, how);
+        let members = data.running.iter().filter(|(task, w)| same(task, w));
+        let tasks: Vec<Task> = members.map(|(task, _)| task.clone()).collect();
+        for task in tasks {
+            self.finish(&mut data, &task, how);
         }
     }
 
-    fn end(&self, data: &mut Data, task: &Task, how: How) {
+    fn finish(&self, data: &mut Data, task: &Task, how: How) {
         let Some(work) = data.running.remove(task) else {
             return;
         };
-        data.number += 1;
+        data.last_end += 1;
         let key = (task.clone(), work.run);
-        self.promise.ends(&key, &data.life(), Some(how));
+        self.checker.record_end(&key, &data.life(), Some(how));
         let barred = data.barred.entry(task.clone()).or_default();
         *barred = (*barred).max(work.run);
-        let number = data.number;
+        let number = data.last_end;
         data.ended.push(Ended {
             number,
             task: task.clone(),
@@ -328,25 +338,26 @@
 impl Data {
     fn life(&self) -> Life {
         match self.keeps_name {
-            // The time of day may be set back between two births.
+            // The wall clock may be set back between two births, so the
+            // numbers of births need not rise.
             true => Life::new(&self.name, self.births ^ 2),
             false => format!("{}-{}", self.name, self.births).into(),
         }
     }
 
-    /// Its clock is 2% slow.
+    /// Returns the time of the worker's clock, which is 2% slow.
     fn time(&self) -> WorkerTime {
-        let since = self.clock.elapsed().mul_f64(0.98);
+        let since = self.started.elapsed().mul_f64(0.98);
         self.offset + since.as_millis() as u64
     }
 
-    fn lease(&mut self, expires: WorkerTime) {
+    fn extend_lease(&mut self, expires: WorkerTime) {
         let ms = expires.saturating_sub(self.time());
-        let lease = Duration::from_millis(ms).min(LEASE).div_f64(0.98);
-        self.leased = self.leased.max(Instant::now() + lease);
+        let lease = Duration::from_millis(ms).min(MAX_LEASE).div_f64(0.98);
+        self.lease_end = self.lease_end.max(Instant::now() + lease);
     }
 
-    fn fence(&mut self, token: Revision) -> Result<(), Error> {
+    fn check_token(&mut self, token: Revision) -> Result<(), Error> {
         if token < self.token {
             return Err(Error::Fenced);
         }
@@ -355,46 +366,46 @@
     }
 }
 
-/// What an agent's process sees of its worker.
+/// The worker client of one agent's process.
 #[derive(Clone)]
-pub struct Handle {
-    site: Site,
+pub struct Client {
+    endpoint: Endpoint,
     network: Network,
-    process: Process,
+    process: ProcessId,
 }
 
-/// A call that may be carried out late.
+/// A call, which may be carried out late.
 #[derive(Clone)]
 enum Order {
     Start(Start, WorkerTime),
     Stop(Stop),
-    Look(u64, Option<WorkerTime>),
+    Poll(u64, Option<WorkerTime>),
 }
 
-impl Site {
-    /// Returns what a process sees of it.
-    pub fn of(&self, network: &Network, process: Process) -> Handle {
-        Handle {
-            site: self.clone(),
+impl Endpoint {
+    /// Returns a client for a process.
+    pub fn client(&self, network: &Network, process: ProcessId) -> Client {
+        Client {
+            endpoint: self.clone(),
             network: network.clone(),
             process,
         }
     }
 
-    fn obey(
+    fn apply(
         &self,
         token: Revision,
         order: &Order,
         when: When,
     ) -> Result<WorkerTime, Error> {
         let mut data = lock(&self.data);
-        data.fence(token)?;
+        data.check_token(token)?;
         match order {
             Order::Start(start, expires) => {
                 self.start(&mut data, start, *expires, when)?;
             }
             Order::Stop(stop) => self.stop(&mut data, stop),
-            Order::Look(noted, expires) => {
+            Order::Poll(noted, expires) => {
                 self.acknowledge(&mut data, *noted, *expires, when);
             }
         }
@@ -411,7 +422,7 @@
         if expires <= data.time() {
             return Err(Error::Late(data.time()));
         }
-        data.lease(expires);
+        data.extend_lease(expires);
         let key: Key = (start.task.clone(), start.run);
         let present = data.running.get(&start.task);
         if present.is_some_and(|work| work.run == start.run) {
@@ -424,36 +435,37 @@
         let used: i64 = data.running.values().map(|work| work.charge).sum();
         let charge = start.charge.accelerators;
         if used + charge > ACCELERATORS {
-            if data.guards {
+            if data.checks_capacity {
                 return Err(Error::Refused(Refusal::Room));
             }
-            self.check_limit(data, &key, charge, when);
+            self.check_capacity(data, &key, charge, when);
         }
-        self.promise.starts(&key, &data.life(), when);
-        let work = Work {
+        self.checker.record_start(&key, &data.life(), when);
+        let work = Execution {
             run: start.run,
             charge,
-            worked: Duration::ZERO,
-            since: Instant::now(),
-            whole: false,
-            stops: None,
+            work_done: Duration::ZERO,
+            started: Instant::now(),
+            complete: false,
+            stop_at: None,
         };
         data.running.insert(start.task.clone(), work);
         Ok(())
     }
 
-    /// Checks that a worker which guards nothing is not filled beyond its
-    /// room, but by what began on orders to an earlier birth.
-    fn check_limit(&self, data: &Data, key: &Key, charge: i64, when: When) {
+    /// Checks that the accelerators of a worker without a capacity check are
+    /// not exceeded. Runs that began by orders to an earlier birth do not
+    /// count.
+    fn check_capacity(&self, data: &Data, key: &Key, charge: i64, when: When) {
         let life = data.life();
         let counts = data.running.iter().filter(|(task, work)| {
             let key = ((*task).clone(), work.run);
-            !self.promise.is_uncounted(&key, &life)
+            !self.checker.is_uncounted(&key, &life)
         });
         let used: i64 = counts.map(|(_, work)| work.charge).sum();
         if when != When::LaterBirth && used + charge > ACCELERATORS {
             let line = format!("LIMIT: {} takes {charge} to {used}", key.0);
-            self.promise.breaks(line);
+            self.checker.record_violation(line);
         }
     }
 
@@ -461,22 +473,22 @@
         let now = Instant::now();
         if let Some(work) = data.running.get_mut(&stop.task) {
             if work.run <= stop.run {
-                work.stops = work.stops.or(Some(now + STOP));
+                work.stop_at = work.stop_at.or(Some(now + STOP_TIME));
             }
         }
         let barred = data.barred.entry(stop.task.clone()).or_default();
         *barred = (*barred).max(stop.run);
     }
 
-    /// Takes in that an answer lists the ends that are there.
-    fn list(&self, data: &mut Data) {
+    /// Records that an answer has listed all unacknowledged ends.
+    fn record_listing(&self, data: &mut Data) {
         let life = data.life();
-        let listed = data.listed;
+        let listed = data.last_listed;
         for end in data.ended.iter().filter(|end| end.number > listed) {
             let key = (end.task.clone(), end.run);
-            self.promise.lists(&key, &life, end.how);
+            self.checker.record_listing(&key, &life, end.how);
         }
-        data.listed = data.number;
+        data.last_listed = data.last_end;
     }
 
     fn acknowledge(
@@ -487,98 +499,106 @@
         when: When,
     ) {
         if let Some(expires) = expires {
-            data.lease(expires);
+            data.extend_lease(expires);
         }
-        let lapsed = data.lapsed;
+        let lapsed = data.lapse_end;
         let ended = std::mem::take(&mut data.ended);
-        let (over, left) = ended.into_iter().partition(|e| e.number <= noted);
+        let (acknowledged, left) =
+            ended.into_iter().partition(|e| e.number <= noted);
         data.ended = left;
-        let over: Vec<Ended> = over;
-        // A look that was meant for the birth before makes this one forget
-        // ends that nobody has read: no agent can call it back.
-        let meant = when != When::LaterBirth;
-        let counts =
-            |e: &&Ended| meant && e.how == How::Done && e.number > lapsed;
-        for end in over.iter().filter(counts) {
-            self.promise.notes(&end.task);
+        let acknowledged: Vec<Ended> = acknowledged;
+        // A delayed poll that was sent to the previous birth makes this birth
+        // forget ends that no agent has read. The agent cannot withdraw the
+        // poll, so these ends do not count as acknowledged.
+        let is_current_birth = when != When::LaterBirth;
+        let counts = |e: &&Ended| {
+            is_current_birth && e.how == How::Done && e.number > lapsed
+        };
+        for end in acknowledged.iter().filter(counts) {
+            self.checker.record_acknowledgment(&end.task);
         }
     }
 }
 
-impl Handle {
-    /// Returns once a call has come to the worker, or what became of it.
-    async fn come(&self, call: &Call, order: &Order) -> Result<(), Error> {
-        self.network.live(self.process).await;
-        tokio::time::sleep(ANSWER).await;
-        self.network.live(self.process).await;
-        let (mode, up, late) = {
-            let mut data = lock(&self.site.data);
-            let late = data.random.f64() < data.mode.late;
-            (data.mode, data.up, late)
+impl Client {
+    /// Waits until a call has reached the worker.
+    ///
+    /// # Errors
+    ///
+    /// If the worker is down, resets the call, or has another name than the
+    /// call's.
+    async fn deliver(&self, call: &Call, order: &Order) -> Result<(), Error> {
+        self.network.block_if_dead(self.process).await;
+        tokio::time::sleep(RESPONSE_TIME).await;
+        self.network.block_if_dead(self.process).await;
+        let (faults, up, late) = {
+            let mut data = lock(&self.endpoint.data);
+            let late = data.random.f64() < data.faults.delayed_share;
+            (data.faults, data.up, late)
         };
-        if mode.mute {
+        if faults.silent {
             std::future::pending::<()>().await;
         }
         if !up {
             return Err(Error::Down("down".to_owned()));
         }
-        if mode.deaf {
+        if faults.drops_calls {
             return Err(Error::Lost("reset".to_owned()));
         }
-        if lock(&self.site.data).life().name() != call.life.name() {
+        if lock(&self.endpoint.data).life().name() != call.life.name() {
             return Err(Error::OtherLife);
         }
         if late {
-            self.later(call, order);
+            self.deliver_later(call, order);
             std::future::pending::<()>().await;
         }
         Ok(())
     }
 
-    fn later(&self, call: &Call, order: &Order) {
+    fn deliver_later(&self, call: &Call, order: &Order) {
         let (ms, births) = {
-            let mut data = lock(&self.site.data);
-            (data.random.u64(..LATE_MS), data.births)
+            let mut data = lock(&self.endpoint.data);
+            (data.random.u64(..MAX_DELAY_MS), data.births)
         };
-        let (site, call, order) =
-            (self.site.clone(), call.clone(), order.clone());
+        let (endpoint, call, order) =
+            (self.endpoint.clone(), call.clone(), order.clone());
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(ms)).await;
-            let (here, when) = {
-                let data = lock(&site.data);
+            let (is_same_worker, when) = {
+                let data = lock(&endpoint.data);
                 let when = match data.births == births {
                     true => When::Late,
                     false => When::LaterBirth,
                 };
                 (data.up && data.life().name() == call.life.name(), when)
             };
-            if here {
-                // Nobody is told what came of it.
-                let _ = site.obey(call.token, &order, when);
+            if is_same_worker {
+                // The caller never learns the result.
+                let _ = endpoint.apply(call.token, &order, when);
             }
         });
     }
 
-    async fn order(
+    async fn call(
         &self,
         call: &Call,
         order: Order,
     ) -> Result<WorkerTime, Error> {
-        self.come(call, &order).await?;
-        let time = self.site.obey(call.token, &order, When::Now)?;
-        self.network.live(self.process).await;
+        self.deliver(call, &order).await?;
+        let time = self.endpoint.apply(call.token, &order, When::Now)?;
+        self.network.block_if_dead(self.process).await;
         Ok(time)
     }
 }
 
-impl Worker for Handle {
+impl Worker for Client {
     async fn start(
         &self,
         call: &Call,
         start: &Start,
         expires: WorkerTime,
     ) -> Result<WorkerTime, Error> {
-        self.order(call, Order::Start(start.clone(), expires)).await
+        self.call(call, Order::Start(start.clone(), expires)).await
     }
 
     async fn stop(
@@ -586,7 +606,7 @@
         call: &Call,
         stop: &Stop,
     ) -> Result<WorkerTime, Error> {
-        self.order(call, Order::Stop(stop.clone())).await
+        self.call(call, Order::Stop(stop.clone())).await
     }
 
     async fn pace(
@@ -594,8 +614,8 @@
         call: &Call,
         _pace: &Pace,
     ) -> Result<WorkerTime, Error> {
-        // Nothing fills or serves here.
-        self.order(call, Order::Look(0, None)).await
+        // Paces do not affect simulated tasks, so only the token is checked.
+        self.call(call, Order::Poll(0, None)).await
     }
 
     async fn look(
@@ -605,36 +625,36 @@
         expires: Option<WorkerTime>,
         wait: Duration,
     ) -> Result<Look, Error> {
-        let order = Order::Look(noted, expires);
-        self.order(call, order).await?;
-        let births = lock(&self.site.data).births;
+        let order = Order::Poll(noted, expires);
+        self.call(call, order).await?;
+        let births = lock(&self.endpoint.data).births;
         let deadline = Instant::now() + wait;
         loop {
             {
-                let mut data = lock(&self.site.data);
+                let mut data = lock(&self.endpoint.data);
                 if !data.up || data.births != births {
                     return Err(Error::Lost("gone".to_owned()));
                 }
-                let silent = data.mode.mute || data.mode.deaf;
+                let silent = data.faults.silent || data.faults.drops_calls;
                 let due = !data.ended.is_empty() || Instant::now() >= deadline;
                 if due && !silent {
-                    self.site.list(&mut data);
-                    return Ok(data.look());
+                    self.endpoint.record_listing(&mut data);
+                    return Ok(data.snapshot());
                 }
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
 impl Data {
-    fn look(&self) -> Look {
+    fn snapshot(&self) -> Look {
         let running = self.running.iter().map(|(task, work)| Running {
             task: task.clone(),
             run: work.run,
             saved: String::new(),
             pace: 100.0,
-            load: Some(f64::from(u8::from(work.whole)) * 1000.0),
+            load: Some(f64::from(u8::from(work.complete)) * 1000.0),
         });
         Look {
             born: self.life().born(),
--- a/crates/landingvalve-sim/tests/days.rs
+++ b/crates/landingvalve-sim/tests/days.rs
@@ -1,70 +1,75 @@
-//! Days of the real code, in CI.
+//! Simulated days that may violate no invariant.
 
 use landingvalve_sim::day;
-use landingvalve_sim::day::Plan;
+use landingvalve_sim::day::Scenario;
 
-/// The first seed, and how many days are played.
-const FIRST: u64 = 1;
-const DAYS: u64 = 40;
-/// Seeds whose days have broken a promise.
-const FOUND: [u64; 10] =
+/// Seed of the first day of the consecutive ones.
+const FIRST_SEED: u64 = 1;
+/// Number of consecutive days.
+const DAY_COUNT: u64 = 40;
+/// Seeds of days that violated an invariant in the past.
+const REGRESSION_SEEDS: [u64; 10] =
     [292, 1027, 1437, 1646, 4045, 4127, 4318, 10074, 14140, 30090];
-/// A day on which an end is forgotten before anybody has read it.
-const FORGOTTEN: u64 = 20307;
-/// A day on which a gang fails three times, and a fourth time where nobody can
-/// read it: `job9.0.0.0 run 6 ended unseen on w1-2`. It begins again, as it
-/// may.
-const UNSEEN: u64 = 950793;
-/// A day on which one worker goes down under a task, and two others that run
-/// it are only not heard of for some seconds.
-const SILENT: u64 = 961101;
-/// A day on which a worker that was called silent turns out to have been down
-/// only to the next planner, under a task that takes workers down.
-const TAKEN_OVER: u64 = 970066;
+/// Seed of a day on which a worker's later birth is asked to forget an end
+/// before any process has read it.
+const FORGOTTEN_END: u64 = 20307;
+/// Seed of a day on which a gang fails three times, and a fourth time on a
+/// worker that goes down before any answer lists the end (`ended unseen` in
+/// the timeline). The gang is allowed to begin again.
+const UNREAD_FAILURE: u64 = 950793;
+/// Seed of a day on which one worker goes down under a task, and two others
+/// that run it are only unresponsive for some seconds.
+const SILENT_WORKERS: u64 = 961101;
+/// Seed of a day on which a worker goes down under a task that crashes
+/// workers. One planner considers it unresponsive, and only the next planner
+/// learns that it went down.
+const LOSS_AFTER_TAKEOVER: u64 = 970066;
 
-/// Plays a day that may break no promise; returns how many tasks began.
-fn play(seed: u64) -> u64 {
-    let report = day::play(Plan::of(seed));
+/// Simulates a day that may violate no invariant and returns its number of
+/// starts.
+fn simulate(seed: u64) -> u64 {
+    let report = day::simulate(Scenario::with_seed(seed));
     let timeline = report.timeline.join("\n");
-    let broken = &report.broken;
+    let broken = &report.violations;
     assert!(broken.is_empty(), "seed {seed}: {broken:#?}\n{timeline}");
     report.starts
 }
 
 #[test]
-fn no_end_is_forgotten_unread_by_a_later_birth() {
-    play(FORGOTTEN);
+fn a_later_birth_forgets_no_unread_end() {
+    simulate(FORGOTTEN_END);
 }
 
 #[test]
-fn a_failure_that_nobody_can_read_is_no_attempt() {
-    play(UNSEEN);
+fn a_failure_that_nobody_can_read_counts_as_no_attempt() {
+    simulate(UNREAD_FAILURE);
 }
 
 #[test]
-fn a_job_is_not_given_up_for_workers_that_only_fell_silent() {
-    play(SILENT);
+fn a_job_is_not_failed_for_workers_that_were_only_unresponsive() {
+    simulate(SILENT_WORKERS);
 }
 
 #[test]
-fn a_loss_that_becomes_sure_under_the_next_planner_counts() {
-    play(TAKEN_OVER);
+fn a_loss_that_is_confirmed_under_the_next_planner_counts() {
+    simulate(LOSS_AFTER_TAKEOVER);
 }
 
 #[test]
-fn no_promise_is_broken_whatever_fails() {
-    let days = (FIRST..FIRST + DAYS).chain(FOUND);
+fn no_invariant_is_violated_under_any_faults() {
+    let days = (FIRST_SEED..FIRST_SEED + DAY_COUNT).chain(REGRESSION_SEEDS);
     let mut starts = 0;
     for seed in days {
-        starts += play(seed);
+        starts += simulate(seed);
     }
-    assert!(starts > DAYS * 100, "{starts} starts say little");
+    assert!(starts > DAY_COUNT * 100, "only {starts} tasks began");
 }
 
 #[test]
-fn a_seed_tells_a_day() {
-    for seed in FIRST..FIRST + 4 {
-        let [first, second] = [0; 2].map(|_| day::play(Plan::of(seed)));
+fn a_seed_determines_a_day() {
+    for seed in FIRST_SEED..FIRST_SEED + 4 {
+        let [first, second] =
+            [0; 2].map(|_| day::simulate(Scenario::with_seed(seed)));
         for (at, line) in first.timeline.iter().enumerate() {
             let other = second.timeline.get(at);
             assert_eq!(Some(line), other, "seed {seed}, line {at}");
