--- a/crates/landingvalve-experiment/src/compare.rs
+++ b/crates/landingvalve-experiment/src/compare.rs
@@ -1,4 +1,4 @@
-//! The same days under two policies.
+//! Compares the scores of the same days under several policies.
 
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering;
@@ -9,20 +9,20 @@
 
 use crate::day::Day;
 use crate::load::Load;
-use crate::play::play;
 use crate::score::Score;
+use crate::simulation::simulate;
 
-/// A mean with its standard error.
+/// A mean of samples with its standard error.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Mean {
-    /// The mean.
+    /// Mean of the samples.
     pub mean: f64,
-    /// Its standard error.
-    pub error: f64,
+    /// Standard error of the mean.
+    pub standard_error: f64,
 }
 
 impl Mean {
-    /// Returns the mean of some figures.
+    /// Returns the mean of samples.
     pub fn of(figures: &[f64]) -> Mean {
         let count = figures.len().max(1) as f64;
         let mean = figures.iter().sum::<f64>() / count;
@@ -30,13 +30,13 @@
         let variance = squares.sum::<f64>() / (count - 1.0).max(1.0);
         Mean {
             mean,
-            error: (variance / count).sqrt(),
+            standard_error: (variance / count).sqrt(),
         }
     }
 }
 
-/// Plays days from a seed on, side by side, under each policy; returns their
-/// scores, in the order of the seeds.
+/// Simulates days with consecutive seeds, in parallel, under each policy.
+/// Returns the scores by seed and then by policy.
 pub fn scores(
     load: &Load,
     policies: &[Policy],
@@ -45,7 +45,7 @@
     threads: usize,
 ) -> Vec<Vec<Score>> {
     let next = AtomicUsize::new(0);
-    let all = Mutex::new(vec![Vec::new(); days]);
+    let results = Mutex::new(vec![Vec::new(); days]);
     std::thread::scope(|scope| {
         for _ in 0..threads.max(1) {
             scope.spawn(|| loop {
@@ -57,19 +57,19 @@
                 let day = Day::draw(load, seed);
                 let scores: Vec<Score> = policies
                     .iter()
-                    .map(|policy| play(load, &day, *policy, seed))
+                    .map(|policy| simulate(load, &day, *policy, seed))
                     .collect();
-                let mut all =
-                    all.lock().unwrap_or_else(PoisonError::into_inner);
-                all[number] = scores;
+                let mut results =
+                    results.lock().unwrap_or_else(PoisonError::into_inner);
+                results[number] = scores;
             });
         }
     });
-    all.into_inner().unwrap_or_else(PoisonError::into_inner)
+    results.into_inner().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Returns the mean difference of a figure between the first policy and
-/// another, over the same days.
+/// Returns the mean of a figure's difference between another policy and the
+/// first one, over the same days.
 pub fn difference(
     days: &[Vec<Score>],
     other: usize,
@@ -79,7 +79,7 @@
     Mean::of(&each.collect::<Vec<f64>>())
 }
 
-/// Returns the mean of a figure under one policy.
+/// Returns the mean of a figure under a policy, over all days.
 pub fn mean(
     days: &[Vec<Score>],
     policy: usize,
--- a/crates/landingvalve-experiment/src/day.rs
+++ b/crates/landingvalve-experiment/src/day.rs
@@ -1,87 +1,88 @@
-//! A day, drawn from a load by a seed.
+//! Draws a day's jobs and incidents from a load by a seed.
 
 use std::time::Duration;
 
 use fastrand::Rng;
 
+use crate::load::Distribution;
 use crate::load::Kind;
 use crate::load::Load;
 use crate::load::Queue;
-use crate::load::Spread;
 
-/// How much a moment of a pattern differs from day to day, in seconds.
-const MOMENT: f64 = 4.0;
-/// How much a burst's strength differs, in parts of it.
-const STRENGTH: f64 = 0.25;
+/// Range of the random shift of a pattern's start, in seconds.
+const PATTERN_SHIFT_RANGE_S: f64 = 4.0;
+/// Range of the random change of a burst's strength, as a share of the
+/// strength.
+const BURST_CHANGE_RANGE: f64 = 0.25;
 
-/// What parts the seed of accounts from that of the day.
-const ACCOUNTS: u64 = 0x5EED;
+/// Mask that turns a day's seed into the seed of its accounts.
+const ACCOUNT_SEED_MASK: u64 = 0x5EED;
 
-/// A job as it comes.
+/// A job that callers submit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When.
+    /// Time of the submission, from the start of the day.
     pub at: Duration,
-    /// The number of its queue.
+    /// Index of the job's queue in the load.
     pub queue: usize,
-    /// The number of its client account.
+    /// Number of the job's client account.
     pub account: usize,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub width: u32,
-    /// Accelerators of each.
+    /// Accelerators of each task.
     pub accelerators: i64,
-    /// Whether it is a gang that is slow across racks.
+    /// Whether the job is a gang that is slower across racks.
     pub same_rack: bool,
-    /// How long a task works on a worker of speed 1.
+    /// Time that a task works on a worker of speed 1.
     pub work: Duration,
-    /// How long it is said to.
+    /// Time that the caller declares a task to work.
     pub declared: Duration,
-    /// Whether it keeps checkpoints.
-    pub saves: bool,
-    /// How many of its first runs fail.
+    /// Whether the job saves checkpoints.
+    pub checkpoints: bool,
+    /// Number of the job's first runs that fail.
     pub failures: u32,
 }
 
-/// What befalls a worker.
+/// An incident of a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Blow {
-    /// It is lost, and back after so long.
+pub enum Incident {
+    /// The worker is lost and returns after this time.
     Lost(Duration),
-    /// It leaves with so much notice, for good.
-    Leaves(Duration),
-    /// It fails all that it starts, for so long.
-    Fails(Duration),
+    /// The worker leaves for good after this notice.
+    Leaving(Duration),
+    /// All runs that begin on the worker during this time fail.
+    Failing(Duration),
 }
 
-/// A whole day.
+/// A day's jobs and incidents.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Day {
-    /// Jobs, in order.
+    /// Jobs, by the time of their submission.
     pub arrivals: Vec<Arrival>,
-    /// What befalls which worker, in order.
-    pub blows: Vec<(Duration, usize, Blow)>,
+    /// Incidents by time, each with the index of its worker.
+    pub incidents: Vec<(Duration, usize, Incident)>,
 }
 
 impl Day {
-    /// Draws a day.
+    /// Draws a day from a load.
     pub fn draw(load: &Load, seed: u64) -> Day {
         let mut random = Rng::with_seed(seed);
-        let moments: Vec<(f64, f64)> = load
+        let starts: Vec<(f64, f64)> = load
             .patterns
             .iter()
             .map(|pattern| {
-                let off = MOMENT * (random.f64() - 0.5);
-                let strength = 1.0 + STRENGTH * (random.f64() - 0.5);
-                ((pattern.at + off).max(0.0), strength)
+                let offset = PATTERN_SHIFT_RANGE_S * (random.f64() - 0.5);
+                let strength = 1.0 + BURST_CHANGE_RANGE * (random.f64() - 0.5);
+                ((pattern.start_s + offset).max(0.0), strength)
             })
             .collect();
         let mut arrivals = Vec::new();
         for (at, queue) in load.queues.iter().enumerate() {
             let rate = |now: f64| {
-                let patterns = load.patterns.iter().zip(&moments);
-                let bursts = patterns.filter_map(|(pattern, moment)| {
-                    let (from, strength) = *moment;
-                    let on = now >= from && now < from + pattern.lasts;
+                let patterns = load.patterns.iter().zip(&starts);
+                let bursts = patterns.filter_map(|(pattern, start)| {
+                    let (from, strength) = *start;
+                    let on = now >= from && now < from + pattern.duration_s;
                     match &pattern.kind {
                         Kind::Burst(of, times) if *of == queue.name && on => {
                             Some(times * strength)
@@ -89,7 +90,7 @@
                         _ => None,
                     }
                 });
-                queue.per_s * bursts.fold(1.0, f64::max)
+                queue.jobs_per_second * bursts.fold(1.0, f64::max)
             };
             let mut now = 0.0;
             loop {
@@ -98,32 +99,36 @@
                 if now >= load.seconds {
                     break;
                 }
-                let at_once = Duration::from_secs_f64(now);
-                arrivals.push(arrival(at, queue, at_once, &mut random));
+                let time = Duration::from_secs_f64(now);
+                arrivals.push(draw_arrival(at, queue, time, &mut random));
             }
         }
         arrivals.sort_by_key(|arrival| arrival.at);
-        // Drawn apart, so that a seed's day is the same without accounts.
-        let mut accounts = Rng::with_seed(seed ^ ACCOUNTS);
+        // Accounts have a generator of their own, so that a seed's day does
+        // not depend on them.
+        let mut accounts = Rng::with_seed(seed ^ ACCOUNT_SEED_MASK);
         for arrival in &mut arrivals {
             arrival.account = accounts.usize(..load.accounts.count);
         }
-        let blows = blows(load, &moments, &mut random);
-        Day { arrivals, blows }
+        let incidents = draw_incidents(load, &starts, &mut random);
+        Day {
+            arrivals,
+            incidents,
+        }
     }
 }
 
-fn arrival(
+fn draw_arrival(
     number: usize,
     queue: &Queue,
     at: Duration,
     random: &mut Rng,
 ) -> Arrival {
-    let width = draw(queue.width, random).round().max(1.0) as u32;
-    let work = draw(queue.run, random).max(0.05);
-    let off = (queue.declared_off * normal(random)).exp();
+    let width = draw_log_normal(queue.width, random).round().max(1.0) as u32;
+    let work = draw_log_normal(queue.run_s, random).max(0.05);
+    let offset = (queue.declared_error * normal(random)).exp();
     let mut failures = 0;
-    while random.f64() < queue.fails {
+    while random.f64() < queue.failure_share {
         failures += 1;
     }
     let pick = random.usize(..queue.accelerators.len());
@@ -133,50 +138,51 @@
         account: 0,
         width,
         accelerators: queue.accelerators[pick],
-        same_rack: queue.gang && random.f64() < queue.same_rack,
+        same_rack: queue.gang && random.f64() < queue.same_rack_share,
         work: Duration::from_secs_f64(work),
-        declared: Duration::from_secs_f64(work * off),
-        saves: random.f64() < queue.saves,
+        declared: Duration::from_secs_f64(work * offset),
+        checkpoints: random.f64() < queue.checkpoint_share,
         failures,
     }
 }
 
-fn blows(
+fn draw_incidents(
     load: &Load,
-    moments: &[(f64, f64)],
+    starts: &[(f64, f64)],
     random: &mut Rng,
-) -> Vec<(Duration, usize, Blow)> {
-    let mut blows = Vec::new();
-    for (pattern, (from, _)) in load.patterns.iter().zip(moments) {
-        let lasts = Duration::from_secs_f64(pattern.lasts);
-        let (share, blow, apart) = match pattern.kind {
+) -> Vec<(Duration, usize, Incident)> {
+    let mut incidents = Vec::new();
+    for (pattern, (from, _)) in load.patterns.iter().zip(starts) {
+        let duration = Duration::from_secs_f64(pattern.duration_s);
+        let (share, incident, gap_s) = match pattern.kind {
             Kind::Burst(..) => continue,
-            Kind::Lose(share) => (share, Blow::Lost(lasts), 0.0),
-            Kind::Series(share) => (share, Blow::Lost(lasts), 1.0),
-            Kind::Leave(share) => (share, Blow::Leaves(lasts), 0.0),
-            Kind::Fail(share) => (share, Blow::Fails(lasts), 0.0),
+            Kind::Lose(share) => (share, Incident::Lost(duration), 0.0),
+            Kind::Series(share) => (share, Incident::Lost(duration), 1.0),
+            Kind::Leave(share) => (share, Incident::Leaving(duration), 0.0),
+            Kind::Fail(share) => (share, Incident::Failing(duration), 0.0),
         };
         let mut workers: Vec<usize> = (0..load.fleet.workers).collect();
         random.shuffle(&mut workers);
         let count = (load.fleet.workers as f64 * share).round() as usize;
         for (nth, worker) in workers.into_iter().take(count).enumerate() {
-            let at = Duration::from_secs_f64(from + apart * nth as f64);
-            blows.push((at, worker, blow));
+            let at = Duration::from_secs_f64(from + gap_s * nth as f64);
+            incidents.push((at, worker, incident));
         }
     }
-    blows.sort_by_key(|(at, worker, _)| (*at, *worker));
-    blows
+    incidents.sort_by_key(|(at, worker, _)| (*at, *worker));
+    incidents
 }
 
-/// Draws a figure whose logarithm is normal.
-fn draw(spread: Spread, random: &mut Rng) -> f64 {
-    let variance = (1.0 + spread.spread * spread.spread).ln();
-    let median = spread.mean.ln() - variance / 2.0;
+/// Draws from a log-normal distribution, cut off at its maximum.
+fn draw_log_normal(distribution: Distribution, random: &mut Rng) -> f64 {
+    let variance =
+        (1.0 + distribution.deviation * distribution.deviation).ln();
+    let median = distribution.mean.ln() - variance / 2.0;
     let drawn = (median + variance.sqrt() * normal(random)).exp();
-    drawn.min(spread.most)
+    drawn.min(distribution.max)
 }
 
-/// Draws from the normal distribution, by the method of Box and Muller.
+/// Draws from the standard normal distribution by the Box-Muller method.
 fn normal(random: &mut Rng) -> f64 {
     let radius = (-2.0 * (1.0 - random.f64()).ln()).sqrt();
     radius * (std::f64::consts::TAU * random.f64()).cos()
--- a/crates/landingvalve-experiment/src/fleet.rs
+++ b/crates/landingvalve-experiment/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Workers that do what they are told, on a virtual clock.
+//! Simulated workers, which carry out all orders on a virtual clock.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,66 +19,67 @@
 
 use crate::load::Fleet;
 
-/// A time of the day.
+/// Time from the start of the day.
 pub type Time = Duration;
 
-/// A task at work.
+/// A run of a task on a worker.
 #[derive(Clone, Debug)]
-pub struct Work {
-    /// Which run.
+pub struct Execution {
+    /// Number of the run.
     pub run: Run,
-    /// What it takes.
+    /// Resources that the run occupies.
     pub charge: Resources,
-    /// When it began to work; nothing while it waits for its gang.
-    pub began: Option<Time>,
-    /// How much was saved before, as work at speed 1.
+    /// Time at which the task began to work, `None` while it waits for its
+    /// gang.
+    pub work_start: Option<Time>,
+    /// Work that earlier runs have saved, as time at speed 1.
     pub saved: Duration,
-    /// When it was started.
-    pub since: Time,
-    /// Whether it is being stopped.
+    /// Time at which the worker accepted the start.
+    pub started: Time,
+    /// Whether the run is being stopped.
     pub stopping: bool,
 }
 
-/// A worker.
+/// A simulated worker with its agent.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// The name of its agent.
+    /// Name of the worker's agent.
     pub agent: String,
-    /// Its rack.
+    /// Name of the worker's rack.
     pub rack: String,
-    /// How fast it is.
+    /// Speed, relative to the workers that the work of tasks is given for.
     pub speed: f64,
-    /// Counts its lives.
-    pub life: u32,
-    /// Until when it is away, if it is.
-    pub away: Option<Time>,
-    /// When it goes for good, if it leaves.
-    pub leaves: Option<Time>,
-    /// Until when it fails all that it starts.
-    pub fails: Time,
-    /// What is here.
-    pub running: BTreeMap<Task, Work>,
-    /// Ends that are not acknowledged.
+    /// Number of births so far.
+    pub births: u32,
+    /// Time until which the worker is down, `None` while it is up.
+    pub away_until: Option<Time>,
+    /// Time at which the worker leaves for good, `None` unless announced.
+    pub leaves_at: Option<Time>,
+    /// Time until which all runs that begin on the worker fail.
+    pub fails_until: Time,
+    /// Tasks on the worker.
+    pub running: BTreeMap<Task, Execution>,
+    /// Ends that the planner has not acknowledged.
     pub ended: Vec<Ended>,
-    /// Runs that it was told to stop and that never began here.
+    /// Runs that were ordered to stop and never began on the worker.
     pub refused: Vec<Refused>,
     capacity: Resources,
     barred: BTreeMap<Task, Run>,
-    number: u64,
+    last_end: u64,
     sequence: u64,
 }
 
 impl Worker {
-    /// Returns all workers of a fleet.
-    pub fn all(fleet: &Fleet) -> Vec<Worker> {
+    /// Returns the workers of a fleet.
+    pub fn from_fleet(fleet: &Fleet) -> Vec<Worker> {
         let worker = |at: usize| Worker {
             agent: format!("agent-{at:04}"),
             rack: format!("rack-{:03}", at / fleet.per_rack),
             speed: fleet.speeds[at % fleet.speeds.len()],
-            life: 1,
-            away: None,
-            leaves: None,
-            fails: Time::ZERO,
+            births: 1,
+            away_until: None,
+            leaves_at: None,
+            fails_until: Time::ZERO,
             running: BTreeMap::new(),
             ended: Vec::new(),
             refused: Vec::new(),
@@ -88,34 +89,35 @@
                 accelerators: fleet.accelerators,
             },
             barred: BTreeMap::new(),
-            number: 0,
+            last_end: 0,
             sequence: 0,
         };
         (0..fleet.workers).map(worker).collect()
     }
 
-    /// Returns whether it is up.
+    /// Returns whether the worker is up.
     pub fn is_up(&self) -> bool {
-        self.away.is_none()
+        self.away_until.is_none()
     }
 
-    /// Takes it down; returns what was at work.
-    pub fn lose(&mut self, until: Time) -> BTreeMap<Task, Work> {
-        self.away = Some(until);
+    /// Takes the worker down and returns the tasks that it ran.
+    pub fn take_down(&mut self, until: Time) -> BTreeMap<Task, Execution> {
+        self.away_until = Some(until);
         self.ended.clear();
         self.refused.clear();
         self.barred.clear();
-        self.number = 0;
+        self.last_end = 0;
         std::mem::take(&mut self.running)
     }
 
-    /// Starts it again, empty.
-    pub fn come_back(&mut self) {
-        self.away = None;
-        self.life += 1;
+    /// Starts a new birth, without tasks.
+    pub fn restart(&mut self) {
+        self.away_until = None;
+        self.births += 1;
     }
 
-    /// Takes a start in; returns whether it is new here.
+    /// Carries out a start, unless the run is barred or the task is already
+    /// present. Returns whether it did.
     pub fn start(
         &mut self,
         start: &Start,
@@ -126,19 +128,20 @@
         if self.running.contains_key(&start.task) || start.run <= barred {
             return false;
         }
-        let work = Work {
+        let work = Execution {
             run: start.run,
             charge: start.charge,
-            began: None,
+            work_start: None,
             saved,
-            since: now,
+            started: now,
             stopping: false,
         };
         self.running.insert(start.task.clone(), work);
         true
     }
 
-    /// Refuses a run for good; returns whether that is news.
+    /// Refuses a run that never began. Returns whether this changes what the
+    /// worker reports.
     pub fn refuse(&mut self, task: &Task, run: Run) -> bool {
         let ended = self.ended.iter().any(|e| e.task == *task && e.run == run);
         let known = self.refused.iter();
@@ -154,7 +157,7 @@
         true
     }
 
-    /// Forgets what was refused and is no longer asked for.
+    /// Forgets refusals of runs that are no longer part of the orders.
     pub fn forget_refused(&mut self, orders: &Orders) {
         self.refused.retain(|r| {
             let stops = orders.stops.iter().map(|s| (&s.task, s.run));
@@ -165,7 +168,8 @@
         });
     }
 
-    /// Bars a run that is not here; returns whether it is.
+    /// Bars a run of a task and all earlier ones from starting. Returns
+    /// whether one of them is present.
     pub fn bar(&mut self, task: &Task, run: Run) -> bool {
         let barred = self.barred.entry(task.clone()).or_default();
         *barred = (*barred).max(run);
@@ -173,13 +177,13 @@
         here.is_some_and(|work| work.run <= run)
     }
 
-    /// Ends a task; returns what it was.
-    pub fn end(&mut self, task: &Task, how: How) -> Option<Work> {
+    /// Ends a task and returns its run, or `None` if the task is not present.
+    pub fn finish(&mut self, task: &Task, how: How) -> Option<Execution> {
         let work = self.running.remove(task)?;
         self.bar(task, work.run);
-        self.number += 1;
+        self.last_end += 1;
         self.ended.push(Ended {
-            number: self.number,
+            number: self.last_end,
             task: task.clone(),
             run: work.run,
             how,
@@ -188,17 +192,17 @@
         Some(work)
     }
 
-    /// Forgets the ends that are acknowledged.
-    pub fn forget(&mut self, noted: u64) {
+    /// Forgets the ends up to the number that the planner has acknowledged.
+    pub fn acknowledge(&mut self, noted: u64) {
         self.ended.retain(|ended| ended.number > noted);
     }
 
-    /// Returns the name of its life.
+    /// Returns the name of the worker's current life.
     pub fn life(&self) -> String {
-        format!("{}-{}", self.agent, self.life)
+        format!("{}-{}", self.agent, self.births)
     }
 
-    /// Returns what its agent reports now.
+    /// Returns the next report of the worker's agent.
     pub fn report(&mut self, now: Time) -> Report {
         self.sequence += 1;
         let running = self.running.iter().map(|(task, work)| Running {
@@ -206,9 +210,11 @@
             run: work.run,
             saved: String::new(),
             pace: 100.0,
-            load: Some(f64::from(u8::from(work.began.is_some())) * 1000.0),
+            load: Some(
+                f64::from(u8::from(work.work_start.is_some())) * 1000.0,
+            ),
         });
-        let left = self.leaves.map(|at| at.saturating_sub(now));
+        let left = self.leaves_at.map(|at| at.saturating_sub(now));
         let worker = WorkerReport {
             life: self.life().as_str().into(),
             pool: "pool".into(),
@@ -217,7 +223,7 @@
             rack: self.rack.as_str().into(),
             labels: Vec::new(),
             capacity: self.capacity,
-            leaving: self.leaves.is_some(),
+            leaving: self.leaves_at.is_some(),
             silent: false,
             remaining_ms: left.map(|left| left.as_millis() as u64),
             lists: Lists {
@@ -226,7 +232,7 @@
             },
             refused: self.refused.clone(),
         };
-        let gone = format!("{}-{}", self.agent, self.life);
+        let gone = format!("{}-{}", self.agent, self.births);
         Report {
             agent: self.agent.as_str().into(),
             process: "agent".to_owned(),
--- a/crates/landingvalve-experiment/src/lib.rs
+++ b/crates/landingvalve-experiment/src/lib.rs
@@ -1,21 +1,23 @@
-//! Ways to decide, compared in pairs on days of the real decision core.
+//! Paired comparison of scheduling policies on simulated days of the real
+//! decision core.
 //!
-//! A [`load`] file says what kinds of jobs come, to which fleet, and what
-//! goes wrong. A [`day`] is drawn from it by a seed; [`play`] plays it on a
-//! virtual clock with [`landingvalve::graph::Book`] and workers that do what
-//! they are told; [`score`] says how callers were served. [`compare`] plays
-//! the same days under two policies and tells the mean difference with its
-//! standard error.
+//! A [`load`] file describes the kinds of jobs, the fleet and the incidents. A
+//! [`day`] is drawn from a load by a seed; [`simulation`] runs it on a virtual
+//! clock with [`landingvalve::graph::Book`] and workers that carry out all
+//! orders; [`score`] measures how well callers were served. [`compare`]
+//! simulates the same days under several policies and reports the mean
+//! differences with their standard errors.
 //!
-//! What is not played: entries, the store's faults, silent agents, births.
-//! Those are the simulation's (`landingvalve-sim`); here thousands of days
-//! tell two ways apart that a day of whole processes cannot.
+//! Entries, faults of the store, unresponsive agents and births are not
+//! simulated here but by `landingvalve-sim`. Without them thousands of days
+//! are affordable, which reveal differences between policies that are too
+//! small for days of whole processes.
 
 pub mod compare;
 pub mod day;
 pub mod fleet;
 pub mod load;
-pub mod play;
 pub mod plot;
 pub mod policy;
 pub mod score;
+pub mod simulation;
--- a/crates/landingvalve-experiment/src/load.rs
+++ b/crates/landingvalve-experiment/src/load.rs
@@ -1,4 +1,4 @@
-//! What a day is drawn from, read from a file.
+//! Reads the load file that days are drawn from.
 
 use std::path::Path;
 use std::time::Duration;
@@ -6,153 +6,156 @@
 use ini::Ini;
 use ini::Properties;
 
-/// A load file that cannot be used.
+/// An invalid load file.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It cannot be read.
+    /// The file cannot be read or parsed.
     #[error("{path}: {reason}")]
     File {
-        /// Which file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Reason given by the system or the parser.
         reason: String,
     },
-    /// A value is missing or cannot be used.
+    /// A value is missing or invalid.
     #[error("[{section}] {key}: {found:?}, expected {expected}")]
     Value {
-        /// The section.
+        /// Name of the section.
         section: String,
-        /// The key.
+        /// Name of the key.
         key: String,
-        /// What stands there, if anything.
+        /// Value found, `None` if the key is missing.
         found: Option<String>,
-        /// What may stand there.
+        /// Description of valid values.
         expected: &'static str,
     },
 }
 
-/// The workers, all alike but for their speeds.
+/// The workers, which differ only in their speeds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// How many there are.
+    /// Number of workers.
     pub workers: usize,
-    /// How many stand in a rack.
+    /// Number of workers in a rack.
     pub per_rack: usize,
-    /// Thousandths of a core of each.
+    /// CPU of each worker, in thousandths of a core.
     pub cpu: i64,
-    /// Memory of each, in MB.
+    /// Memory of each worker, in MB.
     pub memory: i64,
-    /// Accelerators of each.
+    /// Accelerators of each worker.
     pub accelerators: i64,
-    /// How fast they are, in turn.
+    /// Speeds, assigned to the workers in turn.
     pub speeds: Vec<f64>,
-    /// The longest that a stop takes.
-    pub stop: Duration,
+    /// Maximum time that a stop takes.
+    pub stop_time: Duration,
 }
 
-/// The client accounts, all alike.
+/// The client accounts, which are all alike.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Accounts {
-    /// How many there are.
+    /// Number of accounts.
     pub count: usize,
-    /// The share of all accelerators that they are guaranteed together.
-    pub sure: f64,
-    /// Within which urgent work begins that is within a guarantee.
-    pub reclaim: Duration,
+    /// Share of all accelerators that is guaranteed to the accounts together.
+    pub guaranteed_share: f64,
+    /// Time within which urgent work begins that is within its account's
+    /// guarantee.
+    pub reclaim_time: Duration,
 }
 
-/// A kind of job.
+/// A queue and the distribution of its jobs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Queue {
-    /// Its name.
+    /// Name of the queue.
     pub name: String,
-    /// The lower, the sooner.
+    /// Priority; jobs of a lower number go first.
     pub priority: u32,
-    /// How many come a second.
-    pub per_s: f64,
-    /// Whether its tasks work only together.
+    /// Mean number of jobs submitted per second.
+    pub jobs_per_second: f64,
+    /// Whether the tasks of a job are a gang, which works only together.
     pub gang: bool,
-    /// The share of its gangs that are slow across racks.
-    pub same_rack: f64,
-    /// How many tasks a job has: mean, spread and most.
-    pub width: Spread,
-    /// Thousandths of a core of a task.
+    /// Share of the gangs that are slower across racks.
+    pub same_rack_share: f64,
+    /// Number of tasks of a job.
+    pub width: Distribution,
+    /// CPU of a task, in thousandths of a core.
     pub cpu: i64,
     /// Memory of a task, in MB.
     pub memory: i64,
-    /// Accelerators of a task, any of these.
+    /// Accelerators of a task, of which each job draws one.
     pub accelerators: Vec<i64>,
-    /// How many seconds a task runs: mean, spread and most.
-    pub run: Spread,
-    /// How far off what callers declare is, as a spread.
-    pub declared_off: f64,
-    /// The share of jobs that keep checkpoints.
-    pub saves: f64,
-    /// The share of runs that fail by themselves.
-    pub fails: f64,
-    /// How many times its work a job may take.
+    /// Time that a task works, in seconds.
+    pub run_s: Distribution,
+    /// Standard deviation of the logarithm of the ratio of declared to real
+    /// work.
+    pub declared_error: f64,
+    /// Share of the jobs that save checkpoints.
+    pub checkpoint_share: f64,
+    /// Share of the runs that fail by themselves.
+    pub failure_share: f64,
+    /// Factor of a job's work in its objective.
     pub stretch: f64,
-    /// What it may take beyond that.
+    /// Constant part of a job's objective.
     pub target: Duration,
-    /// What a job in time is worth, of mean work.
-    pub worth: f64,
-    /// What one is worth that ends within three times its objective.
-    pub worth_late: f64,
+    /// Value of a job of mean work that ends within its objective.
+    pub value: f64,
+    /// Value of such a job that ends late, but within three times its
+    /// objective.
+    pub late_value: f64,
 }
 
-/// A positive figure that varies.
+/// A log-normal distribution, cut off at a maximum.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Spread {
-    /// The mean.
+pub struct Distribution {
+    /// Mean.
     pub mean: f64,
-    /// The standard deviation, in parts of the mean.
-    pub spread: f64,
-    /// The most.
-    pub most: f64,
+    /// Standard deviation, as a share of the mean.
+    pub deviation: f64,
+    /// Maximum.
+    pub max: f64,
 }
 
-/// What happens to a day.
+/// A disturbance of the day.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pattern {
-    /// What.
+    /// Kind of the disturbance.
     pub kind: Kind,
-    /// When, in seconds.
-    pub at: f64,
-    /// For how long, in seconds.
-    pub lasts: f64,
+    /// Start, in seconds from the start of the day.
+    pub start_s: f64,
+    /// Duration in seconds; the notice for workers that leave.
+    pub duration_s: f64,
 }
 
-/// A kind of pattern.
+/// Kind of a pattern.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Kind {
-    /// So many times the jobs of a queue come.
+    /// The arrival rate of a queue is multiplied by this factor.
     Burst(String, f64),
-    /// A share of the workers is lost at once, and comes back empty.
+    /// A share of the workers is lost at once and returns without tasks.
     Lose(f64),
-    /// A share of the workers leaves with notice, for good.
+    /// A share of the workers leaves for good, with notice.
     Leave(f64),
-    /// A share of the workers fails all that it starts.
+    /// All runs that begin on a share of the workers fail.
     Fail(f64),
-    /// Workers are lost one after the other, a second apart.
+    /// A share of the workers is lost one after the other, a second apart.
     Series(f64),
 }
 
-/// All of a load file.
+/// The contents of a load file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
-    /// The workers.
+    /// Workers.
     pub fleet: Fleet,
-    /// The client accounts.
+    /// Client accounts.
     pub accounts: Accounts,
-    /// The kinds of jobs.
+    /// Queues with the distributions of their jobs.
     pub queues: Vec<Queue>,
-    /// What happens.
+    /// Disturbances of the day.
     pub patterns: Vec<Pattern>,
-    /// For how long jobs come, in seconds.
+    /// Time during which jobs are submitted, in seconds.
     pub seconds: f64,
 }
 
-/// A section that is being read.
+/// A section of the file, with its name for errors.
 struct Section<'a> {
     name: &'a str,
     values: &'a Properties,
@@ -170,8 +173,8 @@
 
     fn number(&self, key: &str) -> Result<f64, Error> {
         let value = self.values.get(key).and_then(|text| text.parse().ok());
-        let good = value.filter(|n: &f64| n.is_finite() && *n >= 0.0);
-        good.ok_or_else(|| self.error(key, "a number from 0"))
+        let valid = value.filter(|n: &f64| n.is_finite() && *n >= 0.0);
+        valid.ok_or_else(|| self.error(key, "a number from 0"))
     }
 
     fn numbers(&self, key: &str) -> Result<Vec<f64>, Error> {
@@ -181,16 +184,20 @@
         numbers.ok_or_else(|| self.error(key, "numbers, with commas"))
     }
 
-    fn spread(&self, key: &str) -> Result<Spread, Error> {
+    fn distribution(&self, key: &str) -> Result<Distribution, Error> {
         match self.numbers(key)?[..] {
-            [mean, spread, most] if mean > 0.0 && most >= mean => {
-                Ok(Spread { mean, spread, most })
+            [mean, deviation, max] if mean > 0.0 && max >= mean => {
+                Ok(Distribution {
+                    mean,
+                    deviation,
+                    max,
+                })
             }
             _ => Err(self.error(key, "mean, spread and most")),
         }
     }
 
-    fn milli(&self, key: &str) -> Result<i64, Error> {
+    fn thousandths(&self, key: &str) -> Result<i64, Error> {
         self.number(key).map(|n| (n * 1000.0) as i64)
     }
 
@@ -200,11 +207,11 @@
 }
 
 impl Load {
-    /// Reads a file.
+    /// Reads a load file.
     ///
     /// # Errors
     ///
-    /// If it cannot be read, or holds what cannot be used.
+    /// If the file cannot be read, or a value is missing or invalid.
     pub fn read(path: &Path) -> Result<Load, Error> {
         let file = |reason: String| Error::File {
             path: path.display().to_string(),
@@ -214,11 +221,11 @@
         Load::parse(&text.map_err(|e| file(e.to_string()))?)
     }
 
-    /// Reads a file's text.
+    /// Parses the text of a load file.
     ///
     /// # Errors
     ///
-    /// If it holds what cannot be used.
+    /// If the text is not in INI format, or a value is missing or invalid.
     pub fn parse(text: &str) -> Result<Load, Error> {
         let ini = Ini::load_from_str(text).map_err(|error| Error::File {
             path: "load".to_owned(),
@@ -259,26 +266,26 @@
     Ok(Fleet {
         workers: section.number("workers")? as usize,
         per_rack: (section.number("per_rack")? as usize).max(1),
-        cpu: section.milli("cores")?,
+        cpu: section.thousandths("cores")?,
         memory: section.number("memory_mb")? as i64,
         accelerators: section.number("accelerators")? as i64,
         speeds: section.numbers("speeds")?,
-        stop: section.seconds("stop_s")?,
+        stop_time: section.seconds("stop_s")?,
     })
 }
 
-/// Where a load names no accounts: one, which is guaranteed nothing.
+/// Accounts of a load without accounts: a single one without a guarantee.
 const ONE_ACCOUNT: Accounts = Accounts {
     count: 1,
-    sure: 0.0,
-    reclaim: Duration::from_secs(600),
+    guaranteed_share: 0.0,
+    reclaim_time: Duration::from_secs(600),
 };
 
 fn read_accounts(section: &Section<'_>) -> Result<Accounts, Error> {
     Ok(Accounts {
         count: (section.number("count")? as usize).max(1),
-        sure: section.number("sure")?,
-        reclaim: section.seconds("reclaim_s")?,
+        guaranteed_share: section.number("sure")?,
+        reclaim_time: section.seconds("reclaim_s")?,
     })
 }
 
@@ -287,21 +294,21 @@
     Ok(Queue {
         name: name.to_owned(),
         priority: section.number("priority")? as u32,
-        per_s: section.number("per_s")?,
+        jobs_per_second: section.number("per_s")?,
         gang: section.number("gang")? > 0.0,
-        same_rack: section.number("same_rack")?,
-        width: section.spread("width")?,
-        cpu: section.milli("cores")?,
+        same_rack_share: section.number("same_rack")?,
+        width: section.distribution("width")?,
+        cpu: section.thousandths("cores")?,
         memory: section.number("memory_mb")? as i64,
         accelerators: accelerators.iter().map(|n| *n as i64).collect(),
-        run: section.spread("run_s")?,
-        declared_off: section.number("declared_off")?,
-        saves: section.number("saves")?,
-        fails: section.number("fails")?,
+        run_s: section.distribution("run_s")?,
+        declared_error: section.number("declared_off")?,
+        checkpoint_share: section.number("saves")?,
+        failure_share: section.number("fails")?,
         stretch: section.number("stretch")?,
         target: section.seconds("target_s")?,
-        worth: section.number("worth")?,
-        worth_late: section.number("worth_late")?,
+        value: section.number("worth")?,
+        late_value: section.number("worth_late")?,
     })
 }
 
@@ -323,7 +330,7 @@
     };
     Ok(Pattern {
         kind,
-        at: section.number("at_s")?,
-        lasts: section.number("lasts_s")?,
+        start_s: section.number("at_s")?,
+        duration_s: section.number("lasts_s")?,
     })
 }
--- a/crates/landingvalve-experiment/src/main.rs
+++ b/crates/landingvalve-experiment/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of experiments.
+//! Command line of the experiments.
 
 use std::path::PathBuf;
 use std::time::Instant;
@@ -10,26 +10,26 @@
 use landingvalve_experiment::policy;
 use landingvalve_experiment::score::Score;
 
-/// Compares ways to decide on the same days of the real decision core.
+/// Compares scheduling policies on the same simulated days.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
-    /// What days are drawn from.
+    /// File that days are drawn from.
     load: PathBuf,
-    /// A way, as NAME=NUMBER with commas between; the standing one goes
-    /// first by itself.
+    /// A policy to compare with the default one, as NAME=NUMBER settings with
+    /// commas between; may be given several times.
     #[arg(long = "way")]
     ways: Vec<String>,
-    /// How many days are played.
+    /// Number of days.
     #[arg(long, default_value_t = 100)]
     days: usize,
-    /// The first seed.
+    /// Seed of the first day.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many are played side by side.
+    /// Number of days simulated in parallel.
     #[arg(long, default_value_t = 4)]
     threads: usize,
-    /// Where a chart goes, as SVG.
+    /// File that a chart of the differences is written to, as SVG.
     #[arg(long)]
     plot: Option<PathBuf>,
 }
@@ -43,10 +43,10 @@
     for way in &args.ways {
         policies.push(policy::parse(way)?);
     }
-    let began = Instant::now();
+    let start = Instant::now();
     let days =
         compare::scores(&load, &policies, args.seed, args.days, args.threads);
-    let took = began.elapsed().as_secs_f64();
+    let took = start.elapsed().as_secs_f64();
     let plays = (args.days * policies.len()).max(1) as f64;
     let each = took * args.threads as f64 / plays;
     println!(
@@ -58,44 +58,54 @@
         "{:36} {:>16} {:>18} {:>10} {:>18}",
         "way", "earned", "difference", "thrown", "difference"
     );
-    let mut told = Vec::new();
+    let mut differences = Vec::new();
     for (at, way) in ways.iter().enumerate() {
         let earned = |score: &Score| score.earned;
-        let thrown = |score: &Score| score.thrown;
+        let wasted = |score: &Score| score.wasted;
         let mean = compare::mean(&days, at, earned);
-        let off = compare::difference(&days, at, earned);
-        let waste = compare::mean(&days, at, thrown);
-        let more = compare::difference(&days, at, thrown);
+        let earned_difference = compare::difference(&days, at, earned);
+        let mean_wasted = compare::mean(&days, at, wasted);
+        let wasted_difference = compare::difference(&days, at, wasted);
         println!(
             "{way:36} {:7.4} +- {:.4} {:+9.4} +- {:.4} {:10.0} {:+9.0} +- {:.0}",
-            mean.mean, mean.error, off.mean, off.error, waste.mean,
-            more.mean, more.error
+            mean.mean,
+            mean.standard_error,
+            earned_difference.mean,
+            earned_difference.standard_error,
+            mean_wasted.mean,
+            wasted_difference.mean,
+            wasted_difference.standard_error
         );
-        let (owed, broken): (Vec<u32>, Vec<usize>) = days
+        let (guaranteed, missed): (Vec<u32>, Vec<usize>) = days
             .iter()
-            .map(|scores| (scores[at].owed, scores[at].broken.len()))
+            .map(|scores| (scores[at].guaranteed, scores[at].missed.len()))
             .unzip();
         println!(
             "    guaranteed: {} of {} had not begun in time, on {} days",
-            broken.iter().sum::<usize>(),
-            owed.iter().sum::<u32>(),
-            broken.iter().filter(|broken| **broken > 0).count()
+            missed.iter().sum::<usize>(),
+            guaranteed.iter().sum::<u32>(),
+            missed.iter().filter(|missed| **missed > 0).count()
         );
         for (number, queue) in load.queues.iter().enumerate() {
-            let of = |score: &Score| score.queues[number].earned;
-            let mean = compare::mean(&days, at, of);
-            let off = compare::difference(&days, at, of);
+            let queue_earned = |score: &Score| score.queues[number].earned;
+            let mean = compare::mean(&days, at, queue_earned);
+            let earned_difference =
+                compare::difference(&days, at, queue_earned);
             println!(
                 "    {:32} {:7.4} +- {:.4} {:+9.4} +- {:.4}",
-                queue.name, mean.mean, mean.error, off.mean, off.error
+                queue.name,
+                mean.mean,
+                mean.standard_error,
+                earned_difference.mean,
+                earned_difference.standard_error
             );
         }
         if at > 0 {
-            told.push((way.clone(), off));
+            differences.push((way.clone(), earned_difference));
         }
     }
     if let Some(path) = &args.plot {
-        plot::differences(path, &told)?;
+        plot::draw_differences(path, &differences)?;
     }
     Ok(())
 }
--- a/crates/landingvalve-experiment/src/policy.rs
+++ b/crates/landingvalve-experiment/src/policy.rs
@@ -1,22 +1,23 @@
-//! Policies by name, as an operator sets them.
+//! Parses policies from settings by name.
 
 use landingvalve::graph::Policy;
 
-/// A setting that there is not, or a value that it cannot have.
+/// An unknown setting, or a value that is out of range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?}: expected NAME=NUMBER, NAME one of {NAMES:?}")]
 pub struct Error(String);
 
-/// The settings that can be changed here.
+/// Names of the numeric settings.
 pub const NAMES: &[&str] =
     &["spare", "near", "kept", "most_lost", "lost_in_time"];
 
-/// Returns the standing policy with some settings changed, each of them as
-/// `name=number`, with commas between.
+/// Returns the default policy with some settings changed, each of them as
+/// `name=number`, with commas between. For `kept_late` and `late_last`, which
+/// are flags, a number above 0 means true.
 ///
 /// # Errors
 ///
-/// If one is none, or its value is no number from 0.
+/// If a setting is unknown, or its value is not a number from 0.
 ///
 /// # Examples
 ///
@@ -41,7 +42,7 @@
             *flag = value > 0.0;
             continue;
         }
-        let slot = match name.trim() {
+        let field = match name.trim() {
             "spare" => &mut policy.spare,
             "near" => &mut policy.near,
             "kept" => &mut policy.kept,
@@ -52,7 +53,7 @@
         if !value.is_finite() || value < 0.0 {
             return Err(error());
         }
-        *slot = value;
+        *field = value;
     }
     Ok(policy)
 }
--- a/crates/landingvalve-experiment/src/score.rs
+++ b/crates/landingvalve-experiment/src/score.rs
@@ -1,87 +1,88 @@
-//! How callers were served.
+//! Measures how well callers were served on a day.
 
 use std::time::Duration;
 
 use crate::load::Load;
 
-/// What came of a job.
+/// Result of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
-    /// The number of its queue.
+    /// Index of the job's queue in the load.
     pub queue: usize,
-    /// Its work in core-seconds.
+    /// Work in core-seconds.
     pub work: f64,
-    /// Within which it was to end.
+    /// Time from the submission within which the job should end.
     pub objective: Duration,
-    /// When it ended, after it came; nothing if it did not or failed.
-    pub took: Option<Duration>,
+    /// Time from the submission to the end, `None` if the job failed or did
+    /// not end.
+    pub response_time: Option<Duration>,
 }
 
-/// How the jobs of a queue fared.
+/// Results of a queue's jobs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Queue {
-    /// How many came.
-    pub asked: u32,
-    /// How many ended in time.
+    /// Number of jobs submitted.
+    pub submitted: u32,
+    /// Number of jobs that ended within their objective.
     pub in_time: u32,
-    /// How many ended late.
+    /// Number of jobs that ended after their objective.
     pub late: u32,
-    /// The share of what they could earn that they did.
+    /// Value earned, as a share of the value that the queue's jobs could earn.
     pub earned: f64,
 }
 
-/// How a day went.
+/// Score of a day under a policy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Score {
-    /// The share of what all jobs could earn that they did.
+    /// Value earned, as a share of the value that all jobs could earn.
     pub earned: f64,
-    /// The queues, in their order.
+    /// Results of the queues, in the order of the load.
     pub queues: Vec<Queue>,
-    /// Core-seconds that were thrown away.
-    pub thrown: f64,
-    /// Urgent jobs that were within their account's guarantee when they had
-    /// to have begun, with no worker in trouble shortly before.
-    pub owed: u32,
-    /// Those of them that had not begun, by name.
-    pub broken: Vec<String>,
+    /// Core-seconds of work that was lost.
+    pub wasted: f64,
+    /// Number of urgent jobs that were within their account's guarantee at the
+    /// time by which they must have begun, with no incident shortly before.
+    pub guaranteed: u32,
+    /// Names of those of them that had not begun by then.
+    pub missed: Vec<String>,
 }
 
-/// How much of what a job earns does not depend on its work.
-const FIXED: f64 = 0.3;
-/// The most that a job earns, in parts of one of mean work.
-const MOST: f64 = 4.0;
-/// How many times its objective a job may take and still earn something.
-const LATE: u32 = 3;
+/// Share of a job's weight that does not depend on its work.
+const FIXED_SHARE: f64 = 0.3;
+/// Maximum weight of a job, where a job of its queue's mean work has weight 1.
+const MAX_WEIGHT: f64 = 4.0;
+/// Multiple of its objective within which a job still earns its late value.
+const LATE_FACTOR: u32 = 3;
 
 impl Score {
-    /// Returns the score of a day's jobs.
-    pub fn of(load: &Load, jobs: &[Job], thrown: f64) -> Score {
+    /// Returns the score of a day's jobs, without its guarantees.
+    pub fn new(load: &Load, jobs: &[Job], wasted: f64) -> Score {
         let mut earned = 0.0;
-        let mut owed = 0.0;
+        let mut possible = 0.0;
         let mut queues = Vec::new();
-        for (at, kind) in load.queues.iter().enumerate() {
-            let here = || jobs.iter().filter(|job| job.queue == at);
-            let asked = here().count() as u32;
-            let all: f64 = here().map(|job| job.work).sum();
-            let mean = all / f64::from(asked.max(1));
+        for (at, settings) in load.queues.iter().enumerate() {
+            let in_queue = || jobs.iter().filter(|job| job.queue == at);
+            let submitted = in_queue().count() as u32;
+            let all: f64 = in_queue().map(|job| job.work).sum();
+            let mean = all / f64::from(submitted.max(1));
             let mut queue = Queue {
-                asked,
+                submitted,
                 ..Queue::default()
             };
-            let (mut got, mut could) = (0.0, 0.0);
-            for job in here() {
-                let more = (1.0 - FIXED) * job.work / mean.max(1e-9);
-                let weight = (FIXED + more).min(MOST);
-                could += weight * kind.worth;
-                got += weight
-                    * match job.took {
-                        Some(took) if took <= job.objective => {
+            let (mut queue_earned, mut queue_possible) = (0.0, 0.0);
+            for job in in_queue() {
+                let variable = (1.0 - FIXED_SHARE) * job.work / mean.max(1e-9);
+                let weight = (FIXED_SHARE + variable).min(MAX_WEIGHT);
+                queue_possible += weight * settings.value;
+                queue_earned += weight
+                    * match job.response_time {
+                        Some(time) if time <= job.objective => {
                             queue.in_time += 1;
-                            kind.worth
+                            settings.value
                         }
-                        Some(took) if took <= job.objective * LATE => {
+                        Some(time) if time <= job.objective * LATE_FACTOR => {
                             queue.late += 1;
-                            kind.worth_late
+                            settings.late_value
                         }
                         Some(_) => {
                             queue.late += 1;
@@ -90,15 +91,15 @@
                         None => 0.0,
                     };
             }
-            queue.earned = got / could.max(1e-9);
-            earned += got;
-            owed += could;
+            queue.earned = queue_earned / queue_possible.max(1e-9);
+            earned += queue_earned;
+            possible += queue_possible;
             queues.push(queue);
         }
         Score {
-            earned: earned / f64::max(owed, 1e-9),
+            earned: earned / f64::max(possible, 1e-9),
             queues,
-            thrown,
+            wasted,
             ..Score::default()
         }
     }
--- a/crates/landingvalve-experiment/tests/days.rs
+++ b/crates/landingvalve-experiment/tests/days.rs
@@ -1,28 +1,28 @@
-//! Days drawn and played, and load files read.
+//! Draws and simulates days, and reads load files.
 
 use std::path::Path;
 
 use landingvalve_experiment::compare;
 use landingvalve_experiment::day::Day;
 use landingvalve_experiment::load::Load;
-use landingvalve_experiment::play::play;
 use landingvalve_experiment::policy;
+use landingvalve_experiment::simulation::simulate;
 
 const LOADS: [&str; 2] = ["loads/small-and-calm.ini", "loads/wide-urgent.ini"];
 
 fn load(name: &str) -> Load {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(name);
-    Load::read(&path).expect("it is one of ours")
+    Load::read(&path).expect("a load file of this crate")
 }
 
 #[test]
-fn a_seed_tells_a_day() {
+fn a_seed_determines_a_day() {
     let load = load(LOADS[0]);
-    let policy = policy::parse("").expect("it is empty");
+    let policy = policy::parse("").expect("the default policy");
     for seed in 1..4 {
         let [first, second] = [0; 2].map(|_| {
             let day = Day::draw(&load, seed);
-            play(&load, &day, policy, seed)
+            simulate(&load, &day, policy, seed)
         });
         assert_eq!(first, second, "seed {seed}");
     }
@@ -30,31 +30,31 @@
 }
 
 #[test]
-fn most_is_served_on_a_calm_day() {
+fn a_calm_day_ends_all_jobs_and_earns_most() {
     let mut load = load(LOADS[0]);
     load.patterns.clear();
     for queue in &mut load.queues {
-        queue.per_s /= 4.0;
-        queue.fails = 0.0;
+        queue.jobs_per_second /= 4.0;
+        queue.failure_share = 0.0;
     }
-    let policies = [policy::parse("").expect("it is empty")];
+    let policies = [policy::parse("").expect("the default policy")];
     let days = compare::scores(&load, &policies, 1, 8, 2);
     let earned = compare::mean(&days, 0, |score| score.earned);
     assert!(earned.mean > 0.9, "{earned:?}");
     for score in days.iter().flatten() {
         let ended: u32 = score.queues.iter().map(|q| q.in_time + q.late).sum();
-        let asked: u32 = score.queues.iter().map(|q| q.asked).sum();
-        assert_eq!(ended, asked, "all jobs end: {score:?}");
+        let submitted: u32 = score.queues.iter().map(|q| q.submitted).sum();
+        assert_eq!(ended, submitted, "all jobs end: {score:?}");
     }
 }
 
 #[test]
 fn a_policy_is_no_better_than_itself() {
     let load = load(LOADS[0]);
-    let same = policy::parse("").expect("it is empty");
+    let same = policy::parse("").expect("the default policy");
     let days = compare::scores(&load, &[same, same], 7, 4, 2);
-    let off = compare::difference(&days, 1, |score| score.earned);
-    assert_eq!((off.mean, off.error), (0.0, 0.0));
+    let difference = compare::difference(&days, 1, |score| score.earned);
+    assert_eq!((difference.mean, difference.standard_error), (0.0, 0.0));
 }
 
 #[test]
@@ -67,11 +67,11 @@
 }
 
 #[test]
-fn what_cannot_be_used_is_named() {
+fn an_invalid_value_is_named_in_the_error() {
     let text = std::fs::read_to_string(
         Path::new(env!("CARGO_MANIFEST_DIR")).join(LOADS[0]),
     );
-    let text = text.expect("it is one of ours");
+    let text = text.expect("a load file of this crate");
     let cases = [
         ("workers = 12", "workers = many", "[fleet] workers"),
         ("kind = burst", "kind = storm", "[pattern 1] kind"),
