--- a/crates/landingvalve-sim/src/day.rs
+++ b/crates/landingvalve-sim/src/day.rs
@@ -347,8 +347,8 @@
                 index: 0,
                 ..task.clone()
             };
-            let here = present.get(&(first, run)).copied().unwrap_or(0);
-            step.gang.then_some(here >= step.replicas)
+            let members = present.get(&(first, run)).copied().unwrap_or(0);
+            step.gang.then_some(members >= step.replicas)
         };
         let work = |task: &Task| {
             jobs.get(&task.job)
@@ -634,7 +634,7 @@
         }
         let id = self.job.id.clone();
         self.checker.record_acceptance(&id);
-        let asked = Instant::now();
+        let accepted_at = Instant::now();
         while Instant::now() < self.until {
             tokio::time::sleep(Duration::from_millis(400)).await;
             let Some(admission) = self.pick_admission() else {
@@ -643,7 +643,7 @@
             let deadline = Instant::now() + CALL_TIMEOUT;
             if self
                 .cancel_after
-                .is_some_and(|after| asked.elapsed() >= after)
+                .is_some_and(|after| accepted_at.elapsed() >= after)
             {
                 let cancelled = admission.cancel(&id, deadline);
                 let call = tokio::time::timeout(CALL_TIMEOUT, cancelled).await;
--- a/crates/landingvalve-sim/src/invariants.rs
+++ b/crates/landingvalve-sim/src/invariants.rs
@@ -45,6 +45,7 @@
 
 #[derive(Default)]
 struct Data {
+    /// Time origin of the timeline.
     started: Option<Instant>,
     jobs: BTreeMap<Id, Job>,
     accepted: BTreeSet<Id>,
@@ -57,10 +58,14 @@
     listed: BTreeSet<Task>,
     /// Number of starts of such tasks.
     repeated_starts: u64,
+    /// Failed runs of each task.
     failed: BTreeMap<Task, BTreeSet<Run>>,
+    /// Workers that went down under each task, and its starts since
+    /// [`CRASH_LIMIT`] of them.
     crashes: BTreeMap<Task, (u32, u32)>,
     /// Runs that are not counted, and the life of each.
     uncounted: BTreeSet<(Key, String)>,
+    /// Outcomes that callers have been shown.
     reported: BTreeMap<Id, Outcome>,
     starts: u64,
     violations: Vec<String>,
@@ -103,7 +108,7 @@
     }
 
     /// Records the stage of a job that its caller was shown, `None` if the job
-    /// was unknown.
+    /// was unknown, and checks that it fits the stages shown before.
     pub fn record_stage(&self, id: &Id, stage: Option<Stage>) {
         let mut data = lock(&self.0);
         let Some(stage) = stage else {
@@ -217,10 +222,10 @@
     /// Returns the accepted jobs that no caller has been shown as ended.
     pub fn unfinished_jobs(&self) -> Vec<Id> {
         let data = lock(&self.0);
-        let unfinished_jobs = |id: &&Id| !data.reported.contains_key(*id);
+        let is_unfinished = |id: &&Id| !data.reported.contains_key(*id);
         data.accepted
             .iter()
-            .filter(unfinished_jobs)
+            .filter(is_unfinished)
             .cloned()
             .collect()
     }
--- a/crates/landingvalve-sim/src/worker.rs
+++ b/crates/landingvalve-sim/src/worker.rs
@@ -63,14 +63,18 @@
     pub drops_calls: bool,
 }
 
+/// A run of a task on the worker.
 struct Execution {
     run: Run,
+    /// Accelerators that the run occupies.
     charge: i64,
     /// Time that the task has worked while all members of its gang were
     /// present.
     work_done: Duration,
     started: Instant,
-    complete: bool,
+    /// Whether all members of its gang have been present at some time.
+    was_complete: bool,
+    /// Time at which an ordered stop ends the task.
     stop_at: Option<Instant>,
 }
 
@@ -78,22 +82,30 @@
     faults: Faults,
     random: fastrand::Rng,
     name: String,
+    /// Whether the worker has the same name in all its births.
     keeps_name: bool,
+    /// Whether starts beyond the worker's accelerators are refused.
     checks_capacity: bool,
     up: bool,
+    /// Number of births so far.
     births: u64,
+    /// Start of the current birth.
     started: Instant,
-    /// Difference of the worker's clock from the simulation's clock, in ms.
+    /// Time that the worker's clock shows at the start of its birth, in ms.
     offset: u64,
     sequence: u64,
     token: Revision,
     lease_end: Instant,
     running: BTreeMap<Task, Execution>,
+    /// Ends that are not acknowledged.
     ended: Vec<Ended>,
+    /// Number of the last end.
     last_end: u64,
     /// Number of the last end that an answer has listed.
     last_listed: u64,
+    /// Number of the last end when the lease lapsed.
     lapse_end: u64,
+    /// Latest run of each task that may not start any more.
     barred: BTreeMap<Task, Run>,
     /// Job whose tasks crash the worker.
     crash_job: Option<String>,
@@ -263,7 +275,7 @@
         for (task, running) in &mut data.running {
             if complete(task, running.run) != Some(false) {
                 running.work_done += time;
-                running.complete = true;
+                running.was_complete = true;
             }
             let crashes = crash_job.as_deref() == Some(&*task.job);
             crash_due |= crashes && running.work_done > TIME_TO_CRASH;
@@ -278,7 +290,7 @@
                 _ if running.stop_at.is_some_and(|at| now >= at) => {
                     How::Stopped
                 }
-                Some(false) if running.complete => How::Broken,
+                Some(false) if running.was_complete => How::Broken,
                 Some(false) if now > running.started + GANG_TIMEOUT => {
                     How::Alone
                 }
@@ -302,11 +314,11 @@
     }
 
     /// Ends all members of a gang's run on this worker.
-    pub fn end_gang(&self, of: &Task, run: Run, how: How) {
+    pub fn end_gang(&self, member: &Task, run: Run, how: How) {
         let mut data = lock(&self.data);
         let same = |task: &Task, work: &Execution| {
-            let one = (&task.job, task.time, task.step, work.run);
-            one == (&of.job, of.time, of.step, run)
+            let key = (&task.job, task.time, task.step, work.run);
+            key == (&member.job, member.time, member.step, run)
         };
         let members = data.running.iter().filter(|(task, w)| same(task, w));
         let tasks: Vec<Task> = members.map(|(task, _)| task.clone()).collect();
@@ -446,7 +458,7 @@
             charge,
             work_done: Duration::ZERO,
             started: Instant::now(),
-            complete: false,
+            was_complete: false,
             stop_at: None,
         };
         data.running.insert(start.task.clone(), work);
@@ -521,7 +533,8 @@
 }
 
 impl Client {
-    /// Waits until a call has reached the worker.
+    /// Waits until a call has reached the worker. Never returns if the call is
+    /// not answered.
     ///
     /// # Errors
     ///
@@ -564,7 +577,7 @@
             (self.endpoint.clone(), call.clone(), order.clone());
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(ms)).await;
-            let (is_same_worker, when) = {
+            let (accepts, when) = {
                 let data = lock(&endpoint.data);
                 let when = match data.births == births {
                     true => When::Late,
@@ -572,7 +585,7 @@
                 };
                 (data.up && data.life().name() == call.life.name(), when)
             };
-            if is_same_worker {
+            if accepts {
                 // The caller never learns the result.
                 let _ = endpoint.apply(call.token, &order, when);
             }
@@ -654,7 +667,7 @@
             run: work.run,
             saved: String::new(),
             pace: 100.0,
-            load: Some(f64::from(u8::from(work.complete)) * 1000.0),
+            load: Some(f64::from(u8::from(work.was_complete)) * 1000.0),
         });
         Look {
             born: self.life().born(),
