--- a/crates/landingvalve-experiment/src/score.rs
+++ b/crates/landingvalve-experiment/src/score.rs
@@ -63,15 +63,16 @@
         for (at, settings) in load.queues.iter().enumerate() {
             let in_queue = || jobs.iter().filter(|job| job.queue == at);
             let submitted = in_queue().count() as u32;
-            let all: f64 = in_queue().map(|job| job.work).sum();
-            let mean = all / f64::from(submitted.max(1));
+            let total_work: f64 = in_queue().map(|job| job.work).sum();
+            let mean_work = total_work / f64::from(submitted.max(1));
             let mut queue = Queue {
                 submitted,
                 ..Queue::default()
             };
             let (mut queue_earned, mut queue_possible) = (0.0, 0.0);
             for job in in_queue() {
-                let variable = (1.0 - FIXED_SHARE) * job.work / mean.max(1e-9);
+                let variable =
+                    (1.0 - FIXED_SHARE) * job.work / mean_work.max(1e-9);
                 let weight = (FIXED_SHARE + variable).min(MAX_WEIGHT);
                 queue_possible += weight * settings.value;
                 queue_earned += weight
--- a/crates/landingvalve-experiment/src/simulation.rs
+++ b/crates/landingvalve-experiment/src/simulation.rs
@@ -45,7 +45,7 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval of an agent's reports without changes.
 const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
-/// Time that the day continues after the last job's submission.
+/// Time that the day continues after the end of submissions.
 const DRAIN_TIME: Duration = Duration::from_secs(60);
 /// Factor by which a gang that is spread over racks takes longer.
 const CROSS_RACK_SLOWDOWN: f64 = 3.0;
