--- a/tests/it/promises.rs
+++ b/tests/it/promises.rs
@@ -33,19 +33,19 @@
     body
 }
 
-fn outcome(answer: &support::Answer) -> Option<Outcome> {
+fn outcome(answer: &support::Response) -> Option<Outcome> {
     let status: Status = serde_json::from_value(answer.body.clone()).ok()?;
     Some(status.end?.outcome)
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_takeover_running_tasks_never_notice() {
-    let mut site = support::start(3).await;
+    let mut site = support::start_site(3).await;
     let planner = site.planner().expect("a planner");
     let other = site.entries.keys().find(|e| **e != planner).cloned();
     let url = site.url(&other.unwrap());
     support::submit(&url, job("gang", "g", 4000)).await.unwrap();
-    support::reaches(&url, "a.g", Stage::Running).await;
+    support::wait_for_stage(&url, "a.g", Stage::Running).await;
 
     site.kill_entry(&planner);
     let killed = Instant::now();
@@ -54,14 +54,14 @@
     let next_start = killed.elapsed();
     assert!(next_start < Duration::from_secs(8), "{next_start:?}");
 
-    let status = support::reaches(&url, "a.g", Stage::Ended).await;
+    let status = support::wait_for_stage(&url, "a.g", Stage::Ended).await;
     assert_eq!(status.end.unwrap().outcome, Outcome::Done);
-    assert_eq!(support::starts(&site, "a.g"), 2, "one on each worker");
+    assert_eq!(support::start_count(&site, "a.g"), 2, "one on each worker");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_not_repeatable_at_most_once_through_takeovers() {
-    let mut site = support::start(3).await;
+    let mut site = support::start_site(3).await;
     for (round, delay_ms) in [0, 30, 60, 120].into_iter().enumerate() {
         let planner =
             support::until("a planner", || async { site.planner() }).await;
@@ -81,7 +81,7 @@
             serde_json::from_value::<Status>(answer.body).ok()?.end
         })
         .await;
-        let starts = support::starts(&site, &format!("a.{id}"));
+        let starts = support::start_count(&site, &format!("a.{id}"));
         assert!(starts <= 1, "round {round}: {starts} starts");
         match status.outcome {
             Outcome::Done => assert_eq!(starts, 1),
@@ -97,31 +97,31 @@
 /// planner took it for never begun.
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_not_repeatable_with_an_end_that_was_not_written() {
-    let mut site = support::start(2).await;
+    let mut site = support::start_site(2).await;
     let planner = site.planner().expect("a planner");
     let other = site.entries.keys().find(|e| **e != planner).cloned();
     let (url, other) = (site.url(&planner), site.url(&other.unwrap()));
     support::submit(&url, job("report", "r", 700))
         .await
         .unwrap();
-    support::reaches(&url, "a.r", Stage::Running).await;
+    support::wait_for_stage(&url, "a.r", Stage::Running).await;
     site.store.set_fault(DOWN);
-    support::reaches(&url, "a.r", Stage::Ended).await;
+    support::wait_for_stage(&url, "a.r", Stage::Ended).await;
     site.kill_entry(&planner);
     site.store.set_fault(Fault::default());
-    let status = support::reaches(&other, "a.r", Stage::Ended).await;
+    let status = support::wait_for_stage(&other, "a.r", Stage::Ended).await;
     let end = status.end.unwrap();
     assert_eq!(end.outcome, Outcome::Done, "{}", end.reason);
     assert_eq!(end.output.as_deref(), Some("r"));
-    assert_eq!(support::starts(&site, "a.r"), 1);
+    assert_eq!(support::start_count(&site, "a.r"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_store_outage_what_can_goes_on() {
-    let site = support::start(2).await;
+    let site = support::start_site(2).await;
     let url = site.url("e1");
     support::submit(&url, job("gang", "g", 1500)).await.unwrap();
-    support::reaches(&url, "a.g", Stage::Running).await;
+    support::wait_for_stage(&url, "a.g", Stage::Running).await;
 
     site.store.set_fault(DOWN);
     let answer = support::submit(&url, waiting("small", "s", 10)).await;
@@ -131,8 +131,12 @@
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(answer.headers.contains_key(RETRY_AFTER));
     }
-    assert_eq!(support::starts(&site, "a.r"), 0, "not without its mark");
-    let status = support::reaches(&url, "a.g", Stage::Ended).await;
+    assert_eq!(
+        support::start_count(&site, "a.r"),
+        0,
+        "not without its mark"
+    );
+    let status = support::wait_for_stage(&url, "a.g", Stage::Ended).await;
     assert_eq!(status.end.unwrap().outcome, Outcome::Done);
 
     site.store.set_fault(Fault::default());
@@ -142,12 +146,12 @@
     })
     .await;
     assert_eq!(status, Outcome::Done);
-    assert_eq!(support::starts(&site, "a.r"), 1);
+    assert_eq!(support::start_count(&site, "a.r"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_lost_answer_is_read_back() {
-    let site = support::start(2).await;
+    let site = support::start_site(2).await;
     let url = site.url("e1");
     let lose = |lose| Fault {
         lose,
@@ -163,11 +167,11 @@
         })
         .await;
         assert_eq!(end, Outcome::Done);
-        assert_eq!(support::starts(&site, &format!("a.{id}")), 1);
+        assert_eq!(support::start_count(&site, &format!("a.{id}")), 1);
     }
     // An edit whose answer is lost is made once.
     site.store.set_fault(lose(1));
-    let value = support::template(3, "worker", true);
+    let value = support::template_value(3, "worker", true);
     let body = json!({"value": value, "revision": 0, "edit": "once"});
     let path = "/v1/config/templates/three";
     let put = support::call(&url, OPERATOR, Method::PUT, path, Some(body));
@@ -182,11 +186,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_paused_holder_does_no_harm() {
-    let site = support::start(3).await;
+    let site = support::start_site(3).await;
     let url = site.url("e1");
     support::submit(&url, job("gang", "g", 3000)).await.unwrap();
-    support::reaches(&url, "a.g", Stage::Running).await;
-    let before = support::settled(&url, 11).await.cell.unwrap().epoch;
+    support::wait_for_stage(&url, "a.g", Stage::Running).await;
+    let before = support::wait_until_settled(&url, 11)
+        .await
+        .cell
+        .unwrap()
+        .epoch;
 
     // Its lease lapses under it, as if it had been paused past it.
     site.store.lapse_leases();
@@ -198,18 +206,18 @@
     assert!(after > before);
     let answer = support::submit(&url, waiting("report", "r", 10)).await;
     assert_eq!(outcome(&answer.unwrap()), Some(Outcome::Done));
-    let status = support::reaches(&url, "a.g", Stage::Ended).await;
+    let status = support::wait_for_stage(&url, "a.g", Stage::Ended).await;
     assert_eq!(status.end.unwrap().outcome, Outcome::Done);
-    assert_eq!(support::starts(&site, "a.g"), 2);
-    assert_eq!(support::starts(&site, "a.r"), 1);
+    assert_eq!(support::start_count(&site, "a.g"), 2);
+    assert_eq!(support::start_count(&site, "a.r"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_gang_that_loses_a_member_stops_whole() {
-    let mut site = support::start(1).await;
+    let mut site = support::start_site(1).await;
     let url = site.url("e1");
     support::submit(&url, job("gang", "g", 2500)).await.unwrap();
-    let status = support::reaches(&url, "a.g", Stage::Running).await;
+    let status = support::wait_for_stage(&url, "a.g", Stage::Running).await;
     let lost = status.workers[1].to_string();
     let kept = status.workers[0].to_string();
     let task = site.endpoints[&kept].running().remove(0);
@@ -220,7 +228,7 @@
         (!running.contains(&task)).then_some(())
     })
     .await;
-    let status = support::reaches(&url, "a.g", Stage::Ended).await;
+    let status = support::wait_for_stage(&url, "a.g", Stage::Ended).await;
     let end = status.end.unwrap();
     assert_eq!(end.outcome, Outcome::Done, "{}", end.reason);
     assert_eq!(end.output.as_deref(), Some("g"));
@@ -229,7 +237,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_leaving_gets_no_new_work() {
-    let mut site = support::start(1).await;
+    let mut site = support::start_site(1).await;
     let url = site.url("e1");
     site.vms.leave("h1r1w1");
     support::until("the worker to be leaving", || async {
@@ -245,7 +253,7 @@
     }
     for round in 0..40 {
         let id = format!("a.s{round}");
-        support::reaches(&url, &id, Stage::Ended).await;
+        support::wait_for_stage(&url, &id, Stage::Ended).await;
     }
     assert_eq!(site.endpoints["h1r1w1"].starts().len(), before);
     site.kill_agent("h1r1w1");
@@ -253,7 +261,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_planned_stop_cuts_no_request_off() {
-    let mut site = support::start(3).await;
+    let mut site = support::start_site(3).await;
     let planner = site.planner().expect("a planner");
     let url = site.url(&planner);
     let body = waiting("gang", "g", 2000);
@@ -261,24 +269,24 @@
         tokio::spawn(async move { support::submit(&url, body).await });
     let other = site.entries.keys().find(|e| **e != planner).cloned();
     let other = site.url(&other.unwrap());
-    support::reaches(&other, "a.g", Stage::Running).await;
+    support::wait_for_stage(&other, "a.g", Stage::Running).await;
 
     let entry = site.entries.remove(&planner).unwrap();
-    entry.stop(Instant::now() + support::LONG).await;
+    entry.stop(Instant::now() + support::TIMEOUT).await;
     let answer = caller.await.unwrap().expect("a whole answer");
     assert_eq!(outcome(&answer), Some(Outcome::Done));
-    assert_eq!(support::starts(&site, "a.g"), 2);
+    assert_eq!(support::start_count(&site, "a.g"), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_configuration_races_have_one_winner_and_never_revert() {
-    let site = support::start(3).await;
+    let site = support::start_site(3).await;
     let urls: Vec<String> = site.entries.keys().map(|e| site.url(e)).collect();
     let path = "/v1/config/accounts/a";
     let item = support::call(&urls[0], OPERATOR, Method::GET, path, None);
     let on = item.await.unwrap().body["revision"].clone();
     let edits = urls.iter().enumerate().map(|(at, url)| {
-        let value = support::account(10 + at as u32);
+        let value = support::account_value(10 + at as u32);
         let edit = format!("race-{at}");
         let body = json!({"value": value, "revision": on, "edit": edit});
         support::call(url, OPERATOR, Method::PUT, path, Some(body))
@@ -295,21 +303,23 @@
     assert_eq!(lost.status, StatusCode::CONFLICT);
     assert!(lost.body["current"]["value"]["borrow"].is_number());
 
-    let revision = support::settled(&urls[0], 11).await.revision;
+    let revision = support::wait_until_settled(&urls[0], 11).await.revision;
     site.store.set_fault(DOWN);
     for url in &urls {
         let view = support::view(url).await.unwrap();
         assert_eq!(view.revision, revision);
     }
     site.store.set_fault(Fault::default());
-    let view = support::settled(&urls[0], 11).await;
+    let view = support::wait_until_settled(&urls[0], 11).await;
     assert_eq!(view.revision, revision);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_configuration_of_peers_serves_while_the_store_is_down() {
-    let mut site = support::start(2).await;
-    let revision = support::settled(&site.url("e1"), 11).await.revision;
+    let mut site = support::start_site(2).await;
+    let revision = support::wait_until_settled(&site.url("e1"), 11)
+        .await
+        .revision;
     site.store.set_fault(DOWN);
     site.add_entry("e3").await.unwrap();
     support::until("the peers' configuration", || async {
@@ -321,7 +331,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_bad_worker_is_found_and_its_jobs_run_elsewhere() {
-    let site = support::start(1).await;
+    let site = support::start_site(1).await;
     let url = site.url("e1");
     let answer = support::submit(&url, waiting("small", "s", 10)).await;
     assert_eq!(outcome(&answer.unwrap()), Some(Outcome::Done));
@@ -334,14 +344,14 @@
     }
     for round in 0..40 {
         let id = format!("a.b{round}");
-        let status = support::reaches(&url, &id, Stage::Ended).await;
+        let status = support::wait_for_stage(&url, &id, Stage::Ended).await;
         assert_eq!(status.end.unwrap().outcome, Outcome::Done);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_cancel_wave_ends_all_and_runs_none_after() {
-    let site = support::start(2).await;
+    let site = support::start_site(2).await;
     let url = site.url("e1");
     for round in 0..120 {
         let id = format!("c{round}");
@@ -360,7 +370,7 @@
     futures_util::future::join_all(cancels).await;
     for round in 0..120 {
         let id = format!("a.c{round}");
-        let status = support::reaches(&url, &id, Stage::Ended).await;
+        let status = support::wait_for_stage(&url, &id, Stage::Ended).await;
         assert_eq!(status.end.unwrap().outcome, Outcome::Cancelled);
     }
     support::until("every task to stop", || async {
@@ -372,7 +382,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_answer_belongs_to_its_own_request() {
-    let site = support::start(3).await;
+    let site = support::start_site(3).await;
     let urls: Vec<String> = site.entries.keys().map(|e| site.url(e)).collect();
     let calls = (0..60).map(|round| {
         let url = urls[round % urls.len()].clone();
@@ -393,7 +403,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_not_run_is_told_only_once_it_is_written() {
-    let site = support::start(1).await;
+    let site = support::start_site(1).await;
     let url = site.url("e1");
     // More than the account may have at once, so that the last one waits.
     for round in 0..5 {
@@ -405,7 +415,7 @@
     let queued = support::until("a queued job", || async {
         for round in 0..5 {
             let id = format!("a.g{round}");
-            let status = support::status(&url, &id).await?;
+            let status = support::job_status(&url, &id).await?;
             if status.stage == Stage::Queued {
                 return Some(id);
             }
@@ -420,23 +430,23 @@
     let told: Status = serde_json::from_value(told.unwrap().body).unwrap();
     assert!(told.end.is_none(), "told before it is proven");
     site.store.set_fault(Fault::default());
-    let status = support::reaches(&url, &queued, Stage::Ended).await;
+    let status = support::wait_for_stage(&url, &queued, Stage::Ended).await;
     assert_eq!(status.end.unwrap().outcome, Outcome::Cancelled);
-    assert_eq!(support::starts(&site, &queued), 0);
+    assert_eq!(support::start_count(&site, &queued), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_guarantee_is_taken_back_from_borrowers() {
-    let site = support::start(1).await;
+    let site = support::start_site(1).await;
     let url = site.url("e1");
     let b = json!({"borrow": 88,
         "tokens": [landingvalve::util::digest::of(b"b-token")]});
-    support::put(&url, "accounts/b", b).await;
+    support::put_config(&url, "accounts/b", b).await;
     for round in 0..11 {
         let id = format!("b{round}");
         let body = job("eight", &id, 60_000);
-        let eight = support::template(8, "worker", true);
-        support::put(&url, "templates/eight", eight).await;
+        let eight = support::template_value(8, "worker", true);
+        support::put_config(&url, "templates/eight", eight).await;
         // An accepted template is in force a moment later.
         support::until("a borrower to be accepted", || async {
             let body = Some(body.clone());
@@ -454,15 +464,15 @@
     .await;
     let asked = Instant::now();
     support::submit(&url, job("gang", "g", 100)).await.unwrap();
-    support::reaches(&url, "a.g", Stage::Ended).await;
+    support::wait_for_stage(&url, "a.g", Stage::Ended).await;
     assert!(asked.elapsed() < Duration::from_secs(10));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_overload_is_shed_early_and_urgent_work_still_starts() {
-    let site = support::start(2).await;
+    let site = support::start_site(2).await;
     let url = site.url("e1");
-    let mut narrow = support::account(64);
+    let mut narrow = support::account_value(64);
     narrow["queue"] = json!(100);
     narrow["rate"] = json!(10_000);
     let path = "/v1/config/accounts/a";
@@ -473,11 +483,11 @@
     assert_eq!(put.await.unwrap().status, StatusCode::OK);
     let b = json!({"borrow": 8,
         "tokens": [landingvalve::util::digest::of(b"b-token")]});
-    support::put(&url, "accounts/b", b).await;
-    let mut urgent = support::template(1, "worker", true);
+    support::put_config(&url, "accounts/b", b).await;
+    let mut urgent = support::template_value(1, "worker", true);
     urgent["urgent"] = json!(true);
-    support::put(&url, "templates/urgent", urgent).await;
-    support::settled(&url, 11).await;
+    support::put_config(&url, "templates/urgent", urgent).await;
+    support::wait_until_settled(&url, 11).await;
 
     // Ten times what the site can run at once.
     let burst = (0..880).map(|round| {
@@ -491,7 +501,7 @@
     });
     let answers = futures_util::future::join_all(burst).await;
     let of = |status: StatusCode| {
-        let same = |a: &&support::Answer| a.status == status;
+        let same = |a: &&support::Response| a.status == status;
         answers.iter().filter(same).count()
     };
     let others: Vec<StatusCode> = answers
@@ -520,44 +530,44 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_takeover_of_an_agents_tasks_by_its_successor() {
-    let mut site = support::start(1).await;
+    let mut site = support::start_site(1).await;
     let url = site.url("e1");
     support::submit(&url, job("report", "r", 3000))
         .await
         .unwrap();
-    let status = support::reaches(&url, "a.r", Stage::Running).await;
+    let status = support::wait_for_stage(&url, "a.r", Stage::Running).await;
     let worker = status.workers[0].to_string();
     let places = landingvalve_standin::site::Plan::today(1).places();
     let place = places.iter().find(|place| place[2] == worker).unwrap();
 
     site.kill_agent(&worker);
     site.add_agent(place).await.unwrap();
-    let status = support::reaches(&url, "a.r", Stage::Ended).await;
+    let status = support::wait_for_stage(&url, "a.r", Stage::Ended).await;
     let end = status.end.unwrap();
     assert_eq!(end.outcome, Outcome::Done, "{}", end.reason);
     assert_eq!(end.output.as_deref(), Some("r"));
-    assert_eq!(support::starts(&site, "a.r"), 1);
+    assert_eq!(support::start_count(&site, "a.r"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_takeover_with_a_worker_lost_at_the_same_time() {
-    let mut site = support::start(3).await;
+    let mut site = support::start_site(3).await;
     let planner = site.planner().expect("a planner");
     let other = site.entries.keys().find(|e| **e != planner).cloned();
     let url = site.url(&other.unwrap());
     support::submit(&url, job("gang", "g", 2000)).await.unwrap();
-    let status = support::reaches(&url, "a.g", Stage::Running).await;
+    let status = support::wait_for_stage(&url, "a.g", Stage::Running).await;
     let lost = status.workers[0].to_string();
     site.kill_entry(&planner);
     site.lose_worker(&lost);
-    let status = support::reaches(&url, "a.g", Stage::Ended).await;
+    let status = support::wait_for_stage(&url, "a.g", Stage::Ended).await;
     let end = status.end.unwrap();
     assert_eq!(end.outcome, Outcome::Done, "{}", end.reason);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn promise_store_outage_ends_without_a_stampede() {
-    let site = support::start(3).await;
+    let site = support::start_site(3).await;
     let url = site.url("e1");
     site.store.set_fault(DOWN);
     let calls = (0..40).map(|round| {
@@ -566,11 +576,11 @@
         async move { support::submit(&url, waiting("small", &id, 5)).await }
     });
     let answers = futures_util::future::join_all(calls).await;
-    let done = |a: &&support::Answer| outcome(a) == Some(Outcome::Done);
+    let done = |a: &&support::Response| outcome(a) == Some(Outcome::Done);
     assert_eq!(answers.iter().flatten().filter(done).count(), 40);
 
     site.store.set_fault(Fault::default());
-    support::settled(&url, 11).await;
+    support::wait_until_settled(&url, 11).await;
     support::until("every record", || async {
         let records = site.store.values("/landingvalve/job/");
         (records.len() == 40).then_some(())
--- a/tests/it/session.rs
+++ b/tests/it/session.rs
@@ -63,7 +63,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_session_is_as_its_golden_file_says() {
-    let site = support::start(1).await;
+    let site = support::start_site(1).await;
     let url = site.url("e1");
     let mut session = Session {
         url: url.clone(),
@@ -84,12 +84,12 @@
     let long = json!({"template": "gang", "request_id": "g1",
         "parameters": {"run_ms": 60000}});
     session.caller(Method::POST, jobs, long).await;
-    support::reaches(&url, "a.g1", Stage::Running).await;
+    support::wait_for_stage(&url, "a.g1", Stage::Running).await;
     let path = "/v1/jobs/a.g1/answer";
     session.caller(Method::GET, path, none.clone()).await;
     let path = "/v1/jobs/a.g1";
     session.caller(Method::DELETE, path, none.clone()).await;
-    support::reaches(&url, "a.g1", Stage::Ended).await;
+    support::wait_for_stage(&url, "a.g1", Stage::Ended).await;
     session.caller(Method::GET, path, none.clone()).await;
     let failing = json!({"template": "report", "request_id": "f1",
         "wait": true, "parameters": {"run_ms": 5, "fail": true}});
@@ -97,7 +97,7 @@
     let path = "/v1/config/templates/small";
     session.operator(Method::GET, path, none.clone()).await;
     let stale = json!({"revision": 1, "edit": "stale",
-        "value": support::template(2, "worker", true)});
+        "value": support::template_value(2, "worker", true)});
     session.operator(Method::PUT, path, stale).await;
     let path = "/v1/config/check/accounts/b";
     let greedy = json!({"value": {"guarantee":
--- a/tests/it/support.rs
+++ b/tests/it/support.rs
@@ -19,19 +19,19 @@
 use tokio::time::Instant;
 
 /// Within which everything in these tests happens, with much to spare.
-pub const LONG: Duration = Duration::from_secs(40);
+pub const TIMEOUT: Duration = Duration::from_secs(40);
 /// How often a condition is looked at.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Waits until `condition` gives a value.
 pub async fn until<T, F>(what: &str, mut condition: impl FnMut() -> F) -> T
 where
     F: std::future::Future<Output = Option<T>>,
 {
-    let deadline = Instant::now() + LONG;
-    let mut look = tokio::time::interval(LOOK);
+    let deadline = Instant::now() + TIMEOUT;
+    let mut interval = tokio::time::interval(POLL_INTERVAL);
     loop {
-        look.tick().await;
+        interval.tick().await;
         if let Some(value) = condition().await {
             return value;
         }
@@ -41,7 +41,7 @@
 
 /// An answer in JSON.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Value,
@@ -54,18 +54,18 @@
     method: Method,
     path: &str,
     body: Option<Value>,
-) -> Option<Answer> {
+) -> Option<Response> {
     let mut headers = HeaderMap::new();
     let bearer = format!("Bearer {token}");
     let bearer = HeaderValue::from_str(&bearer).expect("plain tokens");
     headers.insert(AUTHORIZATION, bearer);
     let body = body.map(|body| body.to_string()).unwrap_or_default();
-    let deadline = Instant::now() + LONG;
+    let deadline = Instant::now() + TIMEOUT;
     let url = format!("{url}{path}");
     let client = http::Client::new();
     let call = client.call(method, &url, headers, body, deadline);
     let reply = call.await.ok()?;
-    Some(Answer {
+    Some(Response {
         status: reply.status,
         headers: reply.headers,
         body: serde_json::from_slice(&reply.body).unwrap_or(Value::Null),
@@ -73,22 +73,22 @@
 }
 
 /// Submits a job for account `a`, and returns the answer.
-pub async fn submit(url: &str, body: Value) -> Option<Answer> {
+pub async fn submit(url: &str, body: Value) -> Option<Response> {
     call(url, "a-token", Method::POST, "/v1/jobs", Some(body)).await
 }
 
 /// Returns a job's status, if the entry answers with one.
-pub async fn status(url: &str, job: &str) -> Option<Status> {
+pub async fn job_status(url: &str, job: &str) -> Option<Status> {
     let path = format!("/v1/jobs/{job}");
     let answer = call(url, "a-token", Method::GET, &path, None).await?;
     serde_json::from_value(answer.body).ok()
 }
 
 /// Waits until a job is at a stage.
-pub async fn reaches(url: &str, job: &str, stage: Stage) -> Status {
+pub async fn wait_for_stage(url: &str, job: &str, stage: Stage) -> Status {
     let what = format!("{job} at {stage:?}");
     until(&what, || async {
-        let status = status(url, job).await?;
+        let status = job_status(url, job).await?;
         (status.stage == stage).then_some(status)
     })
     .await
@@ -102,7 +102,7 @@
 }
 
 /// Puts an item into the configuration.
-pub async fn put(url: &str, path: &str, value: Value) -> Answer {
+pub async fn put_config(url: &str, path: &str, value: Value) -> Response {
     until("an edit", || async {
         let body = json!({"value": value, "revision": 0, "edit": "setup"});
         let path = format!("/v1/config/{path}");
@@ -116,13 +116,17 @@
 
 /// Returns the account `a` of these tests: 16 accelerators in a rack, and
 /// as many to borrow as asked.
-pub fn account(borrow: u32) -> Value {
+pub fn account_value(borrow: u32) -> Value {
     json!({"borrow": borrow, "tokens": [digest::of(b"a-token")],
         "guarantee": [{"accelerators": 16, "within": "rack"}]})
 }
 
 /// Returns a template of these tests.
-pub fn template(accelerators: u32, within: &str, repeatable: bool) -> Value {
+pub fn template_value(
+    accelerators: u32,
+    within: &str,
+    repeatable: bool,
+) -> Value {
     json!({"shape": {"accelerators": accelerators, "within": within},
         "run_ms": 1000, "run": "task", "repeatable": repeatable,
         "checkpoint": false, "parameters": {
@@ -131,7 +135,7 @@
 }
 
 /// Returns how often a job's tasks were started, over all workers.
-pub fn starts(site: &Site, job: &str) -> usize {
+pub fn start_count(site: &Site, job: &str) -> usize {
     let of_job = format!("{job}@");
     site.endpoints
         .values()
@@ -142,21 +146,23 @@
 
 /// Starts a site with account `a` and templates `small`, `gang` and
 /// `report`, and waits until its planner has every worker.
-pub async fn start(entries: usize) -> Site {
+pub async fn start_site(entries: usize) -> Site {
     let plan = site::Plan::today(entries);
     let site = Site::start(plan).await.expect("a site on loopback");
     let url = site.url("e1");
-    put(&url, "accounts/a", account(64)).await;
-    put(&url, "templates/small", template(1, "worker", true)).await;
-    put(&url, "templates/gang", template(16, "rack", true)).await;
-    put(&url, "templates/report", template(2, "worker", false)).await;
-    settled(&url, 11).await;
+    put_config(&url, "accounts/a", account_value(64)).await;
+    put_config(&url, "templates/small", template_value(1, "worker", true))
+        .await;
+    put_config(&url, "templates/gang", template_value(16, "rack", true)).await;
+    put_config(&url, "templates/report", template_value(2, "worker", false))
+        .await;
+    wait_until_settled(&url, 11).await;
     site
 }
 
 /// Waits until a planner answers that has `workers` up and every guarantee
 /// placed, and every entry the same configuration.
-pub async fn settled(url: &str, workers: usize) -> View {
+pub async fn wait_until_settled(url: &str, workers: usize) -> View {
     until("a settled site", || async {
         let view = view(url).await?;
         let cell = view.cell.as_ref()?;
--- a/tests/it/whole_path.rs
+++ b/tests/it/whole_path.rs
@@ -12,7 +12,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_gang_runs_and_its_whole_answer_comes_back() {
-    let site = support::start(2).await;
+    let site = support::start_site(2).await;
     let body = json!({"template": "gang", "wait": true, "request_id": "g1",
         "parameters": {"run_ms": 100, "output": "weights"}});
     let answer = support::submit(&site.url("e2"), body).await;
@@ -30,7 +30,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn wrong_requests_are_told_which_field_is_wrong() {
-    let site = support::start(1).await;
+    let site = support::start_site(1).await;
     let url = site.url("e1");
     let cases = [
         (json!({"template": "none"}), 422, "template: \"none\""),
@@ -57,7 +57,7 @@
         assert_eq!(answer.status.as_u16(), code, "{body}");
         assert!(error.contains(words), "{body}: {error}");
     }
-    let huge = support::template(200, "any", true);
+    let huge = support::template_value(200, "any", true);
     let body = json!({"value": huge, "edit": "huge"});
     let path = "/v1/config/templates/huge";
     let method = Method::PUT;
