--- a/tests/it/examples.rs
+++ b/tests/it/examples.rs
@@ -1,4 +1,4 @@
-//! The examples of both sites are good configurations of their sites.
+//! The example configurations of both sites are valid.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_examples_of_both_sites_pass_every_check() {
+fn examples_of_both_sites_pass_every_check() {
     let mut site = Site::new(8).unwrap();
     for [hall, rack, worker] in Plan::today(1).places() {
         site.add(&hall, &rack, &worker).unwrap();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn promise_guarantee_that_cannot_be_packed_is_refused_by_name() {
+fn promise_guarantee_that_does_not_fit_is_rejected_with_its_account_named() {
     let mut site = Site::new(8).unwrap();
     for [hall, rack, worker] in Plan::today(1).places() {
         site.add(&hall, &rack, &worker).unwrap();
--- a/tests/it/gang_steps.rs
+++ b/tests/it/gang_steps.rs
@@ -1,9 +1,9 @@
-//! A gang brought to a fault at every step of hold, decide, begin and end.
+//! One fault at each step of a gang's hold, decision, begin and end.
 //!
-//! The agents' ledgers are driven over a network of this test's own, in
-//! virtual time. A step is a message about to be delivered; at each one in
-//! turn it is lost, doubled, held back past all that follows, or one of
-//! the agents dies, or is paused for longer than every lease.
+//! The agents' ledgers exchange messages over a simulated network in virtual
+//! time. A step is the delivery of a message. At each step in turn, the
+//! message is lost, duplicated or delayed past those that follow, or one of
+//! the agents dies or is paused for longer than every lease.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -32,11 +32,12 @@
 use landingvalve::wire::gang::Member;
 use landingvalve::wire::gang::Work;
 
-const MEMBERS: usize = 3;
-const RUN: Duration = Duration::from_secs(30);
+const MEMBER_COUNT: usize = 3;
+const RUN_TIME: Duration = Duration::from_secs(30);
 const TICK: Duration = Duration::from_millis(250);
-/// Within which nothing started in part is left, and no hold.
-const BOUND: Duration = Duration::from_secs(
+/// Time within which a gang that runs only in part has stopped and every hold
+/// is released.
+const CLEANUP_LIMIT: Duration = Duration::from_secs(
     HOLD_DURATION.as_secs() + 2 * MIN_GANG_LEASE.as_secs() + 2,
 );
 const FENCE: Fence = Fence {
@@ -51,7 +52,7 @@
     Launch,
     Begin(usize),
     Report(Report),
-    Told(usize, Decision),
+    Decided(usize, Decision),
     Halt(usize),
     TaskStarted(usize),
     TaskEnded(usize, Ending),
@@ -60,25 +61,29 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    Lose,
-    Double,
+    Drop,
+    Duplicate,
     Delay,
     Kill(usize),
     Pause(usize),
 }
 
-struct World {
+struct Simulation {
     now: Instant,
     start: Instant,
     ledgers: Vec<Ledger>,
     dead: Vec<bool>,
     paused_until: Vec<Instant>,
+    /// Messages to deliver, one a step.
     queue: VecDeque<Message>,
-    later: Vec<(Instant, Message)>,
+    /// Messages to deliver once their time has come.
+    delayed: Vec<(Instant, Message)>,
     held: BTreeMap<usize, bool>,
+    /// Since when each member's task has run.
     running: Vec<Option<Instant>>,
-    /// When the first and the last task began.
-    began: Vec<Option<Instant>>,
+    /// When each member's task began; it stays once the task has ended.
+    begun_at: Vec<Option<Instant>>,
+    /// Since when only a part of the gang has run.
     partial_since: Option<Instant>,
     longest_partial: Duration,
     steps: usize,
@@ -101,17 +106,17 @@
             account: "a".into(),
             template: "t".into(),
             shape: Shape {
-                accelerators: 8 * MEMBERS as u32,
+                accelerators: 8 * MEMBER_COUNT as u32,
                 within: Within::Any,
             },
-            declared: RUN,
+            declared: RUN_TIME,
             repeatable: false,
             checkpoint: false,
             urgent: false,
             submitted: SystemTime::UNIX_EPOCH,
             due: None,
         },
-        members: (0..MEMBERS).map(member).collect(),
+        members: (0..MEMBER_COUNT).map(member).collect(),
         work: Work {
             run: "task".to_owned(),
             parameters: serde_json::Value::Null,
@@ -129,22 +134,22 @@
     }
 }
 
-impl World {
-    fn new() -> World {
+impl Simulation {
+    fn new() -> Simulation {
         let now = Instant::now();
         let ledger =
             |at: usize| Ledger::new(format!("w{at}").into(), 8).unwrap();
-        World {
+        Simulation {
             now,
             start: now,
-            ledgers: (0..MEMBERS).map(ledger).collect(),
-            dead: vec![false; MEMBERS],
-            paused_until: vec![now; MEMBERS],
-            queue: (0..MEMBERS).map(Message::Hold).collect(),
-            later: Vec::new(),
+            ledgers: (0..MEMBER_COUNT).map(ledger).collect(),
+            dead: vec![false; MEMBER_COUNT],
+            paused_until: vec![now; MEMBER_COUNT],
+            queue: (0..MEMBER_COUNT).map(Message::Hold).collect(),
+            delayed: Vec::new(),
             held: BTreeMap::new(),
-            running: vec![None; MEMBERS],
-            began: vec![None; MEMBERS],
+            running: vec![None; MEMBER_COUNT],
+            begun_at: vec![None; MEMBER_COUNT],
             partial_since: None,
             longest_partial: Duration::ZERO,
             steps: 0,
@@ -155,36 +160,37 @@
         !self.dead[at] && self.paused_until[at] <= self.now
     }
 
-    /// Runs to the end, with `fault` at step `at`; returns the steps taken.
+    /// Runs to the end, with `fault` at step `at`; returns how many steps there
+    /// were.
     fn run(&mut self, at: usize, fault: Option<Fault>) -> usize {
-        while self.now < self.start + RUN + 2 * BOUND {
+        while self.now < self.start + RUN_TIME + 2 * CLEANUP_LIMIT {
             while let Some(message) = self.queue.pop_front() {
                 self.steps += 1;
                 match fault {
                     Some(fault) if self.steps == at => {
-                        self.strike(fault, message)
+                        self.inject(fault, message)
                     }
                     _ => self.deliver(message),
                 }
-                self.watch();
+                self.track_partial_run();
             }
             self.now += TICK;
-            self.pass();
-            self.watch();
+            self.advance();
+            self.track_partial_run();
         }
         self.steps
     }
 
-    fn strike(&mut self, fault: Fault, message: Message) {
+    fn inject(&mut self, fault: Fault, message: Message) {
         match fault {
-            Fault::Lose => {}
-            Fault::Double => {
+            Fault::Drop => {}
+            Fault::Duplicate => {
                 self.deliver(message.clone());
                 self.deliver(message);
             }
             Fault::Delay => {
                 let due = self.now + Duration::from_secs(3);
-                self.later.push((due, message));
+                self.delayed.push((due, message));
             }
             Fault::Kill(agent) => {
                 self.dead[agent] = true;
@@ -198,21 +204,22 @@
         }
     }
 
-    /// Lets time pass: deadlines, tasks that end, messages held back.
-    fn pass(&mut self) {
-        let later = std::mem::take(&mut self.later);
-        for (due, message) in later {
+    /// Delivers delayed messages, ends tasks and expires deadlines, as they are
+    /// due.
+    fn advance(&mut self) {
+        let delayed = std::mem::take(&mut self.delayed);
+        for (due, message) in delayed {
             match due <= self.now {
                 true => self.queue.push_back(message),
-                false => self.later.push((due, message)),
+                false => self.delayed.push((due, message)),
             }
         }
-        for at in 0..MEMBERS {
-            let ended =
-                self.running[at].is_some_and(|began| began + RUN <= self.now);
+        for at in 0..MEMBER_COUNT {
+            let ended = self.running[at]
+                .is_some_and(|begun| begun + RUN_TIME <= self.now);
             if self.dead[at] && self.running[at].is_some() {
-                // An agent's task outlives it by the task's lease at most;
-                // here the whole worker is lost.
+                // The whole worker is lost, and its task with it. (A task
+                // outlives its agent alone by at most the task's lease.)
                 self.running[at] = None;
             } else if ended {
                 self.running[at] = None;
@@ -222,18 +229,19 @@
             if self.is_up(at) {
                 self.poll(at);
                 let effects = self.ledgers[at].tick(self.now);
-                self.carry_out(at, effects);
+                self.apply_effects(at, effects);
             }
         }
     }
 
-    /// An agent asks its endpoint again and again, and stops what it must
-    /// until it has.
+    /// Polls the endpoint as an agent does: reports a task that has ended, and
+    /// repeats the stop of a task until it has stopped.
     fn poll(&mut self, at: usize) {
         let slot = self.ledgers[at].slot(&gang().id);
-        let over = self.began[at].is_some() && self.running[at].is_none();
+        let has_ended =
+            self.begun_at[at].is_some() && self.running[at].is_none();
         match slot.map(|slot| &slot.phase) {
-            Some(Phase::Begun { .. }) if over => {
+            Some(Phase::Begun { .. }) if has_ended => {
                 let message = Message::TaskEnded(at, Ending::Done);
                 self.queue.push_back(message);
             }
@@ -250,7 +258,7 @@
             Message::Launch | Message::Report(_) => Some(0),
             Message::Hold(at)
             | Message::Begin(at)
-            | Message::Told(at, _)
+            | Message::Decided(at, _)
             | Message::Halt(at)
             | Message::TaskStarted(at)
             | Message::TaskEnded(at, _)
@@ -259,14 +267,14 @@
         match to {
             Some(at) if self.dead[at] => {}
             Some(at) if !self.is_up(at) => {
-                // It waits in the socket until the process goes on.
-                self.later.push((self.paused_until[at], message));
+                // The message waits in the socket until the process resumes.
+                self.delayed.push((self.paused_until[at], message));
             }
-            _ => self.take(message),
+            _ => self.handle(message),
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         let id = gang().id;
         let now = self.now;
         match message {
@@ -278,14 +286,14 @@
             }
             Message::Held(at) => {
                 self.held.insert(at, true);
-                if self.held.len() == MEMBERS {
+                if self.held.len() == MEMBER_COUNT {
                     self.queue.push_back(Message::Launch);
                 }
             }
             Message::Launch => {
-                let launched = self.ledgers[0].launch(FENCE, &id, now);
-                if launched.is_ok() {
-                    let members = (0..MEMBERS).rev();
+                let launch = self.ledgers[0].launch(FENCE, &id, now);
+                if launch.is_ok() {
+                    let members = (0..MEMBER_COUNT).rev();
                     self.queue.extend(members.map(Message::Begin));
                 }
             }
@@ -294,12 +302,12 @@
                     self.queue.push_back(Message::TaskStarted(at));
                 }
             }
-            Message::TaskStarted(at) => self.task_started(at),
+            Message::TaskStarted(at) => self.handle_task_start(at),
             Message::TaskEnded(at, ending) => {
                 let worker = Some(format!("w{at}").into());
                 let end = End::new(ending, worker);
                 let effects = self.ledgers[at].record_task_end(&id, end, now);
-                self.carry_out(at, effects);
+                self.apply_effects(at, effects);
             }
             Message::StopTask(at) => {
                 self.running[at] = None;
@@ -308,36 +316,36 @@
             }
             Message::Report(report) => {
                 let at = report.member;
-                let (verdict, effects) =
+                let (decision, effects) =
                     self.ledgers[0].handle_report(report, now);
-                self.carry_out(0, effects);
-                self.queue.push_back(Message::Told(at, verdict));
+                self.apply_effects(0, effects);
+                self.queue.push_back(Message::Decided(at, decision));
             }
-            Message::Told(at, verdict) => {
+            Message::Decided(at, decision) => {
                 let effects =
-                    self.ledgers[at].apply_decision(&id, verdict, now);
-                self.carry_out(at, effects);
+                    self.ledgers[at].apply_decision(&id, decision, now);
+                self.apply_effects(at, effects);
             }
             Message::Halt(at) => {
                 let effects = self.ledgers[at].halt(&id, now);
-                self.carry_out(at, effects);
+                self.apply_effects(at, effects);
             }
         }
     }
 
-    fn task_started(&mut self, at: usize) {
+    fn handle_task_start(&mut self, at: usize) {
         let slot = self.ledgers[at].slot(&gang().id);
         let wanted = slot
             .is_some_and(|slot| matches!(slot.phase, Phase::Beginning { .. }));
         if wanted {
-            assert!(self.began[at].is_none(), "begun twice on w{at}");
+            assert!(self.begun_at[at].is_none(), "begun twice on w{at}");
             self.running[at] = Some(self.now);
-            self.began[at] = Some(self.now);
+            self.begun_at[at] = Some(self.now);
         }
         self.ledgers[at].record_task_start(&gang().id, self.now);
     }
 
-    fn carry_out(&mut self, at: usize, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, at: usize, effects: Vec<Effect>) {
         for effect in effects {
             let message = match effect {
                 Effect::StartTask(_) => Message::TaskStarted(at),
@@ -351,24 +359,24 @@
         }
     }
 
-    /// Keeps the longest time for which some members ran and others, that
-    /// had not done their part, did not.
-    fn watch(&mut self) {
-        let done = |at: usize| {
+    /// Tracks the longest time for which some members ran while others that
+    /// had not completed their task did not.
+    fn track_partial_run(&mut self) {
+        let has_completed = |at: usize| {
             let slot = self.ledgers[at].slot(&gang().id);
             slot.is_some_and(|slot| {
                 matches!(&slot.phase, Phase::Ended(end)
                     if end.ending == Ending::Done)
             })
         };
-        let some = self.running.iter().any(Option::is_some);
-        let all = (0..MEMBERS).all(|at| {
+        let some_run = self.running.iter().any(Option::is_some);
+        let all_run = (0..MEMBER_COUNT).all(|at| {
             self.running[at].is_some()
-                || done(at)
-                || self.began[at].is_some_and(|b| b + RUN <= self.now)
+                || has_completed(at)
+                || self.begun_at[at].is_some_and(|b| b + RUN_TIME <= self.now)
                     && !self.dead[at]
         });
-        match some && !all {
+        match some_run && !all_run {
             true => {
                 let since = *self.partial_since.get_or_insert(self.now);
                 self.longest_partial =
@@ -381,60 +389,63 @@
     fn check(&self, what: &str) {
         assert!(
             self.longest_partial <= MIN_GANG_LEASE + 2 * MIN_REPORT_INTERVAL,
-            "{what}: in part for {:?}",
+            "{what}: ran in part for {:?}",
             self.longest_partial
         );
-        for at in (0..MEMBERS).filter(|at| !self.dead[*at]) {
-            assert_eq!(self.running[at], None, "{what}: w{at} runs on");
-            let leaked = self.ledgers[at].accelerators_in_use();
-            assert_eq!(leaked, 0, "{what}: w{at} holds {leaked:x}");
+        for at in (0..MEMBER_COUNT).filter(|at| !self.dead[*at]) {
+            assert_eq!(self.running[at], None, "{what}: w{at} still runs");
+            let held_mask = self.ledgers[at].accelerators_in_use();
+            assert_eq!(held_mask, 0, "{what}: w{at} holds {held_mask:x}");
         }
         let lead = self.ledgers[0].slot(&gang().id);
         let outcome = lead.and_then(|slot| slot.lead.as_ref()?.outcome());
         if let Some(end) = outcome {
-            let began = self.began.iter().any(Option::is_some);
+            let any_began = self.begun_at.iter().any(Option::is_some);
             let ending = end.ending;
             assert!(
-                ending != Ending::NotBegun || !began,
-                "{what}: told not begun, and it was"
+                ending != Ending::NotBegun || !any_began,
+                "{what}: reported as not begun, but a task began"
+            );
+            let all_began = self.begun_at.iter().all(Option::is_some);
+            assert!(
+                ending != Ending::Done || all_began,
+                "{what}: done, but not all members began"
             );
-            let whole = self.began.iter().all(Option::is_some);
-            assert!(ending != Ending::Done || whole, "{what}: not whole");
         }
     }
 }
 
 #[test]
 fn promise_gang_without_a_fault_runs_whole() {
-    let mut world = World::new();
-    world.run(0, None);
-    world.check("no fault");
-    let lead = world.ledgers[0].slot(&gang().id).unwrap();
+    let mut simulation = Simulation::new();
+    simulation.run(0, None);
+    simulation.check("no fault");
+    let lead = simulation.ledgers[0].slot(&gang().id).unwrap();
     let outcome = lead.lead.as_ref().unwrap().outcome().unwrap();
     assert_eq!(outcome.ending, Ending::Done);
-    assert_eq!(world.longest_partial, Duration::ZERO);
+    assert_eq!(simulation.longest_partial, Duration::ZERO);
 }
 
 #[test]
-fn promise_gang_is_whole_or_gone_with_a_fault_at_every_step() {
-    let steps = World::new().run(0, None);
-    let members = 0..MEMBERS;
-    let faults: Vec<Fault> = [Fault::Lose, Fault::Double, Fault::Delay]
+fn promise_gang_runs_whole_or_stops_with_a_fault_at_any_step() {
+    let steps = Simulation::new().run(0, None);
+    let members = 0..MEMBER_COUNT;
+    let faults: Vec<Fault> = [Fault::Drop, Fault::Duplicate, Fault::Delay]
         .into_iter()
         .chain(members.clone().map(Fault::Kill))
         .chain(members.map(Fault::Pause))
         .collect();
     for at in 1..=steps {
         for fault in &faults {
-            let mut world = World::new();
-            world.run(at, Some(*fault));
-            world.check(&format!("{fault:?} at step {at} of {steps}"));
+            let mut simulation = Simulation::new();
+            simulation.run(at, Some(*fault));
+            simulation.check(&format!("{fault:?} at step {at} of {steps}"));
         }
     }
 }
 
 #[test]
-fn promise_paused_holder_planner_is_refused_after_a_later_one() {
+fn promise_planner_of_an_earlier_epoch_is_refused() {
     let now = Instant::now();
     let mut ledger = Ledger::new("w0".into(), 8).unwrap();
     let later = Fence {
@@ -453,7 +464,7 @@
 }
 
 #[test]
-fn promise_configuration_of_an_older_revision_is_refused() {
+fn promise_configuration_of_an_earlier_revision_is_refused() {
     let now = Instant::now();
     let mut ledger = Ledger::new("w0".into(), 8).unwrap();
     let newer = Fence {
@@ -464,5 +475,5 @@
     let hold = hold(0);
     let refusal = ledger.hold(hold, now).unwrap_err();
     assert_eq!(refusal.to_string(), "configuration 1 is before 9");
-    assert_eq!(ledger.fence(), newer, "never lower again");
+    assert_eq!(ledger.fence(), newer, "the fence never goes back");
 }
--- a/tests/it/main.rs
+++ b/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decision core, the replay and the processes.
+//! Integration tests of the decision core, the replay and the processes.
 
 mod admission;
 mod advice;
--- a/tests/it/pages.rs
+++ b/tests/it/pages.rs
@@ -1,4 +1,4 @@
-//! The operators' page names every setting, metric and log prefix.
+//! The operators' page documents every setting and every metric.
 
 use landingvalve::settings;
 use landingvalve::settings::Field;
@@ -6,7 +6,8 @@
 
 const PAGE: &str = include_str!("../../docs/OPERATIONS.md");
 
-fn line(name: &str) -> &'static str {
+/// Returns the row of the page's tables that begins with `name`.
+fn table_row(name: &str) -> &'static str {
     let cell = format!("| `{name}` |");
     PAGE.lines()
         .find(|line| line.starts_with(&cell))
@@ -14,7 +15,7 @@
 }
 
 #[test]
-fn every_setting_is_on_the_page_with_its_default() {
+fn operators_page_lists_every_setting_with_its_default() {
     let fields: [&[Field]; 3] = [
         settings::entry::FIELDS,
         settings::agent::FIELDS,
@@ -27,14 +28,14 @@
             Some("") => "| empty |".to_owned(),
             Some(value) => format!("| `{value}` |"),
         };
-        let line = line(&name);
-        assert!(line.contains(&default), "{name}: {default}: {line}");
+        let row = table_row(&name);
+        assert!(row.contains(&default), "{name}: {default}: {row}");
     }
 }
 
 #[test]
-fn every_metric_is_on_the_page() {
-    for about in metrics::ALL {
-        line(about.name);
+fn operators_page_lists_every_metric() {
+    for metric in metrics::ALL {
+        table_row(metric.name);
     }
 }
--- a/tests/it/plan_health.rs
+++ b/tests/it/plan_health.rs
@@ -1,4 +1,6 @@
-//! Telling a bad worker from a bad job.
+//! A failure counts against the worker if the job's template has succeeded
+//! before or two different jobs fail there; repeated failures of one unproven
+//! job do not.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -8,7 +10,7 @@
 const NOW: SystemTime = SystemTime::UNIX_EPOCH;
 
 #[test]
-fn one_failure_of_an_unproven_job_is_no_verdict() {
+fn failures_of_one_unproven_job_do_not_quarantine_a_worker() {
     let mut health = Health::default();
     assert!(!health.record_failure(&"a".into(), false, NOW));
     assert!(!health.record_failure(&"a".into(), false, NOW));
@@ -17,7 +19,7 @@
 }
 
 #[test]
-fn quarantines_grow_and_end_with_a_run_that_lasts() {
+fn quarantines_double_and_end_after_a_success() {
     let mut health = Health::default();
     assert!(health.record_failure(&"a".into(), true, NOW));
     assert!(!health.is_probe_due(NOW));
--- a/tests/it/plan_mask.rs
+++ b/tests/it/plan_mask.rs
@@ -1,9 +1,9 @@
-//! Choosing accelerators inside a worker.
+//! The choice of accelerators inside a worker.
 
 use landingvalve::plan::mask::choose;
 
 #[test]
-fn takes_the_tightest_aligned_window() {
+fn chooses_from_the_tightest_aligned_window() {
     let cases = [
         (0b1111_1111, 8, Some(0b1111_1111)),
         (0b1111_1111, 2, Some(0b0000_0011)),
--- a/tests/it/plan_predict.rs
+++ b/tests/it/plan_predict.rs
@@ -1,4 +1,4 @@
-//! Predicting run times from history.
+//! The prediction of run times from a template's history.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -27,22 +27,22 @@
 }
 
 #[test]
-fn trusts_the_declaration_until_there_is_history() {
+fn predicts_the_declared_time_without_history() {
     let history = History::default();
     assert_eq!(history.predict(&spec(60)), Duration::from_secs(60));
 }
 
 #[test]
-fn learns_a_constant_factor_and_a_constant_run() {
-    let mut factor = History::default();
+fn predicts_a_constant_factor_and_a_constant_run_time() {
+    let mut proportional = History::default();
     let mut constant = History::default();
     for declared in [10, 100, 1000] {
         let ran = Duration::from_secs(3 * declared);
-        factor.record_completion(&spec(declared), ran);
+        proportional.record_completion(&spec(declared), ran);
         let ran = Duration::from_secs(42);
         constant.record_completion(&spec(declared), ran);
     }
     let seconds = |d: Duration| d.as_secs_f64().round();
-    assert_eq!(seconds(factor.predict(&spec(50))), 150.0);
+    assert_eq!(seconds(proportional.predict(&spec(50))), 150.0);
     assert_eq!(seconds(constant.predict(&spec(50))), 42.0);
 }
--- a/tests/it/plan_property.rs
+++ b/tests/it/plan_property.rs
@@ -1,4 +1,6 @@
-//! What holds of the books after every step, whatever happens.
+//! Invariants of the plan's state after every step of random histories: jobs
+//! are submitted, complete, fail and are cancelled, while workers are lost,
+//! leave and come back.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -38,7 +40,7 @@
     site
 }
 
-fn terms(account: &str) -> Account {
+fn account_terms(account: &str) -> Account {
     let shape = |accelerators, within| Shape {
         accelerators,
         within,
@@ -54,8 +56,8 @@
     }
 }
 
-/// A world that obeys commands and makes things up.
-struct World {
+/// A site that carries out the plan's commands, and generates random events.
+struct Simulation {
     plan: Plan,
     checker: Checker,
     now: SystemTime,
@@ -64,10 +66,10 @@
     submitted: u32,
 }
 
-impl World {
-    fn new() -> World {
-        let accounts = ACCOUNTS.map(|id| (id.into(), terms(id)));
-        let mut world = World {
+impl Simulation {
+    fn new() -> Simulation {
+        let accounts = ACCOUNTS.map(|id| (id.into(), account_terms(id)));
+        let mut simulation = Simulation {
             plan: Plan::new(site(), Policy::default()),
             checker: Checker::new(site(), accounts.into()),
             now: SystemTime::UNIX_EPOCH,
@@ -81,10 +83,10 @@
             .map(|worker| Event::WorkerUp { worker: worker.id });
         let accounts = ACCOUNTS.iter().map(|id| Event::AccountChanged {
             account: (*id).into(),
-            terms: terms(id),
+            terms: account_terms(id),
         });
-        world.step(up.chain(accounts).collect());
-        world
+        simulation.step(up.chain(accounts).collect());
+        simulation
     }
 
     fn step(&mut self, events: Vec<Event>) {
@@ -143,36 +145,35 @@
                 homes[piece.worker] |= piece.mask;
             }
         }
-        // All unused guaranteed shapes can be had back together: whatever
-        // is in a block and not the owner's can be stopped, or has been
-        // told to.
+        // All unused guaranteed shapes can be reclaimed together: each job of
+        // another account in a block can be stopped or is being stopped.
         for home in state.homes.iter().filter(|home| home.is_placed()) {
             for worker in 0..state.workers.len() {
                 let unused = home.unused(worker);
-                let mut stays = state.workers[worker].unstoppable;
+                let mut remaining = state.workers[worker].unstoppable;
                 for id in &state.workers[worker].jobs {
                     let job = &state.jobs[id];
-                    let run = job.run().expect("it is here");
-                    let theirs = mask_on(&run.pieces, worker);
+                    let run = job.run().expect("a job on a worker has a run");
+                    let mask = mask_on(&run.pieces, worker);
                     match &job.phase {
-                        Phase::Stopping(..) => stays &= !theirs,
-                        _ if theirs & unused == 0 => {}
+                        Phase::Stopping(..) => remaining &= !mask,
+                        _ if mask & unused == 0 => {}
                         _ => assert!(job.spec.reclaimable(), "{id}"),
                     }
                 }
-                assert_eq!(unused & stays, 0);
+                assert_eq!(unused & remaining, 0);
             }
         }
-        for (worker, books) in state.workers.iter().enumerate() {
-            let masks = books.jobs.iter().map(|id| {
+        for (worker, worker_state) in state.workers.iter().enumerate() {
+            let masks = worker_state.jobs.iter().map(|id| {
                 mask_on(&state.jobs[id].run().unwrap().pieces, worker)
             });
             let used = masks.fold(0, |used, mask| {
                 assert_eq!(used & mask, 0, "shared accelerators");
                 used | mask
             });
-            assert_eq!(used, books.used);
-            assert_eq!(homes[worker], books.home);
+            assert_eq!(used, worker_state.used);
+            assert_eq!(homes[worker], worker_state.home);
         }
         let counts = self.checker.counts();
         assert_eq!(counts.partial_gangs, 0);
@@ -260,28 +261,29 @@
     }
 }
 
-/// Runs a history that is made of random bytes.
-fn history(u: &mut Unstructured<'_>) -> Result<()> {
-    let mut world = World::new();
+/// Plays a history generated from random bytes, and checks after each step.
+fn play_history(u: &mut Unstructured<'_>) -> Result<()> {
+    let mut simulation = Simulation::new();
     while !u.is_empty() {
         let passed = u.int_in_range(0..=120)?;
-        world.now += Duration::from_secs(passed);
-        let event = world.event(u)?;
-        world.step(event.into_iter().collect());
+        simulation.now += Duration::from_secs(passed);
+        let event = simulation.event(u)?;
+        simulation.step(event.into_iter().collect());
     }
     Ok(())
 }
 
-/// The same histories every time: how many, and of up to how many bytes.
-const HISTORIES: u64 = 60;
-const LONGEST: u64 = 4096;
+/// Number of histories; the fixed seed makes them the same in every run.
+const HISTORY_COUNT: u64 = 60;
+/// Exclusive upper bound of the random bytes that a history is made of.
+const MAX_HISTORY_BYTES: u64 = 4096;
 
 #[test]
-fn promise_guarantee_blocks_stay_reclaimable_whatever_happens() {
+fn promise_guarantee_blocks_stay_reclaimable_through_random_histories() {
     let mut rng = fastrand::Rng::with_seed(7);
-    for _ in 0..HISTORIES {
-        let size = rng.u64(64..LONGEST);
+    for _ in 0..HISTORY_COUNT {
+        let size = rng.u64(64..MAX_HISTORY_BYTES);
         let seed = u64::from(rng.u32(..)) << 32 | size;
-        arbtest(history).seed(seed);
+        arbtest(play_history).seed(seed);
     }
 }
--- a/tests/it/promises.rs
+++ b/tests/it/promises.rs
@@ -1,4 +1,4 @@
-//! What must always hold, each brought to the failure that could break it,
+//! The promises of the system, each under the failure that could break it,
 //! over real sockets.
 
 use std::time::Duration;
@@ -16,41 +16,48 @@
 
 use crate::support;
 
-const DOWN: Fault = Fault {
+const STORE_DOWN: Fault = Fault {
     down: true,
     slow: Duration::ZERO,
     lose: 0,
 };
 
-fn job(template: &str, id: &str, run_ms: u64) -> serde_json::Value {
+fn job_request(template: &str, id: &str, run_ms: u64) -> serde_json::Value {
     json!({"template": template, "request_id": id,
         "parameters": {"run_ms": run_ms, "output": id}})
 }
 
-fn waiting(template: &str, id: &str, run_ms: u64) -> serde_json::Value {
-    let mut body = job(template, id, run_ms);
+fn waiting_request(
+    template: &str,
+    id: &str,
+    run_ms: u64,
+) -> serde_json::Value {
+    let mut body = job_request(template, id, run_ms);
     body["wait"] = json!(true);
     body
 }
 
-fn outcome(answer: &support::Response) -> Option<Outcome> {
-    let status: Status = serde_json::from_value(answer.body.clone()).ok()?;
+fn outcome(response: &support::Response) -> Option<Outcome> {
+    let status: Status = serde_json::from_value(response.body.clone()).ok()?;
     Some(status.end?.outcome)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_takeover_running_tasks_never_notice() {
+async fn promise_takeover_does_not_disturb_running_tasks() {
     let mut site = support::start_site(3).await;
     let planner = site.planner().expect("a planner");
     let other = site.entries.keys().find(|e| **e != planner).cloned();
     let url = site.url(&other.unwrap());
-    support::submit(&url, job("gang", "g", 4000)).await.unwrap();
+    support::submit(&url, job_request("gang", "g", 4000))
+        .await
+        .unwrap();
     support::wait_for_stage(&url, "a.g", Stage::Running).await;
 
     site.kill_entry(&planner);
     let killed = Instant::now();
-    let answer = support::submit(&url, waiting("small", "s", 10)).await;
-    assert_eq!(outcome(&answer.unwrap()), Some(Outcome::Done));
+    let response =
+        support::submit(&url, waiting_request("small", "s", 10)).await;
+    assert_eq!(outcome(&response.unwrap()), Some(Outcome::Done));
     let next_start = killed.elapsed();
     assert!(next_start < Duration::from_secs(8), "{next_start:?}");
 
@@ -60,7 +67,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_not_repeatable_at_most_once_through_takeovers() {
+async fn promise_non_repeatable_job_starts_at_most_once_through_takeovers() {
     let mut site = support::start_site(3).await;
     for (round, delay_ms) in [0, 30, 60, 120].into_iter().enumerate() {
         let planner =
@@ -69,16 +76,16 @@
         let url = site.url(&other.unwrap());
         let id = format!("r{round}");
         let mut submitting =
-            Box::pin(support::submit(&url, job("report", &id, 300)));
+            Box::pin(support::submit(&url, job_request("report", &id, 300)));
         let pause = Duration::from_millis(delay_ms);
         let _ = tokio::time::timeout(pause, &mut submitting).await;
         site.kill_entry(&planner);
         drop(submitting);
-        // The same request again, until it has an end.
+        // Repeats the same request until the job has ended.
         let status = support::until("an end", || async {
-            let again = waiting("report", &id, 300);
-            let answer = support::submit(&url, again).await?;
-            serde_json::from_value::<Status>(answer.body).ok()?.end
+            let retry = waiting_request("report", &id, 300);
+            let response = support::submit(&url, retry).await?;
+            serde_json::from_value::<Status>(response.body).ok()?.end
         })
         .await;
         let starts = support::start_count(&site, &format!("a.{id}"));
@@ -92,20 +99,19 @@
     }
 }
 
-/// Holds a failure of the proof by the agents: they were let forget a
-/// report once its end was told, though it was not written, and the next
-/// planner took it for never begun.
+/// Guards against agents that forget a job once its end is reported, though
+/// not yet written: the next planner then concludes that the job never began.
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_not_repeatable_with_an_end_that_was_not_written() {
+async fn promise_end_that_was_not_written_survives_a_takeover() {
     let mut site = support::start_site(2).await;
     let planner = site.planner().expect("a planner");
     let other = site.entries.keys().find(|e| **e != planner).cloned();
     let (url, other) = (site.url(&planner), site.url(&other.unwrap()));
-    support::submit(&url, job("report", "r", 700))
+    support::submit(&url, job_request("report", "r", 700))
         .await
         .unwrap();
     support::wait_for_stage(&url, "a.r", Stage::Running).await;
-    site.store.set_fault(DOWN);
+    site.store.set_fault(STORE_DOWN);
     support::wait_for_stage(&url, "a.r", Stage::Ended).await;
     site.kill_entry(&planner);
     site.store.set_fault(Fault::default());
@@ -117,32 +123,39 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_store_outage_what_can_goes_on() {
+async fn promise_store_outage_stops_only_work_that_needs_the_store() {
     let site = support::start_site(2).await;
     let url = site.url("e1");
-    support::submit(&url, job("gang", "g", 1500)).await.unwrap();
+    support::submit(&url, job_request("gang", "g", 1500))
+        .await
+        .unwrap();
     support::wait_for_stage(&url, "a.g", Stage::Running).await;
 
-    site.store.set_fault(DOWN);
-    let answer = support::submit(&url, waiting("small", "s", 10)).await;
-    assert_eq!(outcome(&answer.unwrap()), Some(Outcome::Done));
-    for body in [job("small", "s2", 10), waiting("report", "r", 10)] {
-        let answer = support::submit(&url, body).await.unwrap();
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(answer.headers.contains_key(RETRY_AFTER));
+    site.store.set_fault(STORE_DOWN);
+    let response =
+        support::submit(&url, waiting_request("small", "s", 10)).await;
+    assert_eq!(outcome(&response.unwrap()), Some(Outcome::Done));
+    for body in [
+        job_request("small", "s2", 10),
+        waiting_request("report", "r", 10),
+    ] {
+        let response = support::submit(&url, body).await.unwrap();
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert!(response.headers.contains_key(RETRY_AFTER));
     }
     assert_eq!(
         support::start_count(&site, "a.r"),
         0,
-        "not without its mark"
+        "not without its start record"
     );
     let status = support::wait_for_stage(&url, "a.g", Stage::Ended).await;
     assert_eq!(status.end.unwrap().outcome, Outcome::Done);
 
     site.store.set_fault(Fault::default());
     let status = support::until("the report's end", || async {
-        let answer = support::submit(&url, waiting("report", "r", 10)).await?;
-        outcome(&answer)
+        let response =
+            support::submit(&url, waiting_request("report", "r", 10)).await?;
+        outcome(&response)
     })
     .await;
     assert_eq!(status, Outcome::Done);
@@ -150,7 +163,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_lost_answer_is_read_back() {
+async fn promise_write_with_a_lost_response_takes_effect_once() {
     let site = support::start_site(2).await;
     let url = site.url("e1");
     let lose = |lose| Fault {
@@ -161,15 +174,15 @@
         site.store.set_fault(lose(1 + round));
         let id = format!("r{round}");
         let end = support::until("an end", || async {
-            let body = waiting("report", &id, 10);
-            let answer = support::submit(&url, body).await?;
-            outcome(&answer)
+            let body = waiting_request("report", &id, 10);
+            let response = support::submit(&url, body).await?;
+            outcome(&response)
         })
         .await;
         assert_eq!(end, Outcome::Done);
         assert_eq!(support::start_count(&site, &format!("a.{id}")), 1);
     }
-    // An edit whose answer is lost is made once.
+    // An edit whose response is lost is made once.
     site.store.set_fault(lose(1));
     let value = support::template_value(3, "worker", true);
     let body = json!({"value": value, "revision": 0, "edit": "once"});
@@ -185,10 +198,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_paused_holder_does_no_harm() {
+async fn promise_lapsed_lease_of_the_planner_disturbs_no_job() {
     let site = support::start_site(3).await;
     let url = site.url("e1");
-    support::submit(&url, job("gang", "g", 3000)).await.unwrap();
+    support::submit(&url, job_request("gang", "g", 3000))
+        .await
+        .unwrap();
     support::wait_for_stage(&url, "a.g", Stage::Running).await;
     let before = support::wait_until_settled(&url, 11)
         .await
@@ -196,7 +211,8 @@
         .unwrap()
         .epoch;
 
-    // Its lease lapses under it, as if it had been paused past it.
+    // The planner's lease lapses, as if its process had been paused for longer
+    // than that.
     site.store.lapse_leases();
     let after = support::until("a later epoch", || async {
         let cell = support::view(&url).await?.cell?;
@@ -204,8 +220,9 @@
     })
     .await;
     assert!(after > before);
-    let answer = support::submit(&url, waiting("report", "r", 10)).await;
-    assert_eq!(outcome(&answer.unwrap()), Some(Outcome::Done));
+    let response =
+        support::submit(&url, waiting_request("report", "r", 10)).await;
+    assert_eq!(outcome(&response.unwrap()), Some(Outcome::Done));
     let status = support::wait_for_stage(&url, "a.g", Stage::Ended).await;
     assert_eq!(status.end.unwrap().outcome, Outcome::Done);
     assert_eq!(support::start_count(&site, "a.g"), 2);
@@ -213,10 +230,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_gang_that_loses_a_member_stops_whole() {
+async fn promise_gang_that_loses_a_member_stops_as_a_whole() {
     let mut site = support::start_site(1).await;
     let url = site.url("e1");
-    support::submit(&url, job("gang", "g", 2500)).await.unwrap();
+    support::submit(&url, job_request("gang", "g", 2500))
+        .await
+        .unwrap();
     let status = support::wait_for_stage(&url, "a.g", Stage::Running).await;
     let lost = status.workers[1].to_string();
     let kept = status.workers[0].to_string();
@@ -232,11 +251,11 @@
     let end = status.end.unwrap();
     assert_eq!(end.outcome, Outcome::Done, "{}", end.reason);
     assert_eq!(end.output.as_deref(), Some("g"));
-    assert!(end.attempt > 1, "started anew elsewhere");
+    assert!(end.attempt > 1, "restarted elsewhere");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_leaving_gets_no_new_work() {
+async fn promise_leaving_worker_gets_no_new_work() {
     let mut site = support::start_site(1).await;
     let url = site.url("e1");
     site.vms.leave("h1r1w1");
@@ -249,7 +268,9 @@
     let before = site.endpoints["h1r1w1"].starts().len();
     for round in 0..40 {
         let id = format!("s{round}");
-        support::submit(&url, job("small", &id, 300)).await.unwrap();
+        support::submit(&url, job_request("small", &id, 300))
+            .await
+            .unwrap();
     }
     for round in 0..40 {
         let id = format!("a.s{round}");
@@ -260,11 +281,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_planned_stop_cuts_no_request_off() {
+async fn promise_planned_stop_completes_open_requests() {
     let mut site = support::start_site(3).await;
     let planner = site.planner().expect("a planner");
     let url = site.url(&planner);
-    let body = waiting("gang", "g", 2000);
+    let body = waiting_request("gang", "g", 2000);
     let caller =
         tokio::spawn(async move { support::submit(&url, body).await });
     let other = site.entries.keys().find(|e| **e != planner).cloned();
@@ -273,8 +294,8 @@
 
     let entry = site.entries.remove(&planner).unwrap();
     entry.stop(Instant::now() + support::TIMEOUT).await;
-    let answer = caller.await.unwrap().expect("a whole answer");
-    assert_eq!(outcome(&answer), Some(Outcome::Done));
+    let response = caller.await.unwrap().expect("a complete response");
+    assert_eq!(outcome(&response), Some(Outcome::Done));
     assert_eq!(support::start_count(&site, "a.g"), 2);
 }
 
@@ -284,27 +305,27 @@
     let urls: Vec<String> = site.entries.keys().map(|e| site.url(e)).collect();
     let path = "/v1/config/accounts/a";
     let item = support::call(&urls[0], OPERATOR, Method::GET, path, None);
-    let on = item.await.unwrap().body["revision"].clone();
+    let revision = item.await.unwrap().body["revision"].clone();
     let edits = urls.iter().enumerate().map(|(at, url)| {
         let value = support::account_value(10 + at as u32);
         let edit = format!("race-{at}");
-        let body = json!({"value": value, "revision": on, "edit": edit});
+        let body = json!({"value": value, "revision": revision, "edit": edit});
         support::call(url, OPERATOR, Method::PUT, path, Some(body))
     });
-    let answers = futures_util::future::join_all(edits).await;
-    let won = answers
+    let responses = futures_util::future::join_all(edits).await;
+    let won = responses
         .iter()
         .flatten()
-        .filter(|answer| answer.status == StatusCode::OK)
+        .filter(|response| response.status == StatusCode::OK)
         .count();
-    assert_eq!(won, 1, "{answers:?}");
-    let lost = answers.iter().flatten().find(|a| !a.status.is_success());
-    let lost = lost.expect("two lost");
+    assert_eq!(won, 1, "{responses:?}");
+    let lost = responses.iter().flatten().find(|a| !a.status.is_success());
+    let lost = lost.expect("two edits that lost the race");
     assert_eq!(lost.status, StatusCode::CONFLICT);
     assert!(lost.body["current"]["value"]["borrow"].is_number());
 
     let revision = support::wait_until_settled(&urls[0], 11).await.revision;
-    site.store.set_fault(DOWN);
+    site.store.set_fault(STORE_DOWN);
     for url in &urls {
         let view = support::view(url).await.unwrap();
         assert_eq!(view.revision, revision);
@@ -315,12 +336,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_configuration_of_peers_serves_while_the_store_is_down() {
+async fn promise_new_entry_gets_its_configuration_from_peers_without_the_store(
+) {
     let mut site = support::start_site(2).await;
     let revision = support::wait_until_settled(&site.url("e1"), 11)
         .await
         .revision;
-    site.store.set_fault(DOWN);
+    site.store.set_fault(STORE_DOWN);
     site.add_entry("e3").await.unwrap();
     support::until("the peers' configuration", || async {
         let entry = site.entries.get("e3")?;
@@ -330,17 +352,20 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_bad_worker_is_found_and_its_jobs_run_elsewhere() {
+async fn promise_jobs_that_fail_on_bad_workers_run_elsewhere() {
     let site = support::start_site(1).await;
     let url = site.url("e1");
-    let answer = support::submit(&url, waiting("small", "s", 10)).await;
-    assert_eq!(outcome(&answer.unwrap()), Some(Outcome::Done));
+    let response =
+        support::submit(&url, waiting_request("small", "s", 10)).await;
+    assert_eq!(outcome(&response.unwrap()), Some(Outcome::Done));
     for endpoint in ["h1r1w1", "h1r1w2"] {
         site.endpoints[endpoint].set_bad(true);
     }
     for round in 0..40 {
         let id = format!("b{round}");
-        support::submit(&url, job("small", &id, 200)).await.unwrap();
+        support::submit(&url, job_request("small", &id, 200))
+            .await
+            .unwrap();
     }
     for round in 0..40 {
         let id = format!("a.b{round}");
@@ -350,12 +375,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_cancel_wave_ends_all_and_runs_none_after() {
+async fn promise_mass_cancellation_ends_every_job_and_task() {
     let site = support::start_site(2).await;
     let url = site.url("e1");
     for round in 0..120 {
         let id = format!("c{round}");
-        support::submit(&url, job("small", &id, 60_000))
+        support::submit(&url, job_request("small", &id, 60_000))
             .await
             .unwrap();
     }
@@ -381,7 +406,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_answer_belongs_to_its_own_request() {
+async fn promise_response_belongs_to_its_own_request() {
     let site = support::start_site(3).await;
     let urls: Vec<String> = site.entries.keys().map(|e| site.url(e)).collect();
     let calls = (0..60).map(|round| {
@@ -389,26 +414,26 @@
         async move {
             let id = format!("x{round}");
             let run_ms = 10 + (round as u64 * 37) % 90;
-            let body = waiting("small", &id, run_ms);
+            let body = waiting_request("small", &id, run_ms);
             (id, support::submit(&url, body).await)
         }
     });
-    for (id, answer) in futures_util::future::join_all(calls).await {
+    for (id, response) in futures_util::future::join_all(calls).await {
         let status: Status =
-            serde_json::from_value(answer.unwrap().body).unwrap();
+            serde_json::from_value(response.unwrap().body).unwrap();
         assert_eq!(*status.job, *format!("a.{id}"));
         assert_eq!(status.end.unwrap().output, Some(id));
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_not_run_is_told_only_once_it_is_written() {
+async fn promise_cancellation_is_reported_only_once_it_is_written() {
     let site = support::start_site(1).await;
     let url = site.url("e1");
-    // More than the account may have at once, so that the last one waits.
+    // More jobs than the account may run at once, so that the last one waits.
     for round in 0..5 {
         let id = format!("g{round}");
-        support::submit(&url, job("gang", &id, 60_000))
+        support::submit(&url, job_request("gang", &id, 60_000))
             .await
             .unwrap();
     }
@@ -423,12 +448,13 @@
         None
     })
     .await;
-    site.store.set_fault(DOWN);
+    site.store.set_fault(STORE_DOWN);
     let path = format!("/v1/jobs/{queued}");
     let method = Method::DELETE;
-    let told = support::call(&url, "a-token", method, &path, None).await;
-    let told: Status = serde_json::from_value(told.unwrap().body).unwrap();
-    assert!(told.end.is_none(), "told before it is proven");
+    let response = support::call(&url, "a-token", method, &path, None).await;
+    let status: Status =
+        serde_json::from_value(response.unwrap().body).unwrap();
+    assert!(status.end.is_none(), "reported before it is written");
     site.store.set_fault(Fault::default());
     let status = support::wait_for_stage(&url, &queued, Stage::Ended).await;
     assert_eq!(status.end.unwrap().outcome, Outcome::Cancelled);
@@ -436,7 +462,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_guarantee_is_taken_back_from_borrowers() {
+async fn promise_guarantee_is_reclaimed_from_borrowers() {
     let site = support::start_site(1).await;
     let url = site.url("e1");
     let b = json!({"borrow": 88,
@@ -444,15 +470,15 @@
     support::put_config(&url, "accounts/b", b).await;
     for round in 0..11 {
         let id = format!("b{round}");
-        let body = job("eight", &id, 60_000);
+        let body = job_request("eight", &id, 60_000);
         let eight = support::template_value(8, "worker", true);
         support::put_config(&url, "templates/eight", eight).await;
-        // An accepted template is in force a moment later.
+        // An accepted template comes into force with a short delay.
         support::until("a borrower to be accepted", || async {
             let body = Some(body.clone());
             let (method, path) = (Method::POST, "/v1/jobs");
-            let answer = support::call(&url, "b-token", method, path, body);
-            let accepted = answer.await?.status == StatusCode::ACCEPTED;
+            let response = support::call(&url, "b-token", method, path, body);
+            let accepted = response.await?.status == StatusCode::ACCEPTED;
             accepted.then_some(())
         })
         .await;
@@ -462,10 +488,12 @@
         (cell.running == 11).then_some(())
     })
     .await;
-    let asked = Instant::now();
-    support::submit(&url, job("gang", "g", 100)).await.unwrap();
+    let submitted = Instant::now();
+    support::submit(&url, job_request("gang", "g", 100))
+        .await
+        .unwrap();
     support::wait_for_stage(&url, "a.g", Stage::Ended).await;
-    assert!(asked.elapsed() < Duration::from_secs(10));
+    assert!(submitted.elapsed() < Duration::from_secs(10));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -477,8 +505,9 @@
     narrow["rate"] = json!(10_000);
     let path = "/v1/config/accounts/a";
     let item = support::call(&url, OPERATOR, Method::GET, path, None);
-    let on = item.await.unwrap().body["revision"].clone();
-    let body = json!({"value": narrow, "revision": on, "edit": "narrow"});
+    let revision = item.await.unwrap().body["revision"].clone();
+    let body =
+        json!({"value": narrow, "revision": revision, "edit": "narrow"});
     let put = support::call(&url, OPERATOR, Method::PUT, path, Some(body));
     assert_eq!(put.await.unwrap().status, StatusCode::OK);
     let b = json!({"borrow": 8,
@@ -493,46 +522,47 @@
     let burst = (0..880).map(|round| {
         let id = format!("o{round}");
         let url = site.url(if round % 2 == 0 { "e1" } else { "e2" });
-        // One whose connection is not made in time has asked for nothing yet.
+        // A connection that is not made in time has sent no request; retry it.
         async move {
-            let ask = || support::submit(&url, job("small", &id, 60_000));
-            support::until("an answer", ask).await
+            let submit =
+                || support::submit(&url, job_request("small", &id, 60_000));
+            support::until("a response", submit).await
         }
     });
-    let answers = futures_util::future::join_all(burst).await;
-    let of = |status: StatusCode| {
+    let responses = futures_util::future::join_all(burst).await;
+    let count_of = |status: StatusCode| {
         let same = |a: &&support::Response| a.status == status;
-        answers.iter().filter(same).count()
+        responses.iter().filter(same).count()
     };
-    let others: Vec<StatusCode> = answers
+    let others: Vec<StatusCode> = responses
         .iter()
-        .map(|answer| answer.status)
+        .map(|response| response.status)
         .filter(|status| *status != StatusCode::ACCEPTED)
         .filter(|status| *status != StatusCode::TOO_MANY_REQUESTS)
         .collect();
-    let told = format!("others {others:?}");
-    assert_eq!(of(StatusCode::ACCEPTED), 100, "{told}");
-    assert_eq!(of(StatusCode::TOO_MANY_REQUESTS), 780, "{told}");
-    let shed = answers
+    let statuses = format!("other statuses {others:?}");
+    assert_eq!(count_of(StatusCode::ACCEPTED), 100, "{statuses}");
+    assert_eq!(count_of(StatusCode::TOO_MANY_REQUESTS), 780, "{statuses}");
+    let shed = responses
         .iter()
         .find(|a| a.status == StatusCode::TOO_MANY_REQUESTS)
         .unwrap();
     assert!(shed.headers.contains_key(RETRY_AFTER));
 
-    let asked = Instant::now();
-    let body = waiting("urgent", "u", 10);
+    let submitted = Instant::now();
+    let body = waiting_request("urgent", "u", 10);
     let path = "/v1/jobs";
     let method = Method::POST;
-    let answer = support::call(&url, "b-token", method, path, Some(body));
-    assert_eq!(outcome(&answer.await.unwrap()), Some(Outcome::Done));
-    assert!(asked.elapsed() < Duration::from_millis(3100));
+    let response = support::call(&url, "b-token", method, path, Some(body));
+    assert_eq!(outcome(&response.await.unwrap()), Some(Outcome::Done));
+    assert!(submitted.elapsed() < Duration::from_millis(3100));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_takeover_of_an_agents_tasks_by_its_successor() {
+async fn promise_restarted_agent_adopts_running_tasks() {
     let mut site = support::start_site(1).await;
     let url = site.url("e1");
-    support::submit(&url, job("report", "r", 3000))
+    support::submit(&url, job_request("report", "r", 3000))
         .await
         .unwrap();
     let status = support::wait_for_stage(&url, "a.r", Stage::Running).await;
@@ -550,12 +580,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_takeover_with_a_worker_lost_at_the_same_time() {
+async fn promise_gang_recovers_if_planner_and_worker_are_lost_together() {
     let mut site = support::start_site(3).await;
     let planner = site.planner().expect("a planner");
     let other = site.entries.keys().find(|e| **e != planner).cloned();
     let url = site.url(&other.unwrap());
-    support::submit(&url, job("gang", "g", 2000)).await.unwrap();
+    support::submit(&url, job_request("gang", "g", 2000))
+        .await
+        .unwrap();
     let status = support::wait_for_stage(&url, "a.g", Stage::Running).await;
     let lost = status.workers[0].to_string();
     site.kill_entry(&planner);
@@ -566,18 +598,21 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn promise_store_outage_ends_without_a_stampede() {
+async fn promise_end_of_a_store_outage_causes_no_burst_of_calls() {
     let site = support::start_site(3).await;
     let url = site.url("e1");
-    site.store.set_fault(DOWN);
-    let calls = (0..40).map(|round| {
-        let url = url.clone();
-        let id = format!("s{round}");
-        async move { support::submit(&url, waiting("small", &id, 5)).await }
-    });
-    let answers = futures_util::future::join_all(calls).await;
+    site.store.set_fault(STORE_DOWN);
+    let calls =
+        (0..40).map(|round| {
+            let url = url.clone();
+            let id = format!("s{round}");
+            async move {
+                support::submit(&url, waiting_request("small", &id, 5)).await
+            }
+        });
+    let responses = futures_util::future::join_all(calls).await;
     let done = |a: &&support::Response| outcome(a) == Some(Outcome::Done);
-    assert_eq!(answers.iter().flatten().filter(done).count(), 40);
+    assert_eq!(responses.iter().flatten().filter(done).count(), 40);
 
     site.store.set_fault(Fault::default());
     support::wait_until_settled(&url, 11).await;
--- a/tests/it/replay.rs
+++ b/tests/it/replay.rs
@@ -1,8 +1,8 @@
-//! Replays of recorded traces against stated outcomes.
+//! Replays of the committed traces, compared with golden files.
 //!
-//! The traces are made by `cargo run --example make-trace -- SITE HOURS
-//! LOAD faults SEED`, of 1 hour at load 1.0 and seed 7 for
-//! wiezogrod, of 6 hours at 0.9 and seed 8 for vedurskra. Golden files are written anew by `UPDATE_EXPECT=1`.
+//! `cargo run --example make-trace -- SITE HOURS LOAD faults SEED` makes the
+//! traces: 1 hour at load 1.0 with seed 7 for wiezogrod, 6 hours at load 0.9
+//! with seed 8 for vedurskra. `UPDATE_EXPECT=1` rewrites the golden files.
 
 use std::io::BufReader;
 
@@ -20,17 +20,17 @@
     let path =
         format!("{}/tests/traces/{site}.jsonl", env!("CARGO_MANIFEST_DIR"));
     let file = std::fs::File::open(path).expect("a committed trace");
-    Trace::read(BufReader::new(file)).expect("a good trace")
+    Trace::read(BufReader::new(file)).expect("a valid trace")
 }
 
 fn run(trace: &Trace, kind: Option<Kind>) -> Report {
-    let site = trace.header.site().expect("a good site");
+    let site = trace.header.site().expect("a valid site");
     let policy: Box<dyn replay::Policy> = match kind {
         Some(kind) => Box::new(Baseline::new(kind, site)),
         None => Box::new(Plan::new(site, Policy::default())),
     };
     Engine::new(trace, policy)
-        .expect("a good site")
+        .expect("a valid site")
         .run(false)
         .report
 }
@@ -52,13 +52,13 @@
 }
 
 #[test]
-fn a_site_of_wiezogrod_has_its_stated_outcomes() {
+fn replay_of_wiezogrod_matches_its_golden_file() {
     let golden = expect_file!["../golden/wiezogrod.txt"];
     golden.assert_eq(&outcomes("wiezogrod"));
 }
 
 #[test]
-fn a_site_of_vedurskra_has_its_stated_outcomes() {
+fn replay_of_vedurskra_matches_its_golden_file() {
     let golden = expect_file!["../golden/vedurskra.txt"];
     golden.assert_eq(&outcomes("vedurskra"));
 }
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_wrong_trace_is_told_by_line_and_field() {
+fn invalid_trace_is_rejected_with_line_and_field() {
     let site = r#"{"site":"s","accelerators":8,"halls":[]}"#;
     let cases = [
         ("", "line 1: missing, expected the site"),
@@ -87,12 +87,12 @@
         ),
         (r#"{"at_ms":0,"event":"sleep"}"#, "line 2: unknown variant"),
     ];
-    for (line, words) in cases {
+    for (line, message) in cases {
         let text = match line.contains("at_ms") {
             true => format!("{site}\n{line}\n"),
             false => line.to_owned(),
         };
         let error = Trace::read(text.as_bytes()).expect_err(line);
-        assert!(error.to_string().contains(words), "{error}");
+        assert!(error.to_string().contains(message), "{error}");
     }
 }
--- a/tests/it/session.rs
+++ b/tests/it/session.rs
@@ -1,4 +1,5 @@
-//! A whole session of callers and operators, against its golden file.
+//! The requests and responses of a session of callers and operators, compared
+//! with a golden file.
 
 use expect_test::expect_file;
 use hyper::Method;
@@ -9,24 +10,26 @@
 
 use crate::support;
 
-/// What differs from run to run, and says nothing of the session.
-const VOLATILE: [&str; 5] = ["at", "revision", "workers", "log", "tokens"];
+/// Fields whose values differ from run to run; the golden file masks them.
+const VOLATILE_FIELDS: [&str; 5] =
+    ["at", "revision", "workers", "log", "tokens"];
 
-fn steady(value: &mut Value) {
+fn mask_volatile_fields(value: &mut Value) {
     match value {
         Value::Object(fields) => {
             for (name, field) in fields {
-                match VOLATILE.contains(&&**name) {
+                match VOLATILE_FIELDS.contains(&&**name) {
                     true => *field = json!("..."),
-                    false => steady(field),
+                    false => mask_volatile_fields(field),
                 }
             }
         }
-        Value::Array(items) => items.iter_mut().for_each(steady),
+        Value::Array(items) => items.iter_mut().for_each(mask_volatile_fields),
         _ => {}
     }
 }
 
+/// A session with one entry; `text` records its requests and responses.
 struct Session {
     url: String,
     text: String,
@@ -40,13 +43,14 @@
         path: &str,
         body: Option<Value>,
     ) {
-        let sent = body.as_ref().map(|body| format!(" {body}"));
-        let line = format!("{method} {path}{}", sent.unwrap_or_default());
-        let answer = support::call(&self.url, token, method, path, body).await;
-        let mut answer = answer.expect("an answer");
-        steady(&mut answer.body);
-        let code = answer.status.as_u16();
-        let entry = format!("{line}\n{code} {}\n\n", answer.body);
+        let suffix = body.as_ref().map(|body| format!(" {body}"));
+        let line = format!("{method} {path}{}", suffix.unwrap_or_default());
+        let response =
+            support::call(&self.url, token, method, path, body).await;
+        let mut response = response.expect("a response");
+        mask_volatile_fields(&mut response.body);
+        let code = response.status.as_u16();
+        let entry = format!("{line}\n{code} {}\n\n", response.body);
         self.text.push_str(&entry);
     }
 
@@ -62,7 +66,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_session_is_as_its_golden_file_says() {
+async fn session_matches_its_golden_file() {
     let site = support::start_site(1).await;
     let url = site.url("e1");
     let mut session = Session {
--- a/tests/it/settings.rs
+++ b/tests/it/settings.rs
@@ -1,10 +1,11 @@
-//! Settings: what is wrong is told all at once, and what is in force.
+//! Settings files: all problems are reported at once, and printed settings read
+//! back the same.
 
 use std::path::PathBuf;
 
 use landingvalve::settings;
 
-/// A file in a folder of its own, gone with the test.
+/// A temporary settings file, removed at the end of the test.
 struct File(PathBuf);
 
 impl File {
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn every_problem_is_told_at_once_by_section_key_and_value() {
+fn all_problems_are_reported_at_once_with_section_key_and_value() {
     let file = File::new(
         "wrong",
         "[entry]\nname = e1\ncallers = here\n[policy]\n\
@@ -31,7 +32,7 @@
          speed = 9\n",
     );
     let error = settings::entry::read(&file.0).unwrap_err();
-    let told = error.to_string();
+    let report = error.to_string();
     let wanted = [
         "[platform] speed = \"9\", expected one of",
         "[entry] callers = \"here\", expected an IP address and port",
@@ -41,14 +42,14 @@
         "[policy] weight_fragmentation = \"2\", expected 0 to 1",
         "[operators] token_digest = \"\", expected a SHA-256 digest",
     ];
-    for words in wanted {
-        assert!(told.contains(words), "{words} is not in\n{told}");
+    for message in wanted {
+        assert!(report.contains(message), "{message} is not in\n{report}");
     }
-    assert_eq!(error.problems.len(), wanted.len(), "{told}");
+    assert_eq!(error.problems.len(), wanted.len(), "{report}");
 }
 
 #[test]
-fn the_examples_are_good_and_printed_settings_give_the_same() {
+fn examples_are_valid_and_printed_settings_read_back_the_same() {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("examples");
     for site in ["wiezogrod", "vedurskra"] {
         let path = root.join(site).join("entry.ini");
--- a/tests/it/support.rs
+++ b/tests/it/support.rs
@@ -1,4 +1,5 @@
-//! What tests of the processes share: a site, callers and operators.
+//! Helpers shared by the tests of the processes: a site on loopback, calls of
+//! clients and operators, and waiting for a condition.
 
 use std::time::Duration;
 
@@ -18,12 +19,16 @@
 use serde_json::Value;
 use tokio::time::Instant;
 
-/// Within which everything in these tests happens, with much to spare.
+/// Upper bound of each wait, far above what any of them needs.
 pub const TIMEOUT: Duration = Duration::from_secs(40);
-/// How often a condition is looked at.
+/// Interval at which a condition is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until `condition` gives a value.
+/// Polls `condition` until it returns a value, and returns that value.
+///
+/// # Panics
+///
+/// If there is no value within [`TIMEOUT`]; the message names `what`.
 pub async fn until<T, F>(what: &str, mut condition: impl FnMut() -> F) -> T
 where
     F: std::future::Future<Output = Option<T>>,
@@ -39,7 +44,7 @@
     }
 }
 
-/// An answer in JSON.
+/// A response of an entry, its body parsed as JSON.
 #[derive(Debug)]
 pub struct Response {
     pub status: StatusCode,
@@ -47,7 +52,7 @@
     pub body: Value,
 }
 
-/// Calls an entry; `None` if it does not answer.
+/// Calls an entry with a bearer token; `None` if there is no response.
 pub async fn call(
     url: &str,
     token: &str,
@@ -57,7 +62,7 @@
 ) -> Option<Response> {
     let mut headers = HeaderMap::new();
     let bearer = format!("Bearer {token}");
-    let bearer = HeaderValue::from_str(&bearer).expect("plain tokens");
+    let bearer = HeaderValue::from_str(&bearer).expect("an ASCII token");
     headers.insert(AUTHORIZATION, bearer);
     let body = body.map(|body| body.to_string()).unwrap_or_default();
     let deadline = Instant::now() + TIMEOUT;
@@ -72,19 +77,19 @@
     })
 }
 
-/// Submits a job for account `a`, and returns the answer.
+/// Submits a job for account `a`, and returns the response.
 pub async fn submit(url: &str, body: Value) -> Option<Response> {
     call(url, "a-token", Method::POST, "/v1/jobs", Some(body)).await
 }
 
-/// Returns a job's status, if the entry answers with one.
+/// Returns a job's status; `None` if the entry sends none.
 pub async fn job_status(url: &str, job: &str) -> Option<Status> {
     let path = format!("/v1/jobs/{job}");
-    let answer = call(url, "a-token", Method::GET, &path, None).await?;
-    serde_json::from_value(answer.body).ok()
+    let response = call(url, "a-token", Method::GET, &path, None).await?;
+    serde_json::from_value(response.body).ok()
 }
 
-/// Waits until a job is at a stage.
+/// Waits until a job is at `stage`, and returns its status.
 pub async fn wait_for_stage(url: &str, job: &str, stage: Stage) -> Status {
     let what = format!("{job} at {stage:?}");
     until(&what, || async {
@@ -94,34 +99,34 @@
     .await
 }
 
-/// Returns what an entry shows operators.
+/// Returns the status page of an entry for operators; `None` without one.
 pub async fn view(url: &str) -> Option<View> {
     let path = "/v1/status";
-    let answer = call(url, site::OPERATOR, Method::GET, path, None).await?;
-    serde_json::from_value(answer.body).ok()
+    let response = call(url, site::OPERATOR, Method::GET, path, None).await?;
+    serde_json::from_value(response.body).ok()
 }
 
-/// Puts an item into the configuration.
+/// Creates an item of the configuration, and retries until it is accepted.
 pub async fn put_config(url: &str, path: &str, value: Value) -> Response {
     until("an edit", || async {
         let body = json!({"value": value, "revision": 0, "edit": "setup"});
         let path = format!("/v1/config/{path}");
         let method = Method::PUT;
         let token = site::OPERATOR;
-        let answer = call(url, token, method, &path, Some(body)).await?;
-        (answer.status == StatusCode::OK).then_some(answer)
+        let response = call(url, token, method, &path, Some(body)).await?;
+        (response.status == StatusCode::OK).then_some(response)
     })
     .await
 }
 
-/// Returns the account `a` of these tests: 16 accelerators in a rack, and
-/// as many to borrow as asked.
+/// Returns the settings of account `a`: a guarantee of 16 accelerators within
+/// a rack, and up to `borrow` accelerators to borrow.
 pub fn account_value(borrow: u32) -> Value {
     json!({"borrow": borrow, "tokens": [digest::of(b"a-token")],
         "guarantee": [{"accelerators": 16, "within": "rack"}]})
 }
 
-/// Returns a template of these tests.
+/// Returns a template of the given shape whose jobs run for 1 s by default.
 pub fn template_value(
     accelerators: u32,
     within: &str,
@@ -134,18 +139,18 @@
             "fail": {"kind": "boolean"}}})
 }
 
-/// Returns how often a job's tasks were started, over all workers.
+/// Returns how many tasks of a job were started, over all workers.
 pub fn start_count(site: &Site, job: &str) -> usize {
-    let of_job = format!("{job}@");
+    let prefix = format!("{job}@");
     site.endpoints
         .values()
         .flat_map(|endpoint| endpoint.starts())
-        .filter(|task| task.starts_with(&of_job))
+        .filter(|task| task.starts_with(&prefix))
         .count()
 }
 
-/// Starts a site with account `a` and templates `small`, `gang` and
-/// `report`, and waits until its planner has every worker.
+/// Starts a site with account `a` and the templates `small`, `gang` and
+/// `report` (not repeatable), and waits until it has settled.
 pub async fn start_site(entries: usize) -> Site {
     let plan = site::Plan::today(entries);
     let site = Site::start(plan).await.expect("a site on loopback");
@@ -160,20 +165,25 @@
     site
 }
 
-/// Waits until a planner answers that has `workers` up and every guarantee
-/// placed, and every entry the same configuration.
+/// Waits until the planner has `workers` workers up and every guarantee
+/// placed, and all entries have the same revision of the configuration.
 pub async fn wait_until_settled(url: &str, workers: usize) -> View {
     until("a settled site", || async {
         let view = view(url).await?;
         let cell = view.cell.as_ref()?;
-        let up = cell.workers.iter().filter(|w| w.presence == "up").count();
-        let placed = cell.guarantees.iter().all(|g| g.placed);
-        let same = view
+        let up_count =
+            cell.workers.iter().filter(|w| w.presence == "up").count();
+        let all_placed = cell.guarantees.iter().all(|g| g.placed);
+        let is_same_revision = view
             .entries
             .iter()
             .all(|e| e.revision == Some(view.revision));
-        let whole = !cell.guarantees.is_empty() && view.revision > 0;
-        (up == workers && placed && same && whole).then_some(view)
+        let is_configured = !cell.guarantees.is_empty() && view.revision > 0;
+        (up_count == workers
+            && all_placed
+            && is_same_revision
+            && is_configured)
+            .then_some(view)
     })
     .await
 }
--- a/tests/it/whole_path.rs
+++ b/tests/it/whole_path.rs
@@ -1,4 +1,5 @@
-//! A job from its caller to its accelerators and its answer back.
+//! A job from its caller's request to its tasks on the workers, and its output
+//! back to the caller.
 
 use hyper::Method;
 use hyper::StatusCode;
@@ -11,14 +12,14 @@
 use crate::support;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gang_runs_and_its_whole_answer_comes_back() {
+async fn gang_runs_and_its_output_reaches_the_caller() {
     let site = support::start_site(2).await;
     let body = json!({"template": "gang", "wait": true, "request_id": "g1",
         "parameters": {"run_ms": 100, "output": "weights"}});
-    let answer = support::submit(&site.url("e2"), body).await;
-    let answer = answer.expect("an answer");
-    assert_eq!(answer.status, StatusCode::OK);
-    let status: Status = serde_json::from_value(answer.body).unwrap();
+    let response = support::submit(&site.url("e2"), body).await;
+    let response = response.expect("a response");
+    assert_eq!(response.status, StatusCode::OK);
+    let status: Status = serde_json::from_value(response.body).unwrap();
     let end = status.end.expect("an end");
     assert_eq!(&*status.job, "a.g1");
     assert_eq!(end.outcome, Outcome::Done);
@@ -29,7 +30,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn wrong_requests_are_told_which_field_is_wrong() {
+async fn wrong_requests_are_rejected_with_the_field_named() {
     let site = support::start_site(1).await;
     let url = site.url("e1");
     let cases = [
@@ -51,21 +52,21 @@
             "parameters.size: 1, expected one of fail, output, run_ms",
         ),
     ];
-    for (body, code, words) in cases {
-        let answer = support::submit(&url, body.clone()).await.unwrap();
-        let error = answer.body["error"].as_str().unwrap_or_default();
-        assert_eq!(answer.status.as_u16(), code, "{body}");
-        assert!(error.contains(words), "{body}: {error}");
+    for (body, code, message) in cases {
+        let response = support::submit(&url, body.clone()).await.unwrap();
+        let error = response.body["error"].as_str().unwrap_or_default();
+        assert_eq!(response.status.as_u16(), code, "{body}");
+        assert!(error.contains(message), "{body}: {error}");
     }
     let huge = support::template_value(200, "any", true);
     let body = json!({"value": huge, "edit": "huge"});
     let path = "/v1/config/templates/huge";
     let method = Method::PUT;
-    let answer = support::call(&url, OPERATOR, method, path, Some(body));
-    let answer = answer.await.unwrap();
-    let problem = &answer.body["problems"][0];
-    assert_eq!(problem["field"], "shape", "{answer:?}");
+    let response = support::call(&url, OPERATOR, method, path, Some(body));
+    let response = response.await.unwrap();
+    let problem = &response.body["problems"][0];
+    assert_eq!(problem["field"], "shape", "{response:?}");
     let path = "/v1/jobs";
-    let answer = support::call(&url, "wrong", Method::GET, path, None).await;
-    assert_eq!(answer.unwrap().status, StatusCode::UNAUTHORIZED);
+    let response = support::call(&url, "wrong", Method::GET, path, None).await;
+    assert_eq!(response.unwrap().status, StatusCode::UNAUTHORIZED);
 }
