--- a/tests/it/closed.rs
+++ b/tests/it/closed.rs
@@ -1,7 +1,7 @@
-//! Halls that operators empty: nothing new is sent to their workers.
+//! Halls that operators close: no new run begins on their workers.
 //!
-//! Planners did not read such requests at all: 47 to 173 tasks a day began in
-//! halls that had been closed for longer than the 5 s that are allowed.
+//! Guards against planners that do not follow the operators' requests: tasks
+//! then begin in halls that have been closed for longer than the 5 s allowed.
 
 use std::collections::BTreeSet;
 
@@ -34,27 +34,27 @@
 }
 
 #[test]
-fn nothing_new_begins_in_a_closed_hall_and_what_runs_goes_on() {
+fn closed_hall_gets_no_new_runs_and_keeps_its_running_ones() {
     let mut site = two_halls();
     site.submit(job("a", 1, vec![step(2, 8, false)], &site));
     site.settle();
     assert_eq!(site.running("a"), 2);
     site.book.set_closed(halls(&["near"]));
     site.settle();
-    assert_eq!(site.running("a"), 2, "what runs goes on");
+    assert_eq!(site.running("a"), 2, "running tasks continue");
     site.end_all("a");
     site.submit(job("b", 0, vec![step(2, 8, false)], &site));
     site.settle();
-    let here: Vec<usize> =
+    let running: Vec<usize> =
         site.workers.iter().map(|w| w.running.len()).collect();
-    assert_eq!(here, [0, 1]);
+    assert_eq!(running, [0, 1]);
     site.book.set_closed(halls(&[]));
     site.settle();
-    assert_eq!(site.running("b"), 2, "open again, it is used at once");
+    assert_eq!(site.running("b"), 2, "a reopened hall is used at once");
 }
 
 #[test]
-fn an_order_on_its_way_to_a_closed_hall_is_taken_back() {
+fn order_that_is_on_its_way_is_withdrawn_if_its_hall_is_closed() {
     let mut site = two_halls();
     site.submit(job("a", 1, vec![step(2, 8, false)], &site));
     for worker in &mut site.workers {
@@ -73,23 +73,27 @@
 }
 
 #[test]
-fn a_gang_goes_where_it_is_slow_if_its_racks_are_closed() {
+fn run_starts_far_from_its_data_if_the_near_hall_is_closed() {
     let mut site = Site::new(&[("w1", "r1"), ("w2", "r1"), ("w3", "r2")]);
     site.workers[0].hall = "near".into();
     site.workers[1].hall = "near".into();
     site.workers[2].hall = "far".into();
-    let mut far = step(1, 8, false);
-    far.data_rack = Some("r1".into());
-    site.submit(job("a", 1, vec![far], &site));
+    let mut step = step(1, 8, false);
+    step.data_rack = Some("r1".into());
+    site.submit(job("a", 1, vec![step], &site));
     site.book.set_closed(halls(&["near"]));
     site.settle();
-    assert_eq!(site.workers[2].running.len(), 1, "no rack near is open");
+    assert_eq!(
+        site.workers[2].running.len(),
+        1,
+        "no rack near the data is open"
+    );
     site.workers[2].end(How::Done, |_| true);
     site.settle();
 }
 
 #[tokio::test]
-async fn halls_are_closed_and_opened_as_operators_write() {
+async fn halls_close_and_open_as_operators_write_to_the_store() {
     let store = Memory::default();
     let source = Source::new();
     let decode = |_: &[u8]| Ok::<_, String>(Configuration::default());
@@ -97,8 +101,8 @@
         let key = format!("{}{hall}", KEYS.closed);
         vec![Put::Value(key, b"{}".to_vec(), 0)]
     };
-    // One is closed before anybody looks.
-    store.swap(&[], close("a")).await.expect("is written");
+    // One hall is closed before the entry first reads the store.
+    store.swap(&[], close("a")).await.expect("written");
     let follow = source.clone().follow(
         store.clone(),
         KEYS,
@@ -111,15 +115,16 @@
         let wanted = halls(names);
         let source = source.clone();
         async move {
-            let seen = || async { (source.closed() == wanted).then_some(()) };
-            until("the halls that are closed", seen).await;
+            let is_seen =
+                || async { (source.closed() == wanted).then_some(()) };
+            until("the expected halls are closed", is_seen).await;
         }
     };
     closed(&["a"]).await;
-    store.swap(&[], close("b")).await.expect("is written");
+    store.swap(&[], close("b")).await.expect("written");
     closed(&["a", "b"]).await;
     let open = vec![Put::Delete(format!("{}a", KEYS.closed))];
-    store.swap(&[], open).await.expect("is written");
+    store.swap(&[], open).await.expect("written");
     closed(&["b"]).await;
     follow.abort();
 }
--- a/tests/it/explain.rs
+++ b/tests/it/explain.rs
@@ -1,4 +1,4 @@
-//! What became of jobs, told from log lines alone.
+//! Histories of jobs, rebuilt from log lines alone.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 use crate::cell::Memory;
 use crate::cell::DONE;
 
-/// Log lines as they were written.
+/// A log kept in memory, in the format of the processes.
 #[derive(Clone, Default)]
 struct Lines(Arc<Mutex<Vec<u8>>>);
 
@@ -37,7 +37,7 @@
     fn read(&self) -> Logs {
         let lines = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let mut logs = Logs::default();
-        logs.read(lines.as_slice()).expect("is read");
+        logs.read(lines.as_slice()).expect("readable lines");
         logs
     }
 }
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn the_life_of_a_job_is_told_from_the_lines_of_its_processes() {
+async fn history_of_a_job_is_rebuilt_from_the_log_lines_of_its_processes() {
     let lines = Lines::default();
     let store = Memory::default();
     let worker = Fake::new();
@@ -67,8 +67,8 @@
     worker.end_all(How::Done);
     reaches(&admission, "a", DONE).await;
     let logs = lines.read();
-    let story = logs.story("a").expect("it is told");
-    let told: Vec<&str> =
+    let story = logs.story("a").expect("a history");
+    let messages: Vec<&str> =
         story.lines().iter().map(|l| l.message.as_str()).collect();
     let expected = [
         "entry: a job was submitted",
@@ -80,7 +80,10 @@
         "planner: a job has ended",
     ];
     for message in expected {
-        assert!(told.contains(&message), "{message}: not in {told:?}");
+        assert!(
+            messages.contains(&message),
+            "{message}: not in {messages:?}"
+        );
     }
     assert_eq!(story.verdict().end, End::InTime);
     agent.abort();
@@ -88,14 +91,14 @@
 }
 
 #[tokio::test]
-async fn a_burst_of_decisions_is_cut_and_counted_but_every_end_is_told() {
+async fn throttled_log_still_holds_the_end_of_every_job() {
     let lines = Lines::default();
     let store = Memory::default();
     let admission = Admission::new(store.clone(), lines.logger());
     let mut ids = Vec::new();
     for number in 0..450 {
         let mut job = job(&format!("{number}"));
-        // Two units each, none of which ever finds a worker.
+        // No worker has the label, so neither of the job's two units starts.
         job.steps[0].label = Some("none".into());
         ids.push(job.id.clone());
         admission.submit(&job, soon()).await;
@@ -106,17 +109,17 @@
     let entry = Entry::logged("entry", &store, lines.logger()).await;
     let ended = || async {
         let logs = lines.read();
-        let over = |id: &Arc<str>| {
-            let story = logs.story(id).expect("submitted");
+        let is_cancelled = |id: &Arc<str>| {
+            let story = logs.story(id).expect("a history");
             story.verdict().end == End::Cancelled
         };
-        ids.iter().all(over).then_some(())
+        ids.iter().all(is_cancelled).then_some(())
     };
-    crate::support::until("all ends are told", ended).await;
+    crate::support::until("the log holds every end", ended).await;
     entry.kill();
 }
 
-/// A log, and what it comes to.
+/// Log lines, and the end and the cause that they show.
 struct Case {
     name: &'static str,
     lines: &'static [&'static str],
@@ -135,7 +138,7 @@
         cause: Cause::Store,
     },
     Case {
-        name: "refused for its key",
+        name: "refused because of its key",
         lines: &[
             r#"{"ts":"2026-01-01T00:00:01Z","msg":"entry: a request is answered","method":"POST","path":"/q/5c0e7a21d94b36f8","status":401,"ms":0}"#,
         ],
@@ -143,7 +146,7 @@
         cause: Cause::Key,
     },
     Case {
-        name: "late, with nothing else to blame",
+        name: "late because of its own run time",
         lines: &[
             r#"{"ts":"2026-01-01T00:00:00Z","msg":"entry: a job was submitted","job":"j","outcome":"Accepted"}"#,
             r#"{"ts":"2026-01-01T00:00:00.01Z","msg":"planner: a job is taken in","job":"j"}"#,
@@ -155,7 +158,7 @@
         cause: Cause::Work,
     },
     Case {
-        name: "late for want of room, behind a collector's prefix",
+        name: "late because there was no room; lines with a prefix",
         lines: &[
             r#"x 1.0 {"ts":"2026-01-01T00:00:00Z","msg":"entry: a job was submitted","job":"j","outcome":"Accepted"}"#,
             r#"x 1.0 {"ts":"2026-01-01T00:00:00Z","msg":"planner: a job is taken in","job":"j"}"#,
@@ -168,7 +171,7 @@
         cause: Cause::Room,
     },
     Case {
-        name: "late for being stopped, the lines out of order",
+        name: "late because it was stopped; lines out of order",
         lines: &[
             r#"{"ts":"2026-01-01T00:00:09Z","msg":"planner: a job has ended","job":"j","outcome":"Succeeded","objective_ms":3000}"#,
             r#"{"ts":"2026-01-01T00:00:04Z","msg":"planner: a run has ended","job":"j","unit":"0.0.0","how":"stopped","member":0,"ran_ms":3000}"#,
@@ -182,7 +185,7 @@
         cause: Cause::Displaced,
     },
     Case {
-        name: "late for a run that was lost over a takeover",
+        name: "late because a run was lost during a takeover",
         lines: &[
             r#"{"ts":"2026-01-01T00:00:00Z","msg":"entry: a job was submitted","job":"j","outcome":"Accepted"}"#,
             r#"{"ts":"2026-01-01T00:00:00Z","msg":"planner: a unit is placed","job":"j","unit":"0.0","run":1,"expected_ms":2000}"#,
@@ -195,7 +198,7 @@
         cause: Cause::Gone,
     },
     Case {
-        name: "late for a run whose worker was heard of no more",
+        name: "late because a run's worker stopped reporting",
         lines: &[
             r#"{"ts":"2026-01-01T00:00:00Z","msg":"entry: a job was submitted","job":"j","outcome":"Accepted"}"#,
             r#"{"ts":"2026-01-01T00:00:00Z","msg":"planner: a unit is placed","job":"j","unit":"0.0","run":1,"expected_ms":2000}"#,
@@ -222,12 +225,12 @@
 ];
 
 #[test]
-fn each_cause_is_told_apart() {
+fn each_end_and_cause_is_recognized() {
     for case in CASES {
         let mut logs = Logs::default();
         let text = case.lines.join("\n");
-        logs.read(text.as_bytes()).expect("is read");
-        let (_, story) = logs.stories().next().expect("it is told");
+        logs.read(text.as_bytes()).expect("readable lines");
+        let (_, story) = logs.stories().next().expect("a history");
         let verdict = story.verdict();
         assert_eq!(verdict.end, case.end, "{}: {verdict:?}", case.name);
         assert_eq!(verdict.cause, case.cause, "{}: {verdict:?}", case.name);
@@ -235,10 +238,10 @@
 }
 
 #[test]
-fn lines_of_others_are_counted_and_passed_over() {
+fn lines_of_other_programs_are_counted_and_skipped() {
     let mut logs = Logs::default();
     let text = "no line of ours\n{\"ts\":\"yesterday\",\"msg\":\"x\"}\n{\n\n";
-    logs.read(text.as_bytes()).expect("is read");
+    logs.read(text.as_bytes()).expect("readable lines");
     assert_eq!(logs.counts(), (3, 3));
     assert_eq!(logs.stories().count(), 0);
 }
--- a/tests/it/gang_steps.rs
+++ b/tests/it/gang_steps.rs
@@ -160,8 +160,8 @@
         !self.dead[at] && self.paused_until[at] <= self.now
     }
 
-    /// Runs to the end, with `fault` at step `at`; returns how many steps there
-    /// were.
+    /// Runs to the end, with `fault` at step `at`; returns the number of
+    /// steps.
     fn run(&mut self, at: usize, fault: Option<Fault>) -> usize {
         while self.now < self.start + RUN_TIME + 2 * CLEANUP_LIMIT {
             while let Some(message) = self.queue.pop_front() {
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Delivers delayed messages, ends tasks and expires deadlines, as they are
+    /// Delivers delayed messages, ends tasks and expires deadlines that are
     /// due.
     fn advance(&mut self) {
         let delayed = std::mem::take(&mut self.delayed);
--- a/tests/it/in_touch.rs
+++ b/tests/it/in_touch.rs
@@ -1,4 +1,4 @@
-//! Whether new callers are taken while the store is out of reach.
+//! An entry is ready for new callers only while the store can be reached.
 
 use std::time::Duration;
 
@@ -13,12 +13,12 @@
 use crate::cell::KEYS;
 
 #[tokio::test(start_paused = true)]
-async fn callers_are_taken_only_while_the_store_is_in_reach() {
+async fn entry_is_ready_only_while_the_store_can_be_reached() {
     let store = Memory::default();
     let put = Put::Value("key".to_owned(), b"7".to_vec(), 0);
-    store.swap(&[], vec![put]).await.expect("is written");
+    store.swap(&[], vec![put]).await.expect("written");
     let source = Source::new();
-    assert!(!source.in_touch(), "nothing is known");
+    assert!(!source.in_touch(), "no configuration yet");
     let decode = |_: &[u8]| Ok::<_, String>(Configuration::default());
     let follow = source.clone().follow(
         store.clone(),
@@ -28,15 +28,15 @@
         log::none(),
     );
     let follow = tokio::spawn(follow);
-    let pass = |ms| tokio::time::sleep(Duration::from_millis(ms));
-    pass(3000).await;
+    let sleep = |ms| tokio::time::sleep(Duration::from_millis(ms));
+    sleep(3000).await;
     assert!(source.in_touch());
     store.refuse(u32::MAX);
-    pass(1300).await;
+    sleep(1300).await;
     assert!(!source.in_touch());
-    assert!(source.current().is_some(), "what is known stays");
+    assert!(source.current().is_some(), "the last configuration stays");
     store.refuse(0);
-    pass(300).await;
+    sleep(300).await;
     assert!(source.in_touch());
     follow.abort();
 }
--- a/tests/it/limits.rs
+++ b/tests/it/limits.rs
@@ -1,4 +1,6 @@
-//! Limits of a planner's server: what holds while they are met.
+//! The limits of connections at a planner and at an HTTP server: agents up to
+//! the default limit are served, and what is above a limit is closed without
+//! harm to work that runs. Also which entry becomes the planner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,7 +35,8 @@
 
 const LEASE: Duration = Duration::from_secs(2);
 
-/// Short times, so that a silent agent is soon taken for gone.
+/// Options with a short survival time, so that an unresponsive agent is soon
+/// considered lost.
 fn terms() -> Terms {
     Terms {
         survival: Duration::from_secs(3),
@@ -41,7 +44,7 @@
     }
 }
 
-/// Takes a connection of a planner for itself.
+/// Opens a connection to a planner, and so uses up one of its limit.
 async fn occupy(entry: &Entry) -> WsClient {
     let url = format!("ws://{}", entry.address());
     let client = || async {
@@ -51,16 +54,16 @@
     until("a connection", client).await
 }
 
-/// As many agents as the largest site played has.
-const AGENTS: usize = 240;
+/// The number of agents of the largest simulated site.
+const AGENT_COUNT: usize = 240;
 
 #[tokio::test]
-async fn every_agent_of_a_large_site_is_heard() {
+async fn planner_serves_every_agent_of_a_large_site() {
     let store = Memory::default();
     let limits = Limits::default();
     let entry = Entry::limited("entry", &store, limits, terms()).await;
     let survival = terms().survival;
-    let workers: Vec<Fake> = (0..AGENTS).map(|_| Fake::new()).collect();
+    let workers: Vec<Fake> = (0..AGENT_COUNT).map(|_| Fake::new()).collect();
     let agents: Vec<_> = workers
         .iter()
         .enumerate()
@@ -69,9 +72,9 @@
             surviving(&name, survival, LEASE, &store, worker)
         })
         .collect();
-    // A gang that takes every worker begins only once all are heard.
+    // A gang on every worker begins only once all agents have reported.
     let mut whole = job("whole");
-    whole.steps[0].replicas = AGENTS as u32;
+    whole.steps[0].replicas = AGENT_COUNT as u32;
     whole.steps[0].gang = true;
     whole.steps[0].resources.accelerators = 8;
     let admission = Admission::new(store.clone(), log::none());
@@ -85,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn a_strong_entry_plans_though_a_weak_one_is_ready_first() {
+async fn entry_with_more_cores_becomes_planner_before_a_weak_one() {
     let store = Memory::default();
     let held_by = |name: &'static str| {
         let store = store.clone();
@@ -102,29 +105,29 @@
     first.kill();
     let strong = Entry::strong("strong", &store, 1.0).await;
     held_by("strong").await;
-    // Where there is no stronger one, the weak one plans.
+    // Without a stronger entry, the weak one becomes the planner.
     strong.kill();
     held_by("weak").await;
     weak.kill();
 }
 
-/// Answers at once.
-struct Hello;
+/// Responds to each request at once.
+struct Greeter;
 
-impl Handler for Hello {
+impl Handler for Greeter {
     async fn handle(&self, _request: Request) -> Response {
         http::text(StatusCode::OK, "hello")
     }
 }
 
 #[tokio::test]
-async fn a_caller_above_the_limit_is_closed_and_the_others_are_served() {
+async fn connection_above_the_limit_is_closed_and_the_others_are_served() {
     let limit = http::Limit {
         connections: 1,
         log: log::none(),
     };
     let any = ([127, 0, 0, 1], 0).into();
-    let server = http::Server::limited(any, Arc::new(Hello), limit);
+    let server = http::Server::limited(any, Arc::new(Greeter), limit);
     let server = server.await.expect("a free port");
     let url = format!("http://{}/", server.address());
     let [first, second] = [(); 2].map(|()| http::Client::new());
@@ -138,16 +141,19 @@
         }
     };
     assert_eq!(call(first.clone()).await.ok(), Some(StatusCode::OK));
-    // The first one's connection stays open.
-    assert!(call(second.clone()).await.is_err(), "taken above the limit");
+    // The first client's connection stays open.
+    assert!(
+        call(second.clone()).await.is_err(),
+        "accepted above the limit"
+    );
     assert_eq!(call(first.clone()).await.ok(), Some(StatusCode::OK));
     drop(first);
-    let taken = || async { call(second.clone()).await.ok() };
-    until("there is room again", taken).await;
+    let accepted = || async { call(second.clone()).await.ok() };
+    until("a connection is free again", accepted).await;
 }
 
 #[tokio::test]
-async fn what_is_done_where_agents_are_turned_away_is_not_done_again() {
+async fn runs_that_end_while_their_agent_is_rejected_are_not_repeated() {
     let store = Memory::default();
     let worker = Fake::new();
     let admission = Admission::new(store.clone(), log::none());
@@ -162,12 +168,12 @@
     assert_eq!(submitted, Submitted::Accepted);
     runs(&worker, 2).await;
     first.kill();
-    // The next planner's only connection is taken: the agent is turned away.
+    // The next planner's only connection is in use: the agent is rejected.
     let second = Entry::limited("second", &store, limits, terms()).await;
-    let taken = occupy(&second).await;
+    let connection = occupy(&second).await;
     worker.end_all(How::Done);
     reaches(&admission, "a", DONE).await;
-    drop(taken);
+    drop(connection);
     assert_eq!(worker.began().len(), 2, "{:?}", worker.began());
     agent.abort();
     second.kill();
--- a/tests/it/ordered.rs
+++ b/tests/it/ordered.rs
@@ -1,4 +1,5 @@
-//! Orders to an agent from a planner that the test plays.
+//! Orders to an agent from a simulated planner: a start without an answer
+//! neither delays other runs nor takes effect after the agent has refused it.
 
 use std::fmt;
 use std::sync::Arc;
@@ -37,22 +38,22 @@
 use crate::cell::Memory;
 use crate::support::until;
 
-/// How often an agent is answered.
-const ANSWERS: Duration = Duration::from_millis(10);
-/// How long after a start without answer its order is surely given up: some
-/// times as long as an agent waits before it tries again.
-const QUIET: Duration = Duration::from_millis(1000);
+/// The time that the planner takes to answer a report.
+const ANSWER_DELAY: Duration = Duration::from_millis(10);
+/// Time without another attempt after which a withdrawn start is no longer
+/// retried: several times the interval at which an agent retries.
+const QUIET_TIME: Duration = Duration::from_millis(1000);
 
 #[derive(Default)]
 struct Data {
-    /// The revision of its claim.
+    /// The revision of the planner's claim.
     token: Revision,
     orders: Orders,
-    last: Option<Report>,
-    reports: u32,
+    last_report: Option<Report>,
+    report_count: u32,
 }
 
-/// A planner that orders what it is told to.
+/// A planner whose orders the test sets.
 #[derive(Clone, Default)]
 struct Planner(Arc<Mutex<Data>>);
 
@@ -66,16 +67,16 @@
             life: "life".to_owned(),
             cores: 1.0,
         };
-        let holder = serde_json::to_vec(&holder).expect("encodes");
+        let holder = serde_json::to_vec(&holder).expect("encoded");
         let put = Put::Value(keys::PLANNER.to_owned(), holder, 0);
-        store.swap(&[], vec![put]).await.expect("is written");
-        let claim = store.get(keys::PLANNER).await.expect("answers");
+        store.swap(&[], vec![put]).await.expect("written");
+        let claim = store.get(keys::PLANNER).await.expect("an answer");
         let planner = Planner::default();
-        planner.lock().token = claim.expect("is there").modified;
+        planner.lock().token = claim.expect("a claim").modified;
         (planner, store)
     }
 
-    /// Starts an agent that reports to it.
+    /// Starts an agent that reports to this planner.
     fn agent(&self, store: &Memory, worker: &Fake) -> Agent {
         let config = Config {
             agent: "agent".into(),
@@ -94,7 +95,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Orders runs to be started by a worker, and nothing else.
+    /// Replaces the orders by `starts` at a worker.
     fn order(&self, worker: &Fake, starts: Vec<Start>) {
         let life = Some(heartbeat(worker, 0).life);
         self.lock().orders = Orders {
@@ -104,24 +105,25 @@
         };
     }
 
-    /// Returns once an agent has reported what `wanted` looks for.
-    async fn hears<T>(
+    /// Waits for a report in which `wanted` finds a value; returns the value.
+    async fn wait_for_report<T>(
         &self,
         what: &str,
         wanted: impl Fn(&Report) -> Option<T>,
     ) -> T {
-        let last = || async { self.lock().last.as_ref().and_then(&wanted) };
+        let last =
+            || async { self.lock().last_report.as_ref().and_then(&wanted) };
         until(what, last).await
     }
 
-    /// Returns once an agent has taken in what is ordered now.
-    async fn answers(&self) {
-        let heard = self.lock().reports;
-        let twice = || async {
-            let reports = self.lock().reports;
-            (reports >= heard + 2).then_some(())
+    /// Waits until an agent has received the present orders.
+    async fn wait_until_received(&self) {
+        let before = self.lock().report_count;
+        let is_received = || async {
+            let reports = self.lock().report_count;
+            (reports >= before + 2).then_some(())
         };
-        until("two reports are answered", twice).await;
+        until("two reports are answered", is_received).await;
     }
 }
 
@@ -141,10 +143,10 @@
 #[async_trait]
 impl Peer for Planner {
     async fn sync(&self, report: Report) -> Result<Answer, Error> {
-        tokio::time::sleep(ANSWERS).await;
+        tokio::time::sleep(ANSWER_DELAY).await;
         let mut data = self.lock();
-        data.last = Some(report);
-        data.reports += 1;
+        data.last_report = Some(report);
+        data.report_count += 1;
         Ok(Answer::Orders {
             token: data.token,
             granted: true,
@@ -153,7 +155,7 @@
     }
 
     async fn store(&self, _call: Call) -> Result<Reply, Error> {
-        unreachable!("the store is reached")
+        unreachable!("the store is reachable")
     }
 }
 
@@ -191,102 +193,102 @@
     }
 }
 
-async fn is_known(planner: &Planner) {
+async fn wait_until_known(planner: &Planner) {
     let known = |report: &Report| report.worker.as_ref().map(|_| ());
-    planner.hears("the worker is known", known).await;
+    planner.wait_for_report("the worker is known", known).await;
 }
 
-async fn is_refused(planner: &Planner) {
+async fn wait_until_refused(planner: &Planner) {
     let refused = |report: &Report| {
         let worker = report.worker.as_ref()?;
         (!worker.refused.is_empty()).then_some(())
     };
-    planner.hears("the run will never begin", refused).await;
+    planner.wait_for_report("the run is refused", refused).await;
 }
 
-async fn lost(worker: &Fake, count: u32) {
+async fn wait_until_lost(worker: &Fake, count: u32) {
     let lost = || async { (worker.lost_starts() >= count).then_some(()) };
-    until("starts have no answer", lost).await;
+    until("starts without an answer", lost).await;
 }
 
-/// Two runs were ordered together, and the start of one had no answer. The
-/// other one, of which nothing is in doubt, waited with it until the worker
-/// had answered a look; so the start that was lost next was the first one's
-/// repetition: `lost a.0.0.0 1, lost a.0.0.0 1, began a.0.0.1 1`.
+/// Two runs are ordered together, and the start of one gets no answer. The
+/// agent must not delay the other one, whose state is known, until the worker
+/// has answered a poll. The log showed such a delay as the first run's start
+/// repeated first: `lost a.0.0.0 1, lost a.0.0.0 1, began a.0.0.1 1`.
 #[tokio::test]
-async fn a_start_without_answer_holds_back_no_other_run() {
+async fn start_without_an_answer_does_not_delay_other_runs() {
     let (planner, store) = Planner::new().await;
     let worker = Fake::born();
     let agent = planner.agent(&store, &worker);
     agent.member.heartbeat(heartbeat(&worker, 1));
-    is_known(&planner).await;
+    wait_until_known(&planner).await;
     worker.lose_starts(1);
     worker.stall_looks_after_a_loss();
     planner.order(&worker, vec![start(0), start(1)]);
-    lost(&worker, 1).await;
-    let stalls = || async { (worker.stalled() >= 2).then_some(()) };
-    until("two looks have no answer", stalls).await;
+    wait_until_lost(&worker, 1).await;
+    let is_stalled = || async { (worker.stalled() >= 2).then_some(()) };
+    until("two polls without an answer", is_stalled).await;
     assert_eq!(worker.began().len(), 1, "{:?}", worker.began());
     agent.kill();
 }
 
-/// A start had no answer, its order was withdrawn and given again, by the
-/// next planner say, and the worker was leaving by then. The agent had
-/// forgotten that start with its first order: it told that the run will never
-/// begin, and barred nothing. The planner begins another run elsewhere then,
-/// and the late start began this one as well.
+/// A start gets no answer, its order is withdrawn and given again (by the next
+/// planner, for instance) while the worker is leaving. An agent that forgets
+/// the start with its first order refuses the run without barring it: the
+/// planner then starts another run elsewhere, and the late start begins this
+/// one as well.
 #[tokio::test]
-async fn a_start_without_answer_is_barred_though_its_order_is_given_again() {
+async fn start_without_an_answer_is_barred_when_its_order_is_repeated() {
     let (planner, store) = Planner::new().await;
     let worker = Fake::born();
     let agent = planner.agent(&store, &worker);
     agent.member.heartbeat(heartbeat(&worker, 1));
-    is_known(&planner).await;
+    wait_until_known(&planner).await;
     worker.lose_starts(u32::MAX);
     planner.order(&worker, vec![start(0)]);
-    lost(&worker, 1).await;
+    wait_until_lost(&worker, 1).await;
     planner.order(&worker, Vec::new());
-    planner.answers().await;
-    is_quiet(&worker).await;
+    planner.wait_until_received().await;
+    wait_until_quiet(&worker).await;
     agent.member.heartbeat(leaving(&worker, 2));
     planner.order(&worker, vec![start(0)]);
-    is_refused(&planner).await;
+    wait_until_refused(&planner).await;
     worker.carry_out_late();
-    assert_eq!(worker.began(), Vec::<String>::new(), "begun after all");
+    assert_eq!(worker.began(), Vec::<String>::new(), "a refused run began");
     agent.kill();
 }
 
-/// The same, where the agent starts again before the order is given again:
-/// what it had sent, nobody knows.
+/// The same with a restart of the agent before the order is repeated: the new
+/// process does not know which starts the earlier one has sent.
 #[tokio::test]
-async fn a_start_of_an_earlier_agent_is_barred_before_it_is_refused() {
+async fn start_by_an_earlier_agent_process_is_barred_before_it_is_refused() {
     let (planner, store) = Planner::new().await;
     let worker = Fake::born();
     let first = planner.agent(&store, &worker);
     first.member.heartbeat(heartbeat(&worker, 1));
-    is_known(&planner).await;
+    wait_until_known(&planner).await;
     worker.lose_starts(u32::MAX);
     planner.order(&worker, vec![start(0)]);
-    lost(&worker, 1).await;
+    wait_until_lost(&worker, 1).await;
     first.kill();
     let second = planner.agent(&store, &worker);
     second.member.heartbeat(leaving(&worker, 2));
-    is_refused(&planner).await;
+    wait_until_refused(&planner).await;
     worker.carry_out_late();
-    assert_eq!(worker.began(), Vec::<String>::new(), "begun after all");
+    assert_eq!(worker.began(), Vec::<String>::new(), "a refused run began");
     second.kill();
 }
 
-/// Returns once a withdrawn start is not tried again.
-async fn is_quiet(worker: &Fake) {
-    let mut tried = (worker.lost_starts(), Instant::now());
-    let quiet = || {
+/// Waits until a withdrawn start is no longer retried.
+async fn wait_until_quiet(worker: &Fake) {
+    let mut last_attempt = (worker.lost_starts(), Instant::now());
+    let is_quiet = || {
         let now = worker.lost_starts();
-        if now != tried.0 {
-            tried = (now, Instant::now());
+        if now != last_attempt.0 {
+            last_attempt = (now, Instant::now());
         }
-        let quiet = tried.1.elapsed() > QUIET;
+        let quiet = last_attempt.1.elapsed() > QUIET_TIME;
         async move { quiet.then_some(()) }
     };
-    until("nothing is started", quiet).await;
+    until("no more starts", is_quiet).await;
 }
--- a/tests/it/reach.rs
+++ b/tests/it/reach.rs
@@ -1,4 +1,8 @@
-//! What is sent to a store that is out of reach.
+//! Submissions while the store cannot be reached.
+//!
+//! A write that is sent into an outage may take effect although its answer is
+//! lost, so its caller can no longer be refused. Submissions therefore wait
+//! for one shared probe, a read, before they write.
 
 use std::time::Duration;
 
@@ -13,42 +17,50 @@
 use crate::graph::step;
 use crate::graph::Site;
 
-/// How long a caller waits.
-const LIMIT: Duration = Duration::from_secs(3);
-/// How many callers come at once.
-const CALLERS: usize = 20;
+/// The time that a caller waits for its answer.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(3);
+/// The number of callers that submit at the same time.
+const CALLER_COUNT: usize = 20;
 
-/// Lets callers submit a job each; returns what they were told.
+/// Submits a job for each caller; returns their answers.
 async fn submit(admission: &Admission<Memory>, wave: &str) -> Vec<Submitted> {
     let site = Site::new(&[]);
     let mut callers = JoinSet::new();
-    for caller in 0..CALLERS {
+    for caller in 0..CALLER_COUNT {
         let id = format!("{wave}-{caller}");
         let job = job(&id, 1, vec![step(1, 1, false)], &site);
         let admission = admission.clone();
-        let deadline = Instant::now() + LIMIT;
+        let deadline = Instant::now() + CALLER_TIMEOUT;
         callers.spawn(async move { admission.submit(&job, deadline).await });
     }
     callers.join_all().await
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_write_is_sent_into_an_outage_and_one_look_serves_all() {
+async fn outage_gets_no_writes_and_one_probe_serves_all_callers() {
     let store = Memory::default();
     let admission = Admission::new(store.clone(), log::none());
     store.refuse(u32::MAX);
-    // The first wave finds the outage; those after it know.
+    // The first wave detects the outage; the second one knows of it.
     submit(&admission, "first").await;
     let (writes, reads) = store.calls();
-    let told = submit(&admission, "second").await;
-    assert_eq!(told, [Submitted::Refused; CALLERS], "nothing was sent");
-    let (after, looks) = store.calls();
-    assert_eq!(after - writes, 0, "writes into the outage");
-    assert!(looks - reads <= 12, "{} looks in 0.6 s", looks - reads);
+    let answers = submit(&admission, "second").await;
+    assert_eq!(
+        answers,
+        [Submitted::Refused; CALLER_COUNT],
+        "nothing was sent"
+    );
+    let (writes_after, reads_after) = store.calls();
+    assert_eq!(writes_after - writes, 0, "writes during the outage");
+    assert!(
+        reads_after - reads <= 12,
+        "{} probes in 0.6 s",
+        reads_after - reads
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn those_who_wait_are_taken_in_once_the_store_is_back() {
+async fn waiting_submissions_are_accepted_once_the_store_is_back() {
     let store = Memory::default();
     let admission = Admission::new(store.clone(), log::none());
     store.refuse(u32::MAX);
@@ -57,6 +69,6 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
         store.refuse(0);
     };
-    let (told, ()) = tokio::join!(submit(&admission, "second"), back);
-    assert_eq!(told, [Submitted::Accepted; CALLERS]);
+    let (answers, ()) = tokio::join!(submit(&admission, "second"), back);
+    assert_eq!(answers, [Submitted::Accepted; CALLER_COUNT]);
 }
--- a/tests/it/relay.rs
+++ b/tests/it/relay.rs
@@ -1,11 +1,10 @@
-//! Calls of the store by way of another entry.
+//! Calls to the store through another entry.
 //!
-//! Three of nine entries were cut off from the store for 12 s while six
-//! others were in touch. A job handed in at one of them waited there for
-//! 600 ms, was refused, came back a second later, perhaps to the same entry:
-//! `POST 503 600ms; POST 503 600ms; POST 200`, 2.5 s after it was first
-//! sent, with 1.5 s to spare. And a caller that asked how its job stood was
-//! told nothing for 2.8 s, though the job had ended.
+//! Guards against an entry that is cut off from the store while others reach
+//! it. A job submitted there waited for 600 ms, was refused, and was retried a
+//! second later, perhaps at the same entry: accepted after 2.5 s, it was late,
+//! for it had 1.5 s to spare. A status request got no answer for 2.8 s,
+//! although the job had ended.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -45,20 +44,20 @@
 use crate::cell::job;
 use crate::cell::Memory;
 
-/// How the link between a machine and the store fares.
+/// The state of the link between a machine and the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum Mode {
-    /// It serves.
+    /// Calls are answered.
     #[default]
     Open,
     /// Calls are lost.
-    Silent,
-    /// Calls are turned away.
+    CallsLost,
+    /// Calls are refused as unavailable.
     Busy,
-    /// Calls are refused for their rate.
+    /// Calls are refused because of their rate.
     Throttled,
-    /// Calls are carried out, and their answers are lost.
-    Deaf,
+    /// Calls are executed, and their answers are lost.
+    AnswersLost,
 }
 
 /// A store over a link that fails on demand.
@@ -77,8 +76,8 @@
         *self.mode.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Passes a call on, or not, as the link fares.
-    async fn pass<T>(
+    /// Forwards a call, or fails it, according to the link's state.
+    async fn forward<T>(
         &self,
         call: impl std::future::Future<Output = Result<T, Error>>,
     ) -> Result<T, Error> {
@@ -97,10 +96,10 @@
             Mode::Throttled => {
                 return status(hyper::StatusCode::TOO_MANY_REQUESTS)
             }
-            Mode::Deaf => {
+            Mode::AnswersLost => {
                 let _ = call.await;
             }
-            Mode::Silent => {}
+            Mode::CallsLost => {}
         }
         tokio::time::sleep(Duration::from_secs(1)).await;
         Err(Error::Lost(http::Error::Lost {
@@ -112,11 +111,11 @@
 
 impl Store for Link {
     async fn get(&self, key: &str) -> Result<Option<Item>, Error> {
-        self.pass(self.store.get(key)).await
+        self.forward(self.store.get(key)).await
     }
 
     async fn list(&self, prefix: &str) -> Result<Listing, Error> {
-        self.pass(self.store.list(prefix)).await
+        self.forward(self.store.list(prefix)).await
     }
 
     async fn swap(
@@ -124,19 +123,19 @@
         conditions: &[Compare],
         puts: Vec<Put>,
     ) -> Result<Swap, Error> {
-        self.pass(self.store.swap(conditions, puts)).await
+        self.forward(self.store.swap(conditions, puts)).await
     }
 
     async fn grant(&self, ttl: Duration) -> Result<LeaseId, Error> {
-        self.pass(self.store.grant(ttl)).await
+        self.forward(self.store.grant(ttl)).await
     }
 
     async fn keep_alive(&self, lease: LeaseId) -> Result<bool, Error> {
-        self.pass(self.store.keep_alive(lease)).await
+        self.forward(self.store.keep_alive(lease)).await
     }
 
     async fn revoke(&self, lease: LeaseId) -> Result<(), Error> {
-        self.pass(self.store.revoke(lease)).await
+        self.forward(self.store.revoke(lease)).await
     }
 
     async fn changes(
@@ -145,41 +144,41 @@
         after: Revision,
         wait: Duration,
     ) -> Result<Changes, Error> {
-        self.pass(self.store.changes(prefix, after, wait)).await
+        self.forward(self.store.changes(prefix, after, wait)).await
     }
 }
 
-/// The entries of a site, by their addresses.
+/// A network in memory: the entries of a site by their addresses.
 #[derive(Clone, Default)]
-struct Wires(Arc<Mutex<BTreeMap<String, Arc<dyn Carrier>>>>);
+struct LocalNetwork(Arc<Mutex<BTreeMap<String, Arc<dyn Carrier>>>>);
 
-impl fmt::Debug for Wires {
+impl fmt::Debug for LocalNetwork {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("Wires")
+        f.write_str("LocalNetwork")
     }
 }
 
 #[async_trait]
-impl Dial for Wires {
+impl Dial for LocalNetwork {
     async fn dial(&self, address: &str) -> Result<Arc<dyn Peer>, link::Error> {
-        let wires = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        match wires.get(address) {
-            Some(carrier) => Ok(Arc::new(Wire(carrier.clone()))),
-            None => Err(link::Error::new(address, "nobody is there")),
+        let network = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        match network.get(address) {
+            Some(carrier) => Ok(Arc::new(Connection(carrier.clone()))),
+            None => Err(link::Error::new(address, "no such entry")),
         }
     }
 }
 
-struct Wire(Arc<dyn Carrier>);
+struct Connection(Arc<dyn Carrier>);
 
 #[async_trait]
-impl Peer for Wire {
+impl Peer for Connection {
     async fn sync(&self, _report: Report) -> Result<Answer, link::Error> {
         Ok(Answer::NotPlanner)
     }
 
     async fn store(&self, call: Call) -> Result<Reply, link::Error> {
-        let error = |e: serde_json::Error| link::Error::new("wire", e);
+        let error = |e: serde_json::Error| link::Error::new("connection", e);
         let sent = serde_json::to_vec(&call).map_err(error)?;
         let call = serde_json::from_slice(&sent).map_err(error)?;
         let reply = self.0.serve(call).await;
@@ -188,10 +187,11 @@
     }
 }
 
-/// Entries that know each other; returns their stores and their links.
+/// Starts entries that know each other; returns the store, and each entry's
+/// relay and link.
 async fn site(entries: usize) -> (Memory, Vec<(Relay<Link>, Link)>) {
     let store = Memory::default();
-    let wires = Wires::default();
+    let network = LocalNetwork::default();
     let mut site = Vec::new();
     for at in 0..entries {
         let link = Link {
@@ -199,10 +199,11 @@
             mode: Arc::default(),
         };
         let name = format!("entry-{at}");
-        let dial = Arc::new(wires.clone());
+        let dial = Arc::new(network.clone());
         let peers = Peers::new(&name, dial, log::none());
         let relay = Relay::new(link.clone(), peers.clone(), log::none());
-        let mut known = wires.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut known =
+            network.0.lock().unwrap_or_else(PoisonError::into_inner);
         known.insert(name.clone(), Arc::new(relay.clone()));
         drop(known);
         tokio::spawn(peers.follow(relay.clone(), name));
@@ -217,8 +218,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_entry_without_a_way_takes_jobs_by_another() {
-    for mode in [Mode::Silent, Mode::Busy, Mode::Throttled] {
+async fn entry_without_the_store_accepts_jobs_through_another_entry() {
+    for mode in [Mode::CallsLost, Mode::Busy, Mode::Throttled] {
         let (_, site) = site(3).await;
         let (relay, link) = &site[0];
         let admission = Admission::new(relay.clone(), log::none());
@@ -239,13 +240,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_entry_tells_how_a_job_stands_by_another() {
+async fn entry_without_the_store_gets_a_jobs_stage_through_another_entry() {
     let (_, site) = site(2).await;
     let (relay, link) = &site[0];
     let admission = Admission::new(relay.clone(), log::none());
-    let taken = admission.submit(&job("a"), soon()).await;
-    assert_eq!(taken, Submitted::Accepted);
-    link.set(Mode::Silent);
+    let submitted = admission.submit(&job("a"), soon()).await;
+    assert_eq!(submitted, Submitted::Accepted);
+    link.set(Mode::CallsLost);
     let sent = Instant::now();
     let stage = admission.stage("a", soon()).await;
     assert_eq!(stage.ok().flatten(), Some(Stage::Queued));
@@ -253,24 +254,24 @@
     assert!(took < Duration::from_millis(400), "{took:?}");
 }
 
-/// A write that was done and not answered, made again under a condition that
-/// no longer holds, would be taken for one that others have overtaken.
+/// Repeating a write that took effect without an answer would fail its
+/// condition, which looks like a conflict with another writer.
 #[tokio::test(start_paused = true)]
-async fn a_write_without_answer_goes_no_second_way() {
+async fn write_without_an_answer_is_not_repeated_through_another_entry() {
     let (store, site) = site(3).await;
     let (relay, link) = &site[0];
-    link.set(Mode::Deaf);
+    link.set(Mode::AnswersLost);
     let put = Put::Value("key".to_owned(), b"value".to_vec(), 0);
     let absent = Compare::Modified("key".to_owned(), 0);
     let (before, _) = store.calls();
     let swap = relay.swap(&[absent], vec![put]).await;
     assert!(matches!(swap, Err(Error::Lost(_))), "{swap:?}");
     let (after, _) = store.calls();
-    assert_eq!(after, before + 1, "it went twice");
+    assert_eq!(after, before + 1, "the write was sent twice");
 }
 
 #[tokio::test(start_paused = true)]
-async fn where_the_store_is_away_from_all_a_job_waits_for_it() {
+async fn job_waits_for_the_store_if_no_entry_reaches_it() {
     let (_, site) = site(3).await;
     for (_, link) in &site {
         link.set(Mode::Busy);
@@ -282,30 +283,33 @@
             link.set(Mode::Open);
         }
     };
-    let taken = async { admission.submit(&job("a"), soon()).await };
-    let (taken, ()) = tokio::join!(taken, back);
-    assert_eq!(taken, Submitted::Accepted);
+    let submission = async { admission.submit(&job("a"), soon()).await };
+    let (submitted, ()) = tokio::join!(submission, back);
+    assert_eq!(submitted, Submitted::Accepted);
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_refusal_for_the_rate_closes_no_way() {
+async fn one_refusal_because_of_the_rate_keeps_the_direct_path() {
     let (store, site) = site(2).await;
     let (relay, link) = &site[0];
     link.set(Mode::Throttled);
     let (_, before) = store.calls();
     let get = relay.get("key").await;
-    assert!(get.is_err(), "it is not made again at once: {get:?}");
+    assert!(get.is_err(), "repeated at once: {get:?}");
     assert!(relay.is_direct());
     let (_, after) = store.calls();
     assert_eq!(after, before);
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_direct_way_is_used_again_once_it_is_open() {
+async fn direct_path_is_used_again_once_it_works() {
     let (_, site) = site(2).await;
     let (relay, link) = &site[0];
     link.set(Mode::Busy);
-    relay.get("key").await.expect("by the other entry");
+    relay
+        .get("key")
+        .await
+        .expect("an answer through the other entry");
     assert!(!relay.is_direct());
     link.set(Mode::Open);
     tokio::time::sleep(Duration::from_millis(500)).await;
--- a/tests/it/settings.rs
+++ b/tests/it/settings.rs
@@ -1,5 +1,5 @@
-//! Settings files: all problems are reported at once, and printed settings read
-//! back the same.
+//! Settings files: all problems are reported at once, and printed settings
+//! read back the same.
 
 use std::path::PathBuf;
 
--- a/tests/it/stage.rs
+++ b/tests/it/stage.rs
@@ -1,4 +1,5 @@
-//! What a caller is told of a job that ends as it is asked about.
+//! The stage that a caller gets for a job that ends during the request: the
+//! entry waits a moment for the end, so that the caller need not ask again.
 
 use std::time::Duration;
 
@@ -21,21 +22,21 @@
         outcome,
         ..Progress::default()
     };
-    let value = serde_json::to_vec(&progress).expect("is encoded");
+    let value = serde_json::to_vec(&progress).expect("encoded");
     let put = Put::Value(keys::progress(ID), value, 0);
-    store.swap(&[], vec![put]).await.expect("is written");
+    store.swap(&[], vec![put]).await.expect("written");
 }
 
-/// Asks about a running job, of which `news` is written after 40 ms;
-/// returns the answer and how long it took.
-async fn ask(news: Option<Option<Outcome>>) -> (Option<Stage>, Duration) {
+/// Asks about a running job whose progress changes to `update`, if any, after
+/// 40 ms; returns the stage and the time that the answer took.
+async fn ask(update: Option<Option<Outcome>>) -> (Option<Stage>, Duration) {
     let store = Memory::default();
     write(&store, None).await;
     let admission = Admission::new(store.clone(), log::none());
     let began = Instant::now();
     let later = async {
         tokio::time::sleep(Duration::from_millis(40)).await;
-        if let Some(outcome) = news {
+        if let Some(outcome) = update {
             write(&store, outcome).await;
         }
     };
@@ -45,32 +46,32 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_end_is_told_though_it_comes_a_moment_later() {
+async fn end_that_comes_during_the_request_is_reported() {
     let (stage, took) = ask(Some(Some(Outcome::Succeeded))).await;
     assert_eq!(stage, Some(Stage::Ended(Outcome::Succeeded)));
     assert!(took < Duration::from_millis(100), "{took:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_that_goes_on_is_told_so_soon() {
-    for news in [None, Some(None)] {
-        let (stage, took) = ask(news).await;
-        assert_eq!(stage, Some(Stage::Running), "{news:?}");
+async fn job_that_continues_is_reported_as_running_soon() {
+    for update in [None, Some(None)] {
+        let (stage, took) = ask(update).await;
+        assert_eq!(stage, Some(Stage::Running), "{update:?}");
         assert!(took < Duration::from_millis(230), "{took:?}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_cancel_is_told_once_it_has_taken_effect() {
+async fn cancellation_is_reported_only_once_it_has_taken_effect() {
     let store = Memory::default();
     let put = |key| Put::Value(key, b"{}".to_vec(), 0);
-    let kept = vec![put(keys::job(ID)), put(keys::cancel(ID))];
-    store.swap(&[], kept).await.expect("is written");
+    let records = vec![put(keys::job(ID)), put(keys::cancel(ID))];
+    store.swap(&[], records).await.expect("written");
     let admission = Admission::new(store.clone(), log::none());
     let deadline = Instant::now() + Duration::from_secs(30);
     let stage = || admission.stage(ID, deadline);
     assert_eq!(stage().await.expect("answers"), Some(Stage::Queued));
-    // All its tasks had ended before the planner heard of the cancel.
+    // All of the job's tasks end before the planner sees the cancellation.
     write(&store, None).await;
     assert_eq!(stage().await.expect("answers"), Some(Stage::Running));
     write(&store, Some(Outcome::Succeeded)).await;
@@ -79,7 +80,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_end_of_a_job_with_a_longer_name_is_not_that_of_the_shorter() {
+async fn end_of_a_job_is_not_mistaken_for_that_of_a_job_with_a_shorter_id() {
     let store = Memory::default();
     write(&store, None).await;
     let admission = Admission::new(store.clone(), log::none());
@@ -87,12 +88,12 @@
         outcome: Some(Outcome::Succeeded),
         ..Progress::default()
     };
-    let value = serde_json::to_vec(&ended).expect("is encoded");
+    let value = serde_json::to_vec(&ended).expect("encoded");
     let longer = keys::progress(&format!("{ID}0"));
     let later = async {
         tokio::time::sleep(Duration::from_millis(40)).await;
         let put = Put::Value(longer, value, 0);
-        store.swap(&[], vec![put]).await.expect("is written");
+        store.swap(&[], vec![put]).await.expect("written");
     };
     let deadline = Instant::now() + Duration::from_secs(3);
     let (stage, ()) = tokio::join!(admission.stage(ID, deadline), later);
--- a/tests/it/suspended.rs
+++ b/tests/it/suspended.rs
@@ -1,5 +1,6 @@
-//! Machines that are suspended: their steady clock stands still meanwhile,
-//! and what has lapsed must be seen as lapsed before anything is done by it.
+//! Suspended machines: their monotonic clock stops meanwhile, so a claim, a
+//! grant or a configuration that has expired would still seem valid. The
+//! process must see the expiry before it acts.
 
 use std::time::Duration;
 
@@ -29,11 +30,11 @@
 use crate::cell::KEYS;
 use crate::support::until;
 
-/// For how long machines are suspended here, in ms.
-const TIMES: [u64; 4] = [1000, 3000, 8000, 20_000];
+/// Durations of the suspensions, in ms.
+const SUSPENSIONS_MS: [u64; 4] = [1000, 3000, 8000, 20_000];
 
 #[test]
-fn a_stamp_counts_the_time_that_the_machine_was_suspended() {
+fn boot_instant_counts_the_time_of_a_suspension() {
     let before = Stamp::now();
     let until = before + Duration::from_secs(5);
     assert!(until.is_ahead());
@@ -44,8 +45,8 @@
 }
 
 #[tokio::test]
-async fn a_claim_that_lapsed_while_its_machine_was_suspended_is_not_held() {
-    for ms in TIMES {
+async fn claim_that_lapsed_during_a_suspension_is_not_held() {
+    for ms in SUSPENSIONS_MS {
         let store = Memory::default();
         let holder = Holder {
             process: "entry".to_owned(),
@@ -55,21 +56,21 @@
         };
         let tried = claim::try_claim(&store, &holder).await;
         let Ok(Tried::Held(claim)) = tried else {
-            panic!("nobody else claims: {tried:?}");
+            panic!("no other process claims: {tried:?}");
         };
         assert!(claim.holds());
         let time = Duration::from_millis(ms);
         clock::suspend(time);
         assert_eq!(claim.holds(), time < claim::TTL, "{time:?}");
-        // As the answer to its renewal is on its way: what was sent before
-        // says nothing of the time after.
+        // A renewal counts from when it is sent, so one that is sent after the
+        // suspension makes the claim valid again.
         let renewed = claim.renew(&store).await;
         assert!(renewed && claim.holds(), "{time:?}");
     }
 }
 
 #[tokio::test]
-async fn an_agent_that_was_suspended_prolongs_nothing_by_an_old_grant() {
+async fn suspended_agent_renews_no_lease_by_an_expired_grant() {
     let store = Memory::default();
     let worker = Fake::new();
     let admission = Admission::new(store.clone(), log::none());
@@ -77,23 +78,26 @@
     let agent = agent(&store, &worker);
     admission.submit(&job("a"), soon()).await;
     runs(&worker, 2).await;
-    let prolonged = || async { worker.is_prolonged().then_some(()) };
-    until("the lease is prolonged", prolonged).await;
-    // No planner grants anything any more; the last grant is 12 s.
+    let is_renewed = || async { worker.is_prolonged().then_some(()) };
+    until("the lease is renewed", is_renewed).await;
+    // No planner grants survival any more; the last grant lasts 12 s.
     entry.kill();
     clock::suspend(Duration::from_secs(13));
-    let lapses = || async { (!worker.is_prolonged()).then_some(()) };
-    let look = Duration::from_secs(3);
-    let lapsed = tokio::time::timeout(look, until("a look without", lapses));
-    lapsed.await.expect("the next look prolongs nothing");
+    let is_unrenewed = || async { (!worker.is_prolonged()).then_some(()) };
+    let poll_timeout = Duration::from_secs(3);
+    let lapsed = tokio::time::timeout(
+        poll_timeout,
+        until("a poll without renewal", is_unrenewed),
+    );
+    lapsed.await.expect("the next poll renews no lease");
     agent.abort();
 }
 
 #[tokio::test]
-async fn knowledge_of_the_configuration_ages_while_its_machine_is_suspended() {
+async fn configuration_ages_during_a_suspension() {
     let store = Memory::default();
     let put = Put::Value("key".to_owned(), b"7".to_vec(), 0);
-    store.swap(&[], vec![put]).await.expect("is written");
+    store.swap(&[], vec![put]).await.expect("written");
     let source = Source::new();
     let decode = |_: &[u8]| Ok::<_, String>(Configuration::default());
     let follow = source.clone().follow(
@@ -105,20 +109,20 @@
     );
     let follow = tokio::spawn(follow);
     let age = Duration::from_secs(2);
-    let known = || async { source.fresh(age).map(|_| ()) };
-    until("it is known", known).await;
+    let is_known = || async { source.fresh(age).map(|_| ()) };
+    until("the configuration is known", is_known).await;
     store.refuse(u32::MAX);
     clock::suspend(Duration::from_secs(3));
-    assert!(source.fresh(age).is_none(), "it is 3 s old");
-    assert!(!source.in_touch(), "the store was not heard for 3 s");
+    assert!(source.fresh(age).is_none(), "the configuration is 3 s old");
+    assert!(!source.in_touch(), "no answer of the store for 3 s");
     store.refuse(0);
-    until("it is known anew", known).await;
+    until("the configuration is known again", is_known).await;
     follow.abort();
 }
 
 #[tokio::test]
-async fn a_site_that_was_suspended_goes_on_and_does_nothing_twice() {
-    for ms in TIMES {
+async fn suspended_site_continues_and_starts_nothing_twice() {
+    for ms in SUSPENSIONS_MS {
         let store = Memory::default();
         let worker = Fake::new();
         let admission = Admission::new(store.clone(), log::none());
@@ -126,7 +130,7 @@
         let agent = agent(&store, &worker);
         admission.submit(&job("a"), soon()).await;
         runs(&worker, 2).await;
-        // An order is on its way, and an admission waits.
+        // The suspension meets an order on its way and a job not yet started.
         admission.submit(&job("b"), soon()).await;
         clock::suspend(Duration::from_millis(ms));
         runs(&worker, 4).await;
--- a/tests/telemetry/main.rs
+++ b/tests/telemetry/main.rs
@@ -1,6 +1,5 @@
-//! Spans and metrics, on the local page and at a collector.
-//!
-//! The providers are one a process, so this test has its own.
+//! Spans and metrics, as sent to a collector and as shown on the process's own
+//! page. Telemetry is global to a process, so this test has its own binary.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +12,7 @@
 use landingvalve::telemetry::Span;
 use landingvalve::telemetry::Telemetry;
 
-/// A collector that keeps the paths of what it is sent.
+/// A collector that records the paths of the requests it receives.
 #[derive(Default)]
 struct Receiver {
     paths: Mutex<Vec<String>>,
@@ -22,7 +21,7 @@
 impl http::Handler for Receiver {
     async fn handle(&self, request: http::Request) -> http::Response {
         let path = request.uri().path().to_owned();
-        let body = http::read(request, 1 << 20).await.expect("a body");
+        let body = http::read(request, 1 << 20).await.expect("a request body");
         assert!(!body.is_empty());
         self.paths.lock().unwrap().push(path);
         http::text(StatusCode::OK, "")
@@ -30,7 +29,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn spans_nest_and_all_is_sent_and_shown() {
+async fn spans_nest_and_spans_and_metrics_are_exported() {
     let receiver = Arc::new(Receiver::default());
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let server = http::Server::start(address, receiver.clone());
@@ -50,14 +49,14 @@
     }
     let page = telemetry.page().text().await;
     assert!(page.contains("landingvalve_starts "), "{page}");
-    scraped(&page);
+    check_histogram(&page);
     tokio::task::spawn_blocking(|| telemetry.stop())
         .await
         .unwrap();
 
-    let all = spans.spans();
-    let call = all.iter().find(|s| s.name == "call").expect("a span");
-    let admit = all.iter().find(|s| s.name == "admit").expect("a span");
+    let finished = spans.spans();
+    let call = finished.iter().find(|s| s.name == "call").expect("a span");
+    let admit = finished.iter().find(|s| s.name == "admit").expect("a span");
     assert_eq!(admit.parent, call.span);
     assert_eq!(admit.trace, call.trace);
     let paths = receiver.paths.lock().unwrap();
@@ -66,8 +65,8 @@
     }
 }
 
-/// Reads a page as a scraper does.
-fn scraped(page: &str) {
+/// Checks the histogram on a page, parsed as a scraper parses it.
+fn check_histogram(page: &str) {
     let name = "landingvalve_request_seconds";
     assert!(page.contains(&format!("# TYPE {name} histogram")), "{page}");
     let mut buckets = Vec::new();
