--- a/tests/it/closed.rs
+++ b/tests/it/closed.rs
@@ -112,11 +112,11 @@
     );
     let follow = tokio::spawn(follow);
     let closed = |names: &[&str]| {
-        let wanted = halls(names);
+        let expected = halls(names);
         let source = source.clone();
         async move {
             let is_seen =
-                || async { (source.closed() == wanted).then_some(()) };
+                || async { (source.closed() == expected).then_some(()) };
             until("the expected halls are closed", is_seen).await;
         }
     };
--- a/tests/it/gang_steps.rs
+++ b/tests/it/gang_steps.rs
@@ -218,8 +218,8 @@
             let ended = self.running[at]
                 .is_some_and(|begun| begun + RUN_TIME <= self.now);
             if self.dead[at] && self.running[at].is_some() {
-                // The whole worker is lost, and its task with it. (A task
-                // outlives its agent alone by at most the task's lease.)
+                // The whole worker is lost, and its task with it. If only the
+                // agent died, the task would go on for at most its lease.
                 self.running[at] = None;
             } else if ended {
                 self.running[at] = None;
@@ -335,9 +335,9 @@
 
     fn handle_task_start(&mut self, at: usize) {
         let slot = self.ledgers[at].slot(&gang().id);
-        let wanted = slot
+        let is_beginning = slot
             .is_some_and(|slot| matches!(slot.phase, Phase::Beginning { .. }));
-        if wanted {
+        if is_beginning {
             assert!(self.begun_at[at].is_none(), "begun twice on w{at}");
             self.running[at] = Some(self.now);
             self.begun_at[at] = Some(self.now);
--- a/tests/it/limits.rs
+++ b/tests/it/limits.rs
@@ -1,6 +1,6 @@
-//! The limits of connections at a planner and at an HTTP server: agents up to
-//! the default limit are served, and what is above a limit is closed without
-//! harm to work that runs. Also which entry becomes the planner.
+//! Connection limits of a planner and of an HTTP server: agents up to the
+//! default limit are served, and connections above a limit are closed without
+//! harm to running jobs. Also which entry becomes the planner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Opens a connection to a planner, and so uses up one of its limit.
+/// Opens a connection to a planner, which counts against its limit.
 async fn occupy(entry: &Entry) -> WsClient {
     let url = format!("ws://{}", entry.address());
     let client = || async {
@@ -73,12 +73,12 @@
         })
         .collect();
     // A gang on every worker begins only once all agents have reported.
-    let mut whole = job("whole");
-    whole.steps[0].replicas = AGENT_COUNT as u32;
-    whole.steps[0].gang = true;
-    whole.steps[0].resources.accelerators = 8;
+    let mut gang = job("whole");
+    gang.steps[0].replicas = AGENT_COUNT as u32;
+    gang.steps[0].gang = true;
+    gang.steps[0].resources.accelerators = 8;
     let admission = Admission::new(store.clone(), log::none());
-    let submitted = admission.submit(&whole, soon()).await;
+    let submitted = admission.submit(&gang, soon()).await;
     assert_eq!(submitted, Submitted::Accepted);
     for worker in &workers {
         runs(worker, 1).await;
--- a/tests/it/ordered.rs
+++ b/tests/it/ordered.rs
@@ -213,8 +213,8 @@
 
 /// Two runs are ordered together, and the start of one gets no answer. The
 /// agent must not delay the other one, whose state is known, until the worker
-/// has answered a poll. The log showed such a delay as the first run's start
-/// repeated first: `lost a.0.0.0 1, lost a.0.0.0 1, began a.0.0.1 1`.
+/// has answered a poll. Such a delay showed as a repetition of the first run's
+/// start: `lost a.0.0.0 1, lost a.0.0.0 1, began a.0.0.1 1`.
 #[tokio::test]
 async fn start_without_an_answer_does_not_delay_other_runs() {
     let (planner, store) = Planner::new().await;
--- a/tests/it/plan_property.rs
+++ b/tests/it/plan_property.rs
@@ -61,9 +61,10 @@
     plan: Plan,
     checker: Checker,
     now: SystemTime,
+    /// The attempt and the workers of each job that runs.
     running: BTreeMap<job::Id, (job::Attempt, Vec<usize>)>,
     stopping: BTreeMap<job::Id, job::Attempt>,
-    submitted: u32,
+    submitted_count: u32,
 }
 
 impl Simulation {
@@ -75,7 +76,7 @@
             now: SystemTime::UNIX_EPOCH,
             running: BTreeMap::new(),
             stopping: BTreeMap::new(),
-            submitted: 0,
+            submitted_count: 0,
         };
         let workers = site().workers().to_vec();
         let up = workers
@@ -145,8 +146,8 @@
                 homes[piece.worker] |= piece.mask;
             }
         }
-        // All unused guaranteed shapes can be reclaimed together: each job of
-        // another account in a block can be stopped or is being stopped.
+        // All unused guaranteed shapes can be reclaimed together: each job in
+        // the unused part of a block can be stopped or is being stopped.
         for home in state.homes.iter().filter(|home| home.is_placed()) {
             for worker in 0..state.workers.len() {
                 let unused = home.unused(worker);
@@ -180,8 +181,8 @@
         assert_eq!(counts.repeated_starts, 0);
     }
 
-    fn spec(&mut self, u: &mut Unstructured<'_>) -> Result<job::Spec> {
-        self.submitted += 1;
+    fn random_spec(&mut self, u: &mut Unstructured<'_>) -> Result<job::Spec> {
+        self.submitted_count += 1;
         let shapes = [
             (1, Within::Worker),
             (2, Within::Worker),
@@ -193,7 +194,7 @@
         ];
         let (accelerators, within) = *u.choose(&shapes)?;
         Ok(job::Spec {
-            id: format!("j{}", self.submitted).into(),
+            id: format!("j{}", self.submitted_count).into(),
             account: (*u.choose(&ACCOUNTS)?).into(),
             template: (*u.choose(&["s", "t"])?).into(),
             shape: Shape {
@@ -209,14 +210,17 @@
         })
     }
 
-    fn event(&mut self, u: &mut Unstructured<'_>) -> Result<Option<Event>> {
+    fn random_event(
+        &mut self,
+        u: &mut Unstructured<'_>,
+    ) -> Result<Option<Event>> {
         let running: Vec<job::Id> = self.running.keys().cloned().collect();
         let stopping: Vec<job::Id> = self.stopping.keys().cloned().collect();
         let workers = site().workers().to_vec();
         let worker = u.choose(&workers)?.id.clone();
         Ok(match u.int_in_range(0..=9)? {
             0..=3 => {
-                let spec = self.spec(u)?;
+                let spec = self.random_spec(u)?;
                 Some(Event::Submitted { spec })
             }
             4 | 5 if !stopping.is_empty() => {
@@ -238,8 +242,8 @@
             }
             7 if !running.is_empty() => {
                 let job = u.choose(&running)?.clone();
-                let (attempt, on) = self.running[&job].clone();
-                let worker = workers[on[0]].id.clone();
+                let (attempt, run_workers) = self.running[&job].clone();
+                let worker = workers[run_workers[0]].id.clone();
                 Some(Event::Failed {
                     job,
                     attempt,
@@ -251,8 +255,8 @@
                 1 => Event::WorkerLeaving { worker },
                 _ => Event::WorkerUp { worker },
             }),
-            9 if self.submitted > 0 => {
-                let number = u.int_in_range(1..=self.submitted)?;
+            9 if self.submitted_count > 0 => {
+                let number = u.int_in_range(1..=self.submitted_count)?;
                 let job = format!("j{number}").into();
                 Some(Event::Cancelled { job })
             }
@@ -267,15 +271,15 @@
     while !u.is_empty() {
         let passed = u.int_in_range(0..=120)?;
         simulation.now += Duration::from_secs(passed);
-        let event = simulation.event(u)?;
+        let event = simulation.random_event(u)?;
         simulation.step(event.into_iter().collect());
     }
     Ok(())
 }
 
-/// Number of histories; the fixed seed makes them the same in every run.
+/// The number of histories; a fixed seed makes them the same in every run.
 const HISTORY_COUNT: u64 = 60;
-/// Exclusive upper bound of the random bytes that a history is made of.
+/// The exclusive upper bound of the random bytes that a history is made of.
 const MAX_HISTORY_BYTES: u64 = 4096;
 
 #[test]
--- a/tests/it/promises.rs
+++ b/tests/it/promises.rs
@@ -146,7 +146,7 @@
     assert_eq!(
         support::start_count(&site, "a.r"),
         0,
-        "not without its start record"
+        "started before its mark was written"
     );
     let status = support::wait_for_stage(&url, "a.g", Stage::Ended).await;
     assert_eq!(status.end.unwrap().outcome, Outcome::Done);
--- a/tests/it/relay.rs
+++ b/tests/it/relay.rs
@@ -213,7 +213,7 @@
     (store, site)
 }
 
-fn soon() -> Instant {
+fn call_deadline() -> Instant {
     Instant::now() + Duration::from_secs(3)
 }
 
@@ -225,16 +225,16 @@
         let admission = Admission::new(relay.clone(), log::none());
         link.set(mode);
         let sent = Instant::now();
-        let first = admission.submit(&job("a"), soon()).await;
+        let first = admission.submit(&job("a"), call_deadline()).await;
         assert_eq!(first, Submitted::Accepted, "{mode:?}");
         let took = sent.elapsed();
         assert!(took < Duration::from_millis(600), "{mode:?}: {took:?}");
         let sent = Instant::now();
-        let second = admission.submit(&job("b"), soon()).await;
+        let second = admission.submit(&job("b"), call_deadline()).await;
         assert_eq!(second, Submitted::Accepted, "{mode:?}");
         let took = sent.elapsed();
         assert!(took < Duration::from_millis(200), "{mode:?}: {took:?}");
-        let stage = admission.stage("a", soon()).await;
+        let stage = admission.stage("a", call_deadline()).await;
         assert_eq!(stage.ok().flatten(), Some(Stage::Queued), "{mode:?}");
     }
 }
@@ -244,11 +244,11 @@
     let (_, site) = site(2).await;
     let (relay, link) = &site[0];
     let admission = Admission::new(relay.clone(), log::none());
-    let submitted = admission.submit(&job("a"), soon()).await;
+    let submitted = admission.submit(&job("a"), call_deadline()).await;
     assert_eq!(submitted, Submitted::Accepted);
     link.set(Mode::CallsLost);
     let sent = Instant::now();
-    let stage = admission.stage("a", soon()).await;
+    let stage = admission.stage("a", call_deadline()).await;
     assert_eq!(stage.ok().flatten(), Some(Stage::Queued));
     let took = sent.elapsed();
     assert!(took < Duration::from_millis(400), "{took:?}");
@@ -283,7 +283,8 @@
             link.set(Mode::Open);
         }
     };
-    let submission = async { admission.submit(&job("a"), soon()).await };
+    let submission =
+        async { admission.submit(&job("a"), call_deadline()).await };
     let (submitted, ()) = tokio::join!(submission, back);
     assert_eq!(submitted, Submitted::Accepted);
 }
--- a/tests/it/settings.rs
+++ b/tests/it/settings.rs
@@ -33,7 +33,7 @@
     );
     let error = settings::entry::read(&file.0).unwrap_err();
     let report = error.to_string();
-    let wanted = [
+    let expected = [
         "[platform] speed = \"9\", expected one of",
         "[entry] callers = \"here\", expected an IP address and port",
         "[entry] peers = \"\", expected an IP address and port",
@@ -42,10 +42,10 @@
         "[policy] weight_fragmentation = \"2\", expected 0 to 1",
         "[operators] token_digest = \"\", expected a SHA-256 digest",
     ];
-    for message in wanted {
+    for message in expected {
         assert!(report.contains(message), "{message} is not in\n{report}");
     }
-    assert_eq!(error.problems.len(), wanted.len(), "{report}");
+    assert_eq!(error.problems.len(), expected.len(), "{report}");
 }
 
 #[test]
@@ -56,9 +56,9 @@
         let (config, _) = settings::entry::read(&path).expect(site);
         let printed = settings::entry::file(&path).print();
         let copy = File::new(site, &printed);
-        let (again, _) = settings::entry::read(&copy.0).expect(site);
-        assert_eq!(config.policy, again.policy);
-        assert_eq!(config.callers_address, again.callers_address);
+        let (reread, _) = settings::entry::read(&copy.0).expect(site);
+        assert_eq!(config.policy, reread.policy);
+        assert_eq!(config.callers_address, reread.callers_address);
         let path = root.join(site).join("agent.ini");
         settings::agent::read(&path).expect(site);
     }
--- a/tests/it/suspended.rs
+++ b/tests/it/suspended.rs
@@ -130,7 +130,7 @@
         let agent = agent(&store, &worker);
         admission.submit(&job("a"), soon()).await;
         runs(&worker, 2).await;
-        // The suspension meets an order on its way and a job not yet started.
+        // The machines are suspended before job b has started.
         admission.submit(&job("b"), soon()).await;
         clock::suspend(Duration::from_millis(ms));
         runs(&worker, 4).await;
