--- a/tests/it/explain.rs
+++ b/tests/it/explain.rs
@@ -67,9 +67,9 @@
     worker.end_all(How::Done);
     reaches(&admission, "a", DONE).await;
     let logs = lines.read();
-    let story = logs.story("a").expect("a history");
+    let history = logs.story("a").expect("a history");
     let messages: Vec<&str> =
-        story.lines().iter().map(|l| l.message.as_str()).collect();
+        history.lines().iter().map(|l| l.message.as_str()).collect();
     let expected = [
         "entry: a job was submitted",
         "planner: a job is taken in",
@@ -85,7 +85,7 @@
             "{message}: not in {messages:?}"
         );
     }
-    assert_eq!(story.verdict().end, End::InTime);
+    assert_eq!(history.verdict().end, End::InTime);
     agent.abort();
     entry.kill();
 }
@@ -104,18 +104,18 @@
         admission.submit(&job, soon()).await;
     }
     for id in &ids {
-        admission.cancel(id, soon()).await.expect("is cancelled");
+        admission.cancel(id, soon()).await.expect("cancelled");
     }
     let entry = Entry::logged("entry", &store, lines.logger()).await;
-    let ended = || async {
+    let all_ended = || async {
         let logs = lines.read();
         let is_cancelled = |id: &Arc<str>| {
-            let story = logs.story(id).expect("a history");
-            story.verdict().end == End::Cancelled
+            let history = logs.story(id).expect("a history");
+            history.verdict().end == End::Cancelled
         };
         ids.iter().all(is_cancelled).then_some(())
     };
-    crate::support::until("the log holds every end", ended).await;
+    crate::support::until("the log holds every end", all_ended).await;
     entry.kill();
 }
 
@@ -230,8 +230,8 @@
         let mut logs = Logs::default();
         let text = case.lines.join("\n");
         logs.read(text.as_bytes()).expect("readable lines");
-        let (_, story) = logs.stories().next().expect("a history");
-        let verdict = story.verdict();
+        let (_, history) = logs.stories().next().expect("a history");
+        let verdict = history.verdict();
         assert_eq!(verdict.end, case.end, "{}: {verdict:?}", case.name);
         assert_eq!(verdict.cause, case.cause, "{}: {verdict:?}", case.name);
     }
--- a/tests/it/limits.rs
+++ b/tests/it/limits.rs
@@ -37,7 +37,7 @@
 
 /// Options with a short survival time, so that an unresponsive agent is soon
 /// considered lost.
-fn terms() -> Terms {
+fn options() -> Terms {
     Terms {
         survival: Duration::from_secs(3),
         ..Terms::default()
@@ -61,8 +61,8 @@
 async fn planner_serves_every_agent_of_a_large_site() {
     let store = Memory::default();
     let limits = Limits::default();
-    let entry = Entry::limited("entry", &store, limits, terms()).await;
-    let survival = terms().survival;
+    let entry = Entry::limited("entry", &store, limits, options()).await;
+    let survival = options().survival;
     let workers: Vec<Fake> = (0..AGENT_COUNT).map(|_| Fake::new()).collect();
     let agents: Vec<_> = workers
         .iter()
@@ -161,15 +161,15 @@
         connections: 1,
         ..Limits::default()
     };
-    let first = Entry::limited("first", &store, limits, terms()).await;
-    let survival = terms().survival;
+    let first = Entry::limited("first", &store, limits, options()).await;
+    let survival = options().survival;
     let agent = surviving("agent", survival, LEASE, &store, &worker);
     let submitted = admission.submit(&job("a"), soon()).await;
     assert_eq!(submitted, Submitted::Accepted);
     runs(&worker, 2).await;
     first.kill();
     // The next planner's only connection is in use: the agent is rejected.
-    let second = Entry::limited("second", &store, limits, terms()).await;
+    let second = Entry::limited("second", &store, limits, options()).await;
     let connection = occupy(&second).await;
     worker.end_all(How::Done);
     reaches(&admission, "a", DONE).await;
--- a/tests/it/promises.rs
+++ b/tests/it/promises.rs
@@ -77,8 +77,8 @@
         let id = format!("r{round}");
         let mut submitting =
             Box::pin(support::submit(&url, job_request("report", &id, 300)));
-        let pause = Duration::from_millis(delay_ms);
-        let _ = tokio::time::timeout(pause, &mut submitting).await;
+        let delay = Duration::from_millis(delay_ms);
+        let _ = tokio::time::timeout(delay, &mut submitting).await;
         site.kill_entry(&planner);
         drop(submitting);
         // Repeats the same request until the job has ended.
--- a/tests/it/suspended.rs
+++ b/tests/it/suspended.rs
@@ -54,9 +54,9 @@
             life: "life".to_owned(),
             cores: 1.0,
         };
-        let tried = claim::try_claim(&store, &holder).await;
-        let Ok(Tried::Held(claim)) = tried else {
-            panic!("no other process claims: {tried:?}");
+        let attempt = claim::try_claim(&store, &holder).await;
+        let Ok(Tried::Held(claim)) = attempt else {
+            panic!("no other process claims: {attempt:?}");
         };
         assert!(claim.holds());
         let time = Duration::from_millis(ms);
