--- a/tests/it/limits.rs
+++ b/tests/it/limits.rs
@@ -1,4 +1,6 @@
-//! Limits of a planner's server: what holds while they are met.
+//! Connection limits of a planner and of an HTTP server: agents up to the
+//! default limit are served, and connections above a limit are closed without
+//! harm to running jobs. Also which entry becomes the planner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,15 +35,16 @@
 
 const LEASE: Duration = Duration::from_secs(2);
 
-/// Short times, so that a silent agent is soon taken for gone.
-fn terms() -> Options {
+/// Options with a short survival time, so that an unresponsive agent is soon
+/// considered lost.
+fn options() -> Options {
     Options {
         survival: Duration::from_secs(3),
         ..Options::default()
     }
 }
 
-/// Takes a connection of a planner for itself.
+/// Opens a connection to a planner, which counts against its limit.
 async fn occupy(entry: &Entry) -> WsClient {
     let url = format!("ws://{}", entry.address());
     let client = || async {
@@ -51,17 +54,17 @@
     until("a connection", client).await
 }
 
-/// As many agents as the largest site played has.
-const AGENTS: usize = 240;
+/// The number of agents of the largest simulated site.
+const AGENT_COUNT: usize = 240;
 
 #[tokio::test]
-async fn every_agent_of_a_large_site_is_heard() {
+async fn planner_serves_every_agent_of_a_large_site() {
     let store = Memory::default();
     let limits = Limits::default();
-    let entry = Entry::with_limits("entry", &store, limits, terms()).await;
-    let survival = terms().survival;
+    let entry = Entry::with_limits("entry", &store, limits, options()).await;
+    let survival = options().survival;
     let workers: Vec<FakeWorker> =
-        (0..AGENTS).map(|_| FakeWorker::new()).collect();
+        (0..AGENT_COUNT).map(|_| FakeWorker::new()).collect();
     let agents: Vec<_> = workers
         .iter()
         .enumerate()
@@ -70,13 +73,13 @@
             start_agent_with_survival(&name, survival, LEASE, &store, worker)
         })
         .collect();
-    // A gang that takes every worker begins only once all are heard.
-    let mut whole = job("whole");
-    whole.steps[0].replicas = AGENTS as u32;
-    whole.steps[0].gang = true;
-    whole.steps[0].resources.accelerators = 8;
+    // A gang on every worker begins only once all agents have reported.
+    let mut gang = job("whole");
+    gang.steps[0].replicas = AGENT_COUNT as u32;
+    gang.steps[0].gang = true;
+    gang.steps[0].resources.accelerators = 8;
     let admission = Admission::new(store.clone(), log::none());
-    let submitted = admission.submit(&whole, deadline()).await;
+    let submitted = admission.submit(&gang, deadline()).await;
     assert_eq!(submitted, Submitted::Accepted);
     for worker in &workers {
         wait_for_running(worker, 1).await;
@@ -86,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn a_strong_entry_plans_though_a_weak_one_is_ready_first() {
+async fn entry_with_more_cores_becomes_planner_before_a_weak_one() {
     let store = Memory::default();
     let held_by = |name: &'static str| {
         let store = store.clone();
@@ -103,29 +106,29 @@
     first.kill();
     let strong = Entry::with_cores("strong", &store, 1.0).await;
     held_by("strong").await;
-    // Where there is no stronger one, the weak one plans.
+    // Without a stronger entry, the weak one becomes the planner.
     strong.kill();
     held_by("weak").await;
     weak.kill();
 }
 
-/// Answers at once.
-struct Hello;
+/// Responds to each request at once.
+struct Greeter;
 
-impl Handler for Hello {
+impl Handler for Greeter {
     async fn handle(&self, _request: Request) -> Response {
         http::text(StatusCode::OK, "hello")
     }
 }
 
 #[tokio::test]
-async fn a_caller_above_the_limit_is_closed_and_the_others_are_served() {
+async fn connection_above_the_limit_is_closed_and_the_others_are_served() {
     let limit = http::ConnectionLimit {
         max_connections: 1,
         log: log::none(),
     };
     let any = ([127, 0, 0, 1], 0).into();
-    let server = http::Server::start_with_limit(any, Arc::new(Hello), limit);
+    let server = http::Server::start_with_limit(any, Arc::new(Greeter), limit);
     let server = server.await.expect("a free port");
     let url = format!("http://{}/", server.address());
     let [first, second] = [(); 2].map(|()| http::Client::new());
@@ -140,16 +143,19 @@
         }
     };
     assert_eq!(call(first.clone()).await.ok(), Some(StatusCode::OK));
-    // The first one's connection stays open.
-    assert!(call(second.clone()).await.is_err(), "taken above the limit");
+    // The first client's connection stays open.
+    assert!(
+        call(second.clone()).await.is_err(),
+        "accepted above the limit"
+    );
     assert_eq!(call(first.clone()).await.ok(), Some(StatusCode::OK));
     drop(first);
-    let taken = || async { call(second.clone()).await.ok() };
-    until("there is room again", taken).await;
+    let accepted = || async { call(second.clone()).await.ok() };
+    until("a connection is free again", accepted).await;
 }
 
 #[tokio::test]
-async fn what_is_done_where_agents_are_turned_away_is_not_done_again() {
+async fn runs_that_end_while_their_agent_is_rejected_are_not_repeated() {
     let store = Memory::default();
     let worker = FakeWorker::new();
     let admission = Admission::new(store.clone(), log::none());
@@ -157,20 +163,20 @@
         connections: 1,
         ..Limits::default()
     };
-    let first = Entry::with_limits("first", &store, limits, terms()).await;
-    let survival = terms().survival;
+    let first = Entry::with_limits("first", &store, limits, options()).await;
+    let survival = options().survival;
     let agent =
         start_agent_with_survival("agent", survival, LEASE, &store, &worker);
     let submitted = admission.submit(&job("a"), deadline()).await;
     assert_eq!(submitted, Submitted::Accepted);
     wait_for_running(&worker, 2).await;
     first.kill();
-    // The next planner's only connection is taken: the agent is turned away.
-    let second = Entry::with_limits("second", &store, limits, terms()).await;
-    let taken = occupy(&second).await;
+    // The next planner's only connection is in use: the agent is rejected.
+    let second = Entry::with_limits("second", &store, limits, options()).await;
+    let connection = occupy(&second).await;
     worker.end_all(RunOutcome::Done);
     wait_for_stage(&admission, "a", SUCCEEDED).await;
-    drop(taken);
+    drop(connection);
     assert_eq!(worker.started().len(), 2, "{:?}", worker.started());
     agent.abort();
     second.kill();
--- a/tests/it/plan_property.rs
+++ b/tests/it/plan_property.rs
@@ -1,4 +1,6 @@
-//! What holds of the books after every step, whatever happens.
+//! Invariants of the plan's state after every step of random histories: jobs
+//! are submitted, complete, fail and are cancelled, while workers are lost,
+//! leave and come back.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -38,7 +40,7 @@
     site
 }
 
-fn terms(account: &str) -> Account {
+fn account_terms(account: &str) -> Account {
     let shape = |accelerators, within| Shape {
         accelerators,
         within,
@@ -54,26 +56,27 @@
     }
 }
 
-/// A world that obeys commands and makes things up.
-struct World {
+/// A site that carries out the plan's commands, and generates random events.
+struct Simulation {
     plan: Plan,
     checker: Checker,
     now: SystemTime,
+    /// The attempt and the workers of each job that runs.
     running: BTreeMap<job::Id, (job::Attempt, Vec<usize>)>,
     stopping: BTreeMap<job::Id, job::Attempt>,
-    submitted: u32,
+    submitted_count: u32,
 }
 
-impl World {
-    fn new() -> World {
-        let accounts = ACCOUNTS.map(|id| (id.into(), terms(id)));
-        let mut world = World {
+impl Simulation {
+    fn new() -> Simulation {
+        let accounts = ACCOUNTS.map(|id| (id.into(), account_terms(id)));
+        let mut simulation = Simulation {
             plan: Plan::new(site(), Policy::default()),
             checker: Checker::new(site(), accounts.into()),
             now: SystemTime::UNIX_EPOCH,
             running: BTreeMap::new(),
             stopping: BTreeMap::new(),
-            submitted: 0,
+            submitted_count: 0,
         };
         let workers = site().workers().to_vec();
         let up = workers
@@ -81,10 +84,10 @@
             .map(|worker| Event::WorkerUp { worker: worker.id });
         let accounts = ACCOUNTS.iter().map(|id| Event::AccountChanged {
             account: (*id).into(),
-            terms: terms(id),
+            terms: account_terms(id),
         });
-        world.step(up.chain(accounts).collect());
-        world
+        simulation.step(up.chain(accounts).collect());
+        simulation
     }
 
     fn step(&mut self, events: Vec<Event>) {
@@ -145,44 +148,43 @@
                 homes[piece.worker] |= piece.mask;
             }
         }
-        // All unused guaranteed shapes can be had back together: whatever
-        // is in a block and not the owner's can be stopped, or has been
-        // told to.
+        // All unused guaranteed shapes can be reclaimed together: each job in
+        // the unused part of a block can be stopped or is being stopped.
         for home in state.homes.iter().filter(|home| home.is_placed()) {
             for worker in 0..state.workers.len() {
                 let unused = home.unused(worker);
-                let mut stays = state.workers[worker].unstoppable;
+                let mut remaining = state.workers[worker].unstoppable;
                 for id in &state.workers[worker].jobs {
                     let job = &state.jobs[id];
-                    let run = job.run().expect("it is here");
-                    let theirs = mask_on(&run.pieces, worker);
+                    let run = job.run().expect("a job on a worker has a run");
+                    let mask = mask_on(&run.pieces, worker);
                     match &job.phase {
-                        Phase::Stopping(..) => stays &= !theirs,
-                        _ if theirs & unused == 0 => {}
+                        Phase::Stopping(..) => remaining &= !mask,
+                        _ if mask & unused == 0 => {}
                         _ => assert!(job.spec.is_reclaimable(), "{id}"),
                     }
                 }
-                assert_eq!(unused & stays, 0);
+                assert_eq!(unused & remaining, 0);
             }
         }
-        for (worker, books) in state.workers.iter().enumerate() {
-            let masks = books.jobs.iter().map(|id| {
+        for (worker, worker_state) in state.workers.iter().enumerate() {
+            let masks = worker_state.jobs.iter().map(|id| {
                 mask_on(&state.jobs[id].run().unwrap().pieces, worker)
             });
             let used = masks.fold(0, |used, mask| {
                 assert_eq!(used & mask, 0, "shared accelerators");
                 used | mask
             });
-            assert_eq!(used, books.used);
-            assert_eq!(homes[worker], books.home);
+            assert_eq!(used, worker_state.used);
+            assert_eq!(homes[worker], worker_state.home);
         }
         let counts = self.checker.counts();
         assert_eq!(counts.partial_gangs, 0);
         assert_eq!(counts.repeated_starts, 0);
     }
 
-    fn spec(&mut self, u: &mut Unstructured<'_>) -> Result<job::Spec> {
-        self.submitted += 1;
+    fn random_spec(&mut self, u: &mut Unstructured<'_>) -> Result<job::Spec> {
+        self.submitted_count += 1;
         let shapes = [
             (1, Within::Worker),
             (2, Within::Worker),
@@ -194,7 +196,7 @@
         ];
         let (accelerators, within) = *u.choose(&shapes)?;
         Ok(job::Spec {
-            id: format!("j{}", self.submitted).into(),
+            id: format!("j{}", self.submitted_count).into(),
             account: (*u.choose(&ACCOUNTS)?).into(),
             template: (*u.choose(&["s", "t"])?).into(),
             shape: Shape {
@@ -210,14 +212,17 @@
         })
     }
 
-    fn event(&mut self, u: &mut Unstructured<'_>) -> Result<Option<Event>> {
+    fn random_event(
+        &mut self,
+        u: &mut Unstructured<'_>,
+    ) -> Result<Option<Event>> {
         let running: Vec<job::Id> = self.running.keys().cloned().collect();
         let stopping: Vec<job::Id> = self.stopping.keys().cloned().collect();
         let workers = site().workers().to_vec();
         let worker = u.choose(&workers)?.id.clone();
         Ok(match u.int_in_range(0..=9)? {
             0..=3 => {
-                let spec = self.spec(u)?;
+                let spec = self.random_spec(u)?;
                 Some(Event::Submitted { spec })
             }
             4 | 5 if !stopping.is_empty() => {
@@ -239,8 +244,8 @@
             }
             7 if !running.is_empty() => {
                 let job = u.choose(&running)?.clone();
-                let (attempt, on) = self.running[&job].clone();
-                let worker = workers[on[0]].id.clone();
+                let (attempt, run_workers) = self.running[&job].clone();
+                let worker = workers[run_workers[0]].id.clone();
                 Some(Event::Failed {
                     job,
                     attempt,
@@ -252,8 +257,8 @@
                 1 => Event::WorkerLeaving { worker },
                 _ => Event::WorkerUp { worker },
             }),
-            9 if self.submitted > 0 => {
-                let number = u.int_in_range(1..=self.submitted)?;
+            9 if self.submitted_count > 0 => {
+                let number = u.int_in_range(1..=self.submitted_count)?;
                 let job = format!("j{number}").into();
                 Some(Event::Cancelled { job })
             }
@@ -262,28 +267,29 @@
     }
 }
 
-/// Runs a history that is made of random bytes.
-fn history(u: &mut Unstructured<'_>) -> Result<()> {
-    let mut world = World::new();
+/// Plays a history generated from random bytes, and checks after each step.
+fn play_history(u: &mut Unstructured<'_>) -> Result<()> {
+    let mut simulation = Simulation::new();
     while !u.is_empty() {
         let passed = u.int_in_range(0..=120)?;
-        world.now += Duration::from_secs(passed);
-        let event = world.event(u)?;
-        world.step(event.into_iter().collect());
+        simulation.now += Duration::from_secs(passed);
+        let event = simulation.random_event(u)?;
+        simulation.step(event.into_iter().collect());
     }
     Ok(())
 }
 
-/// The same histories every time: how many, and of up to how many bytes.
-const HISTORIES: u64 = 60;
-const LONGEST: u64 = 4096;
+/// The number of histories; a fixed seed makes them the same in every run.
+const HISTORY_COUNT: u64 = 60;
+/// The exclusive upper bound of the random bytes that a history is made of.
+const MAX_HISTORY_BYTES: u64 = 4096;
 
 #[test]
-fn promise_guarantee_blocks_stay_reclaimable_whatever_happens() {
+fn promise_guarantee_blocks_stay_reclaimable_through_random_histories() {
     let mut rng = fastrand::Rng::with_seed(7);
-    for _ in 0..HISTORIES {
-        let size = rng.u64(64..LONGEST);
+    for _ in 0..HISTORY_COUNT {
+        let size = rng.u64(64..MAX_HISTORY_BYTES);
         let seed = u64::from(rng.u32(..)) << 32 | size;
-        arbtest(history).seed(seed);
+        arbtest(play_history).seed(seed);
     }
 }
--- a/tests/it/settings.rs
+++ b/tests/it/settings.rs
@@ -1,10 +1,11 @@
-//! Settings: what is wrong is told all at once, and what is in force.
+//! Settings files: all problems are reported at once, and printed settings
+//! read back the same.
 
 use std::path::PathBuf;
 
 use landingvalve::settings;
 
-/// A file in a folder of its own, gone with the test.
+/// A temporary settings file, removed at the end of the test.
 struct File(PathBuf);
 
 impl File {
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn every_problem_is_told_at_once_by_section_key_and_value() {
+fn all_problems_are_reported_at_once_with_section_key_and_value() {
     let file = File::new(
         "wrong",
         "[entry]\nname = e1\ncallers = here\n[policy]\n\
@@ -31,8 +32,8 @@
          speed = 9\n",
     );
     let error = settings::entry::read(&file.0).unwrap_err();
-    let told = error.to_string();
-    let wanted = [
+    let report = error.to_string();
+    let expected = [
         "[platform] speed = \"9\", expected one of",
         "[entry] callers = \"here\", expected an IP address and port",
         "[entry] peers = \"\", expected an IP address and port",
@@ -41,23 +42,23 @@
         "[policy] weight_fragmentation = \"2\", expected 0 to 1",
         "[operators] token_digest = \"\", expected a SHA-256 digest",
     ];
-    for words in wanted {
-        assert!(told.contains(words), "{words} is not in\n{told}");
+    for message in expected {
+        assert!(report.contains(message), "{message} is not in\n{report}");
     }
-    assert_eq!(error.problems.len(), wanted.len(), "{told}");
+    assert_eq!(error.problems.len(), expected.len(), "{report}");
 }
 
 #[test]
-fn the_examples_are_good_and_printed_settings_give_the_same() {
+fn examples_are_valid_and_printed_settings_read_back_the_same() {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("examples");
     for site in ["wiezogrod", "vedurskra"] {
         let path = root.join(site).join("entry.ini");
         let (config, _) = settings::entry::read(&path).expect(site);
         let printed = settings::entry::file(&path).to_ini();
         let copy = File::new(site, &printed);
-        let (again, _) = settings::entry::read(&copy.0).expect(site);
-        assert_eq!(config.policy, again.policy);
-        assert_eq!(config.callers_address, again.callers_address);
+        let (reread, _) = settings::entry::read(&copy.0).expect(site);
+        assert_eq!(config.policy, reread.policy);
+        assert_eq!(config.callers_address, reread.callers_address);
         let path = root.join(site).join("agent.ini");
         settings::agent::read(&path).expect(site);
     }
--- a/tests/it/support.rs
+++ b/tests/it/support.rs
@@ -1,4 +1,5 @@
-//! What tests of the processes share: a site, callers and operators.
+//! Helpers shared by the tests of the processes: a site on loopback, calls of
+//! clients and operators, and waiting for a condition.
 
 use std::time::Duration;
 
@@ -18,20 +19,24 @@
 use serde_json::Value;
 use tokio::time::Instant;
 
-/// Within which everything in these tests happens, with much to spare.
-pub const LONG: Duration = Duration::from_secs(40);
-/// How often a condition is looked at.
-const LOOK: Duration = Duration::from_millis(20);
+/// Upper bound of each wait, far above what any of them needs.
+pub const TIMEOUT: Duration = Duration::from_secs(40);
+/// Interval at which a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until `condition` gives a value.
+/// Polls `condition` until it returns a value, and returns that value.
+///
+/// # Panics
+///
+/// If there is no value within [`TIMEOUT`]; the message names `what`.
 pub async fn until<T, F>(what: &str, mut condition: impl FnMut() -> F) -> T
 where
     F: std::future::Future<Output = Option<T>>,
 {
-    let deadline = Instant::now() + LONG;
-    let mut look = tokio::time::interval(LOOK);
+    let deadline = Instant::now() + TIMEOUT;
+    let mut interval = tokio::time::interval(POLL_INTERVAL);
     loop {
-        look.tick().await;
+        interval.tick().await;
         if let Some(value) = condition().await {
             return value;
         }
@@ -39,91 +44,95 @@
     }
 }
 
-/// An answer in JSON.
+/// A response of an entry, its body parsed as JSON.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Value,
 }
 
-/// Calls an entry; `None` if it does not answer.
+/// Calls an entry with a bearer token; `None` if there is no response.
 pub async fn call(
     url: &str,
     token: &str,
     method: Method,
     path: &str,
     body: Option<Value>,
-) -> Option<Answer> {
+) -> Option<Response> {
     let mut headers = HeaderMap::new();
     let bearer = format!("Bearer {token}");
-    let bearer = HeaderValue::from_str(&bearer).expect("plain tokens");
+    let bearer = HeaderValue::from_str(&bearer).expect("an ASCII token");
     headers.insert(AUTHORIZATION, bearer);
     let body = body.map(|body| body.to_string()).unwrap_or_default();
-    let deadline = Instant::now() + LONG;
+    let deadline = Instant::now() + TIMEOUT;
     let url = format!("{url}{path}");
     let client = http::Client::new();
     let call = client.call(method, &url, headers, body, deadline);
     let reply = call.await.ok()?;
-    Some(Answer {
+    Some(Response {
         status: reply.status,
         headers: reply.headers,
         body: serde_json::from_slice(&reply.body).unwrap_or(Value::Null),
     })
 }
 
-/// Submits a job for account `a`, and returns the answer.
-pub async fn submit(url: &str, body: Value) -> Option<Answer> {
+/// Submits a job for account `a`, and returns the response.
+pub async fn submit(url: &str, body: Value) -> Option<Response> {
     call(url, "a-token", Method::POST, "/v1/jobs", Some(body)).await
 }
 
-/// Returns a job's status, if the entry answers with one.
-pub async fn status(url: &str, job: &str) -> Option<Status> {
+/// Returns a job's status; `None` if the entry sends none.
+pub async fn job_status(url: &str, job: &str) -> Option<Status> {
     let path = format!("/v1/jobs/{job}");
-    let answer = call(url, "a-token", Method::GET, &path, None).await?;
-    serde_json::from_value(answer.body).ok()
+    let response = call(url, "a-token", Method::GET, &path, None).await?;
+    serde_json::from_value(response.body).ok()
 }
 
-/// Waits until a job is at a stage.
-pub async fn reaches(url: &str, job: &str, stage: Stage) -> Status {
+/// Waits until a job is at `stage`, and returns its status.
+pub async fn wait_for_stage(url: &str, job: &str, stage: Stage) -> Status {
     let what = format!("{job} at {stage:?}");
     until(&what, || async {
-        let status = status(url, job).await?;
+        let status = job_status(url, job).await?;
         (status.stage == stage).then_some(status)
     })
     .await
 }
 
-/// Returns what an entry shows operators.
+/// Returns the status page of an entry for operators; `None` without one.
 pub async fn view(url: &str) -> Option<View> {
     let path = "/v1/status";
-    let answer =
+    let response =
         call(url, site::OPERATOR_TOKEN, Method::GET, path, None).await?;
-    serde_json::from_value(answer.body).ok()
+    serde_json::from_value(response.body).ok()
 }
 
-/// Puts an item into the configuration.
-pub async fn put(url: &str, path: &str, value: Value) -> Answer {
+/// Creates an item of the configuration, and retries until it is accepted.
+pub async fn put_config(url: &str, path: &str, value: Value) -> Response {
     until("an edit", || async {
         let body = json!({"value": value, "revision": 0, "edit": "setup"});
         let path = format!("/v1/config/{path}");
         let method = Method::PUT;
         let token = site::OPERATOR_TOKEN;
-        let answer = call(url, token, method, &path, Some(body)).await?;
-        (answer.status == StatusCode::OK).then_some(answer)
+        let response = call(url, token, method, &path, Some(body)).await?;
+        (response.status == StatusCode::OK).then_some(response)
     })
     .await
 }
 
-/// Returns the account `a` of these tests: 16 accelerators in a rack, and
-/// as many to borrow as asked.
-pub fn account(borrow: u32) -> Value {
+/// Returns the settings of account `a`: a guarantee of 16 accelerators within
+/// a rack, and up to `borrow` accelerators to borrow.
+pub fn account_value(borrow: u32) -> Value {
     json!({"borrow": borrow, "tokens": [digest::of(b"a-token")],
         "guarantee": [{"accelerators": 16, "within": "rack"}]})
 }
 
-/// Returns a template of these tests.
-pub fn template(accelerators: u32, within: &str, repeatable: bool) -> Value {
+/// Returns a template of the given shape whose jobs run for 1 s by default.
+pub fn template_value(
+    accelerators: u32,
+    within: &str,
+    repeatable: bool,
+) -> Value {
     json!({"shape": {"accelerators": accelerators, "within": within},
         "run_ms": 1000, "run": "task", "repeatable": repeatable,
         "checkpoint": false, "parameters": {
@@ -131,44 +140,51 @@
             "fail": {"kind": "boolean"}}})
 }
 
-/// Returns how often a job's tasks were started, over all workers.
-pub fn starts(site: &Site, job: &str) -> usize {
-    let of_job = format!("{job}@");
+/// Returns how many tasks of a job were started, over all workers.
+pub fn start_count(site: &Site, job: &str) -> usize {
+    let prefix = format!("{job}@");
     site.endpoints
         .values()
         .flat_map(|endpoint| endpoint.started_tasks())
-        .filter(|task| task.starts_with(&of_job))
+        .filter(|task| task.starts_with(&prefix))
         .count()
 }
 
-/// Starts a site with account `a` and templates `small`, `gang` and
-/// `report`, and waits until its planner has every worker.
-pub async fn start(entries: usize) -> Site {
+/// Starts a site with account `a` and the templates `small`, `gang` and
+/// `report` (not repeatable), and waits until it has settled.
+pub async fn start_site(entries: usize) -> Site {
     let plan = site::Config::with_entries(entries);
     let site = Site::start(plan).await.expect("a site on loopback");
     let url = site.url("e1");
-    put(&url, "accounts/a", account(64)).await;
-    put(&url, "templates/small", template(1, "worker", true)).await;
-    put(&url, "templates/gang", template(16, "rack", true)).await;
-    put(&url, "templates/report", template(2, "worker", false)).await;
-    settled(&url, 11).await;
+    put_config(&url, "accounts/a", account_value(64)).await;
+    put_config(&url, "templates/small", template_value(1, "worker", true))
+        .await;
+    put_config(&url, "templates/gang", template_value(16, "rack", true)).await;
+    put_config(&url, "templates/report", template_value(2, "worker", false))
+        .await;
+    wait_until_settled(&url, 11).await;
     site
 }
 
-/// Waits until a planner answers that has `workers` up and every guarantee
-/// placed, and every entry the same configuration.
-pub async fn settled(url: &str, workers: usize) -> View {
+/// Waits until the planner has `workers` workers up and every guarantee
+/// placed, and all entries have the same revision of the configuration.
+pub async fn wait_until_settled(url: &str, workers: usize) -> View {
     until("a settled site", || async {
         let view = view(url).await?;
         let cell = view.cell.as_ref()?;
-        let up = cell.workers.iter().filter(|w| w.presence == "up").count();
-        let placed = cell.guarantees.iter().all(|g| g.placed);
-        let same = view
+        let up_count =
+            cell.workers.iter().filter(|w| w.presence == "up").count();
+        let all_placed = cell.guarantees.iter().all(|g| g.placed);
+        let is_same_revision = view
             .entries
             .iter()
             .all(|e| e.revision == Some(view.revision));
-        let whole = !cell.guarantees.is_empty() && view.revision > 0;
-        (up == workers && placed && same && whole).then_some(view)
+        let is_configured = !cell.guarantees.is_empty() && view.revision > 0;
+        (up_count == workers
+            && all_placed
+            && is_same_revision
+            && is_configured)
+            .then_some(view)
     })
     .await
 }
