--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -146,8 +146,8 @@
             events.push(Event::Submitted { spec });
         }
         if !self.running.is_empty() {
-            let at = self.rng.usize(0..self.running.len());
-            let (job, attempt) = self.running[at].clone();
+            let index = self.rng.usize(0..self.running.len());
+            let (job, attempt) = self.running[index].clone();
             events.push(Event::Completed { job, attempt });
         }
         self.step(events);
--- a/benches/pass.rs
+++ b/benches/pass.rs
@@ -102,8 +102,8 @@
             running: vec![Vec::new(); workers],
             ended: vec![0; workers],
         };
-        for at in 0..workers {
-            cell.report(at, None);
+        for index in 0..workers {
+            cell.report(index, None);
         }
         // Wide steps that use every accelerator, then jobs that wait.
         let full = workers * 8 / WIDE_STEP_TASKS as usize;
@@ -111,9 +111,9 @@
             cell.submit(1);
         }
         let steps = waiting / WIDE_STEP_TASKS as usize;
-        for at in 0..steps {
+        for index in 0..steps {
             cell.submit(1);
-            if at % 10 == 0 {
+            if index % 10 == 0 {
                 cell.submit(0);
                 cell.submit(2);
             }
@@ -146,14 +146,13 @@
         self.scheduler.accept_job(job, None, self.now);
     }
 
-    /// Applies a report of the agent at `at`, with the end of a task if one
-    /// ended.
-    fn report(&mut self, at: usize, ended: Option<Running>) {
+    /// Applies a report of an agent, with the end of a task if one ended.
+    fn report(&mut self, index: usize, ended: Option<Running>) {
         self.sequence += 1;
         let ended = ended.map(|running| {
-            self.ended[at] += 1;
+            self.ended[index] += 1;
             Ended {
-                number: self.ended[at],
+                number: self.ended[index],
                 task: running.task,
                 run: running.run,
                 how: RunOutcome::Done,
@@ -161,18 +160,18 @@
             }
         });
         let report = Report {
-            agent: format!("agent{at:04}").into(),
+            agent: format!("agent{index:04}").into(),
             process: "process".to_owned(),
             sequence: self.sequence,
             gone: None,
             before: None,
             silent: false,
             worker: Some(WorkerReport {
-                life: format!("life{at:04}").into(),
+                life: format!("life{index:04}").into(),
                 pool: "pool".into(),
                 machine: None,
                 hall: "hall".into(),
-                rack: format!("rack{}", at / WORKERS_PER_RACK).into(),
+                rack: format!("rack{}", index / WORKERS_PER_RACK).into(),
                 labels: Vec::new(),
                 capacity: Resources {
                     memory: 256_000,
@@ -182,7 +181,7 @@
                 silent: false,
                 remaining_ms: None,
                 lists: Lists {
-                    running: self.running[at].clone(),
+                    running: self.running[index].clone(),
                     ended: ended.into_iter().collect(),
                 },
                 refused: Vec::new(),
@@ -191,19 +190,19 @@
         self.scheduler.apply_report(report, self.now);
     }
 
-    /// Runs a pass, and carries out the orders of every worker.
+    /// Runs a pass, and executes the orders of every worker.
     fn settle(&mut self) {
         self.pass();
-        for at in 0..self.running.len() {
-            let agent = format!("agent{at:04}").into();
+        for index in 0..self.running.len() {
+            let agent = format!("agent{index:04}").into();
             let orders = self.scheduler.orders(&agent);
             for stop in &orders.stops {
                 let is_stopped =
                     |r: &Running| r.task == stop.task && r.run == stop.run;
-                self.running[at].retain(|running| !is_stopped(running));
+                self.running[index].retain(|running| !is_stopped(running));
             }
             for start in orders.starts {
-                self.running[at].push(Running {
+                self.running[index].push(Running {
                     task: start.task,
                     run: start.run,
                     saved: String::new(),
@@ -211,11 +210,11 @@
                     load: Some(1.0),
                 });
             }
-            self.report(at, None);
+            self.report(index, None);
         }
     }
 
-    /// Runs a pass, with the writes of records treated as done at once.
+    /// Runs a pass, with a store that writes records at once.
     fn pass(&mut self) {
         self.now.monotonic += Duration::from_millis(1);
         self.scheduler.run_pass(self.now);
@@ -233,21 +232,21 @@
     for (workers, waiting) in SIZES {
         let size = format!("{workers} workers, {waiting} waiting");
         let mut cell = Cell::new(workers, waiting);
-        let mut at = 0;
+        let mut index = 0;
         let id = BenchmarkId::new("nothing new", &size);
         group.bench_function(id, |bencher| {
             bencher.iter(|| {
-                at = (at + 1) % workers;
-                cell.report(at, None);
+                index = (index + 1) % workers;
+                cell.report(index, None);
                 cell.pass();
             });
         });
         let id = BenchmarkId::new("a task ends", &size);
         group.bench_function(id, |bencher| {
             bencher.iter(|| {
-                at = (at + 1) % workers;
-                let ended = cell.running[at].pop();
-                cell.report(at, ended);
+                index = (index + 1) % workers;
+                let ended = cell.running[index].pop();
+                cell.report(index, ended);
                 cell.pass();
             });
         });
--- a/crates/landingvalve-cli/src/trial.rs
+++ b/crates/landingvalve-cli/src/trial.rs
@@ -50,8 +50,8 @@
     verbose: bool,
 }
 
-/// Runs a system, submits jobs and prints their course. Fails the process if
-/// a job does not succeed.
+/// Runs a system, submits jobs and prints their course. Returns a failure code
+/// if a job does not succeed.
 ///
 /// # Errors
 ///
--- a/crates/landingvalve-soak/src/main.rs
+++ b/crates/landingvalve-soak/src/main.rs
@@ -9,7 +9,7 @@
 use landingvalve_soak::soak::Config;
 
 /// Runs the real programs on loopback under faults, and checks the
-/// scheduler's promises.
+/// scheduler's invariants.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
--- a/crates/landingvalve-soak/src/operators.rs
+++ b/crates/landingvalve-soak/src/operators.rs
@@ -70,8 +70,9 @@
     }
 
     /// Checks that an entry serves the queue of the present version and no
-    /// longer that of the version before. Does nothing while the present
-    /// version is too new to be required.
+    /// longer the queue of the version before. While the present version is
+    /// within [`MAX_APPLY_TIME`], entries need not serve its queue yet, and
+    /// nothing is checked.
     pub async fn probe(&self, entry: SocketAddr, checker: &Checker) {
         let version = *lock(&self.last);
         if version.written.elapsed() <= MAX_APPLY_TIME {
--- a/crates/landingvalve-soak/src/soak.rs
+++ b/crates/landingvalve-soak/src/soak.rs
@@ -36,7 +36,7 @@
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(45);
 /// The pause after each round of calls.
 const ROUND_INTERVAL: Duration = Duration::from_millis(120);
-/// The number of open jobs from which on no more jobs are submitted.
+/// The number of open jobs at which no more jobs are submitted.
 const MAX_OPEN_JOBS: usize = 40;
 
 /// The configuration of a run.
@@ -70,7 +70,7 @@
     /// The number of calls that the store received.
     pub store_calls: u64,
     /// The time in ms from the end of the faults until every accepted job had
-    /// ended, absent if some had not ended before the timeout.
+    /// ended, null if some had not ended before the timeout.
     pub settled_ms: Option<u64>,
     /// The violations of the invariants; empty if the run passed.
     pub broken: Vec<String>,
@@ -237,20 +237,20 @@
         let kind = kind.split(['(', ' ']).next().unwrap_or_default();
         *self.fault_counts.entry(kind.to_owned()).or_default() += 1;
         match fault {
-            Fault::KillEntry(at) => self.entries[at].kill(),
-            Fault::PauseEntry(at) => self.entries[at].set_paused(true),
-            Fault::StopEntry(at) => self.entries[at].terminate(),
+            Fault::KillEntry(index) => self.entries[index].kill(),
+            Fault::PauseEntry(index) => self.entries[index].set_paused(true),
+            Fault::StopEntry(index) => self.entries[index].terminate(),
             Fault::KillEntries => {
                 self.entries.iter_mut().for_each(Program::kill);
             }
-            Fault::KillAgent(at) => self.agents[at].kill(),
-            Fault::PauseAgent(at) => self.agents[at].set_paused(true),
+            Fault::KillAgent(index) => self.agents[index].kill(),
+            Fault::PauseAgent(index) => self.agents[index].set_paused(true),
             Fault::KillAll => {
                 self.entries.iter_mut().for_each(Program::kill);
                 self.agents.iter_mut().for_each(Program::kill);
             }
-            Fault::Crash(at) => self.workers[at].crash(),
-            Fault::Worker(at, mode) => self.workers[at].set_mode(mode),
+            Fault::Crash(index) => self.workers[index].crash(),
+            Fault::Worker(index, mode) => self.workers[index].set_mode(mode),
             Fault::Store(mode) => self.store.set_mode(mode),
             Fault::Forget => self.store.discard_history(),
             Fault::Configure(idle) => self.operators.write_next_version(idle),
@@ -270,18 +270,22 @@
         let ended: Vec<(Fault, Instant)> = ended;
         for (fault, _) in ended {
             match fault {
-                Fault::KillEntry(at) => self.entries[at].start()?,
-                Fault::PauseEntry(at) => self.entries[at].set_paused(false),
+                Fault::KillEntry(index) => self.entries[index].start()?,
+                Fault::PauseEntry(index) => {
+                    self.entries[index].set_paused(false)
+                }
                 Fault::StopEntry(_) => {}
                 Fault::KillEntries => start_all(&mut self.entries)?,
-                Fault::KillAgent(at) => self.agents[at].start()?,
-                Fault::PauseAgent(at) => self.agents[at].set_paused(false),
+                Fault::KillAgent(index) => self.agents[index].start()?,
+                Fault::PauseAgent(index) => {
+                    self.agents[index].set_paused(false)
+                }
                 Fault::KillAll => {
                     start_all(&mut self.entries)?;
                     start_all(&mut self.agents)?;
                 }
-                Fault::Worker(at, _) => {
-                    self.workers[at].set_mode(worker::Mode::default());
+                Fault::Worker(index, _) => {
+                    self.workers[index].set_mode(worker::Mode::default());
                 }
                 Fault::Store(_) => self.store.set_mode(store::Mode::Healthy),
                 Fault::Crash(_) | Fault::Forget | Fault::Configure(_) => {}
--- a/crates/landingvalve-standin/src/endpoint.rs
+++ b/crates/landingvalve-standin/src/endpoint.rs
@@ -36,7 +36,8 @@
     ends_at: Instant,
     fails: bool,
     state: State,
-    /// How long the task had run when a request stopped it; otherwise 0.
+    /// How long the task had run when a request stopped it, in ms; otherwise
+    /// 0.
     kept_ms: u64,
 }
 
@@ -100,7 +101,8 @@
             .collect()
     }
 
-    /// Stops the endpoint and all its tasks at once, as if its VM were lost.
+    /// Stops the endpoint and all its tasks at once, which simulates the loss
+    /// of its VM.
     pub fn kill(self) {
         self.server.kill();
     }
--- a/crates/landingvalve-standin/src/site.rs
+++ b/crates/landingvalve-standin/src/site.rs
@@ -25,7 +25,7 @@
 /// The operators' token at a stand-in site.
 pub const OPERATOR_TOKEN: &str = "operator-token";
 
-/// A failure to start a part of a site, described for people.
+/// A failure to start a part of a site, as a message.
 #[derive(Debug)]
 pub struct Error(String);
 
@@ -57,8 +57,8 @@
 }
 
 impl Config {
-    /// Returns the configuration of a site of 11 workers with 8 accelerators
-    /// each, at most three per rack, in three halls.
+    /// Returns the configuration of a site of the first users' size: 11 workers
+    /// with 8 accelerators each, at most three per rack, in three halls.
     pub fn with_entries(entries: usize) -> Config {
         Config {
             entries,
@@ -227,14 +227,14 @@
             .map(|(name, _)| name.clone())
     }
 
-    /// Ends an entry without a shutdown, as if its process were killed.
+    /// Ends an entry without a shutdown, which simulates a killed process.
     pub fn kill_entry(&mut self, name: &str) {
         if let Some(entry) = self.entries.remove(name) {
             entry.kill();
         }
     }
 
-    /// Ends an agent without a shutdown, as if its process were killed; the
+    /// Ends an agent without a shutdown, which simulates a killed process; the
     /// tasks of its endpoint continue.
     pub fn kill_agent(&mut self, worker: &str) {
         if let Some(agent) = self.agents.remove(worker) {
@@ -242,8 +242,8 @@
         }
     }
 
-    /// Ends a worker's agent and endpoint and removes its VM from the list, as
-    /// if the VM were lost.
+    /// Ends a worker's agent and endpoint and removes its VM from the list,
+    /// which simulates the loss of the VM.
     pub fn lose_worker(&mut self, worker: &str) {
         self.kill_agent(worker);
         if let Some(endpoint) = self.endpoints.remove(worker) {
--- a/crates/landingvalve-standin/src/store.rs
+++ b/crates/landingvalve-standin/src/store.rs
@@ -136,8 +136,8 @@
             .collect()
     }
 
-    /// Ends every lease at once, as if its holder had been paused for longer
-    /// than its time to live.
+    /// Ends every lease at once, which simulates holders that were paused for
+    /// longer than the leases' time to live.
     pub fn expire_leases(&self) {
         let mut state = self.service.lock();
         let ids: Vec<i64> = state.leases.keys().copied().collect();
@@ -300,7 +300,7 @@
 }
 
 /// Returns whether a key is in the range from `first` to `end` exclusive; an
-/// empty `end` stands for the single key `first`.
+/// empty `end` means the single key `first`.
 fn in_range(key: &[u8], first: &[u8], end: &[u8]) -> bool {
     match end.is_empty() {
         true => key == first,
--- a/examples/make-trace.rs
+++ b/examples/make-trace.rs
@@ -237,13 +237,13 @@
 fn arrivals(count: usize, span_ms: f64, rng: &mut Rng) -> Vec<f64> {
     let mut times = Vec::new();
     while times.len() < count {
-        let at = rng.f64() * span_ms;
-        let relative_rate = 0.6 + 0.4 * (at / span_ms * 12.0).sin();
+        let time_ms = rng.f64() * span_ms;
+        let relative_rate = 0.6 + 0.4 * (time_ms / span_ms * 12.0).sin();
         if rng.f64() > relative_rate {
             continue;
         }
         let jobs = if rng.f64() < 0.03 { 12 } else { 1 };
-        times.extend((0..jobs).map(|_| at + rng.f64() * 2000.0));
+        times.extend((0..jobs).map(|_| time_ms + rng.f64() * 2000.0));
     }
     times.truncate(count);
     times
@@ -271,7 +271,8 @@
         let count = accelerator_seconds * template.load_share
             / (mean_accelerators * mean_run);
         let count = count.round().max(2.0) as usize;
-        for (at, number) in arrivals(count, span_ms, rng).iter().zip(1..) {
+        for (time_ms, number) in arrivals(count, span_ms, rng).iter().zip(1..)
+        {
             let (accelerators, within) = shape(template, rng);
             let run = template.median_run.as_secs_f64()
                 * (template.run_sigma * normal(rng)).exp();
@@ -279,7 +280,7 @@
                 run * template.declared_factor * (0.5 * normal(rng)).exp();
             let ms = |seconds: f64| (seconds * 1e3).max(500.0) as u64;
             lines.push((
-                *at as u64,
+                *time_ms as u64,
                 json!({"event": "submit",
                     "job": format!("{}-{number}", template.name),
                     "account": template.account,
@@ -299,7 +300,7 @@
 fn fleet_submissions(hours: f64, rng: &mut Rng) -> Vec<(u64, Value)> {
     let count = (4700.0 * hours / 24.0) as usize;
     let times = arrivals(count, hours * MS_PER_HOUR, rng);
-    let lines = times.iter().enumerate().map(|(number, at)| {
+    let lines = times.iter().enumerate().map(|(number, time_ms)| {
         let kind = match rng.f64() {
             x if x < 0.45 => 0,
             x if x < 0.60 => 1,
@@ -318,7 +319,7 @@
             "actual_ms": (run * 1e3) as u64, "repeatable": repeatable,
             "checkpoint": repeatable && rng.f64() < 0.8,
             "urgent": kind == 2 && rng.f64() < 0.05});
-        (*at as u64, line)
+        (*time_ms as u64, line)
     });
     lines.collect()
 }
@@ -360,9 +361,9 @@
     }
     for _ in 0..2 {
         let wave = rng.u64(span / 8..span);
-        let recent = jobs
-            .iter()
-            .filter(|(at, _)| *at < wave && *at + 1_200_000 > wave);
+        let recent = jobs.iter().filter(|(time_ms, _)| {
+            *time_ms < wave && *time_ms + 1_200_000 > wave
+        });
         for (_, job) in recent.filter(|_| rng.f64() < 0.5) {
             let cancel = json!({"event": "cancel", "job": job["job"]});
             lines.push((wave, cancel));
@@ -430,7 +431,7 @@
         let fault_lines = faults(&site, &lines, hours, &mut rng);
         lines.extend(fault_lines);
     }
-    lines.sort_by_key(|(at, _)| *at);
+    lines.sort_by_key(|(time_ms, _)| *time_ms);
     println!("{}", site.header);
     for (at_ms, mut line) in lines {
         line["at_ms"] = json!(at_ms);
