--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -71,7 +71,7 @@
             })
             .collect();
         let accounts = MAX_ACCOUNTS.min(workers);
-        let terms = (0..accounts).map(|number| {
+        let account_events = (0..accounts).map(|number| {
             let (id, terms) = account(number, accounts);
             let account = id.as_str().into();
             Event::AccountChanged { account, terms }
@@ -84,7 +84,7 @@
             accounts,
             running: Vec::new(),
         };
-        cell.step(workers_up.into_iter().chain(terms).collect());
+        cell.step(workers_up.into_iter().chain(account_events).collect());
         let target = workers as u64 * 8 * 9 / 10;
         let mut used = 0;
         while used < target {
--- a/crates/landingvalve-soak/src/operators.rs
+++ b/crates/landingvalve-soak/src/operators.rs
@@ -70,9 +70,9 @@
     }
 
     /// Checks that an entry serves the queue of the present version and no
-    /// longer the queue of the version before. While the present version is
-    /// within [`MAX_APPLY_TIME`], entries need not serve its queue yet, and
-    /// nothing is checked.
+    /// longer the queue of the version before. Nothing is checked within 2 s
+    /// after the present version was written, the time that entries have to
+    /// apply a version.
     pub async fn probe(&self, entry: SocketAddr, checker: &Checker) {
         let version = *lock(&self.last);
         if version.written.elapsed() <= MAX_APPLY_TIME {
--- a/tests/it/advice.rs
+++ b/tests/it/advice.rs
@@ -1,4 +1,6 @@
 //! Steps that only run on workers that an advice service permits.
+//!
+//! Guards against starts without a valid ticket of the service.
 
 use std::time::Duration;
 
--- a/tests/it/again.rs
+++ b/tests/it/again.rs
@@ -1,4 +1,7 @@
 //! Restarts of units whose run has failed.
+//!
+//! Guards against restarts that are delayed, or that use the worker on which the
+//! run failed.
 
 use landingvalve::graph::RunOutcome;
 
--- a/tests/it/broken.rs
+++ b/tests/it/broken.rs
@@ -1,7 +1,8 @@
 //! Gangs that are broken because one member has ended.
 //!
-//! The other members report `broken`, while the worker of the member that
-//! ended may be silent.
+//! Guards against gangs that wait until a silent worker's leases expire although
+//! the other members' reports show that its member has ended, and against
+//! restarts while a member may still be running.
 
 use std::time::Duration;
 
--- a/tests/it/crashes.rs
+++ b/tests/it/crashes.rs
@@ -389,7 +389,7 @@
             round(&mut site);
         }
         let mut worker = silence_worker(&mut site, "good");
-        // This is longer than it takes to confirm a loss by time.
+        // The wait exceeds the silence after which a loss is confirmed.
         for _ in 0..110 {
             round(&mut site);
         }
--- a/tests/it/doubt.rs
+++ b/tests/it/doubt.rs
@@ -1,4 +1,7 @@
 //! Quarantine and probation of workers on which runs fail.
+//!
+//! Guards against faulty workers that get new jobs, and against workers that are
+//! blamed for a job that fails everywhere.
 
 use std::time::Duration;
 
--- a/tests/it/graph.rs
+++ b/tests/it/graph.rs
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Advances both clocks; nobody reports meanwhile.
+    /// Advances both clocks without reports.
     pub fn advance(&mut self, time: Duration) {
         self.now.monotonic += time;
         self.now.wall += time;
@@ -276,7 +276,7 @@
 }
 
 /// Returns a step whose tasks are declared as 5 s long, each on one core. A
-/// gang is slow outside one rack.
+/// gang runs slower unless all its tasks are in one rack.
 pub fn step(replicas: u32, accelerators: i64, gang: bool) -> Step {
     Step {
         replicas,
@@ -288,7 +288,7 @@
     }
 }
 
-/// Returns a job that is accepted now and may fail three times.
+/// Returns a job that is accepted now and has failed after three failed runs.
 pub fn job(id: &str, priority: u32, steps: Vec<Step>, site: &Site) -> Job {
     Job {
         id: id.into(),
--- a/tests/it/graph_faults.rs
+++ b/tests/it/graph_faults.rs
@@ -861,8 +861,8 @@
             let saved =
                 worker.saved_report.iter().filter_map(|r| r.worker.as_ref());
             let mut ended = saved.flat_map(|worker| &worker.lists.ended);
-            // Ends from before the lease expired do not count, because nobody
-            // had read them by then.
+            // Ends from before the lease expired do not count, because they
+            // had not been read by then.
             ended.any(|end| {
                 let counts = end.number > worker.lapsed;
                 counts && end.task == *task && end.how == RunOutcome::Done
--- a/tests/it/near.rs
+++ b/tests/it/near.rs
@@ -1,4 +1,7 @@
 //! Units that run slower when they are spread over racks.
+//!
+//! Guards against gangs that are spread although waiting for a rack costs less,
+//! and against gangs that wait although waiting costs more or is of no use.
 
 use std::time::Duration;
 
--- a/tests/it/predict.rs
+++ b/tests/it/predict.rs
@@ -1,4 +1,7 @@
 //! Estimates of run times from earlier runs.
+//!
+//! Guards against estimates that are distorted by runs whose start the planner
+//! did not observe, by wide steps, or by wrong declarations.
 
 use std::time::Duration;
 
--- a/tests/it/shrunk.rs
+++ b/tests/it/shrunk.rs
@@ -1,4 +1,7 @@
 //! Workers whose capacity shrinks and grows while they run.
+//!
+//! Guards against starts and reservations that no longer fit because a worker
+//! has lost accelerators since the decision.
 
 use std::time::Duration;
 
--- a/tests/it/spare.rs
+++ b/tests/it/spare.rs
@@ -1,4 +1,7 @@
 //! Workers that are left empty for urgent work.
+//!
+//! Guards against urgent units that start only after a stop, and against workers
+//! that are left empty while no urgent work comes.
 
 use std::time::Duration;
 
@@ -18,8 +21,8 @@
     ("w9", "r3"),
 ];
 
-/// Returns a site on which an urgent job has run lately, so that workers are
-/// left empty for the next one.
+/// Returns a site on which an urgent job has run recently, so that workers
+/// are left empty for the next one.
 fn site() -> Site {
     let mut site = Site::new(NINE_WORKERS);
     site.submit(job("seen", 0, vec![step(1, 1, false)], &site));
--- a/tests/it/takeover.rs
+++ b/tests/it/takeover.rs
@@ -1,4 +1,7 @@
 //! Planners that take over and receive reports a second time.
+//!
+//! Guards against failures that are counted twice, and against decisions that a
+//! new planner makes before all workers have reported.
 
 use std::collections::BTreeSet;
 
