--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -71,7 +71,7 @@
             })
             .collect();
         let accounts = MAX_ACCOUNTS.min(workers);
-        let terms = (0..accounts).map(|number| {
+        let account_events = (0..accounts).map(|number| {
             let (id, terms) = account(number, accounts);
             let account = id.as_str().into();
             Event::AccountChanged { account, terms }
@@ -84,7 +84,7 @@
             accounts,
             running: Vec::new(),
         };
-        cell.step(workers_up.into_iter().chain(terms).collect());
+        cell.step(workers_up.into_iter().chain(account_events).collect());
         let target = workers as u64 * 8 * 9 / 10;
         let mut used = 0;
         while used < target {
@@ -146,8 +146,8 @@
             events.push(Event::Submitted { spec });
         }
         if !self.running.is_empty() {
-            let at = self.rng.usize(0..self.running.len());
-            let (job, attempt) = self.running[at].clone();
+            let index = self.rng.usize(0..self.running.len());
+            let (job, attempt) = self.running[index].clone();
             events.push(Event::Completed { job, attempt });
         }
         self.step(events);
--- a/tests/it/doubt.rs
+++ b/tests/it/doubt.rs
@@ -1,4 +1,7 @@
 //! Quarantine and probation of workers on which runs fail.
+//!
+//! Guards against faulty workers that get new jobs, and against workers that are
+//! blamed for a job that fails everywhere.
 
 use std::time::Duration;
 
@@ -13,8 +16,8 @@
     &[("w1", "r1"), ("w2", "r1"), ("w3", "r1")];
 
 /// Ends all runs of a job on a worker.
-fn end(site: &mut Site, worker: usize, id: &str, how: RunOutcome) {
-    site.workers[worker].end(how, |r| &*r.task.job == id);
+fn end(site: &mut Site, worker: usize, id: &str, outcome: RunOutcome) {
+    site.workers[worker].end(outcome, |r| &*r.task.job == id);
 }
 
 #[test]
--- a/tests/it/graph.rs
+++ b/tests/it/graph.rs
@@ -120,7 +120,7 @@
     /// Ends the runs for which `matches` returns true.
     pub fn end(
         &mut self,
-        how: RunOutcome,
+        outcome: RunOutcome,
         matches: impl Fn(&Running) -> bool,
     ) {
         let (ended, remaining) =
@@ -133,7 +133,7 @@
                 number: self.last_end,
                 task: running.task,
                 run: running.run,
-                how,
+                how: outcome,
                 saved: String::new(),
             });
         }
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Advances both clocks; nobody reports meanwhile.
+    /// Advances both clocks without reports.
     pub fn advance(&mut self, time: Duration) {
         self.now.monotonic += time;
         self.now.wall += time;
@@ -229,8 +229,8 @@
     /// nothing changes any more.
     pub fn settle(&mut self) {
         for _ in 0..6 {
-            for at in 0..self.workers.len() {
-                let report = self.workers[at].report();
+            for index in 0..self.workers.len() {
+                let report = self.workers[index].report();
                 self.scheduler.apply_report(report, self.now);
             }
             self.schedule();
@@ -276,7 +276,7 @@
 }
 
 /// Returns a step whose tasks are declared as 5 s long, each on one core. A
-/// gang is slow outside one rack.
+/// gang runs slower unless all its tasks are in one rack.
 pub fn step(replicas: u32, accelerators: i64, gang: bool) -> Step {
     Step {
         replicas,
@@ -288,7 +288,7 @@
     }
 }
 
-/// Returns a job that is accepted now and may fail three times.
+/// Returns a job that is accepted now and has failed after three failed runs.
 pub fn job(id: &str, priority: u32, steps: Vec<Step>, site: &Site) -> Job {
     Job {
         id: id.into(),
@@ -480,8 +480,8 @@
     let mut site = Site::new(&[("w1", "r1"), ("w2", "r2")]);
     site.submit(job("j", 1, vec![step(1, 1, false)], &site));
     site.settle();
-    let on = usize::from(site.workers[0].running.is_empty());
-    let mut silent = site.workers.remove(on);
+    let busy = usize::from(site.workers[0].running.is_empty());
+    let mut silent = site.workers.remove(busy);
     // The leases last 12.8 s; then the unit is placed again at once.
     for second in 1..=15 {
         site.advance(Duration::from_secs(1));
@@ -565,8 +565,8 @@
     site.settle();
     // The first worker stays busy; two reserved and two other workers become
     // free.
-    for at in 1..5 {
-        site.workers[at].end(RunOutcome::Done, |_| true);
+    for index in 1..5 {
+        site.workers[index].end(RunOutcome::Done, |_| true);
     }
     site.settle();
     assert_eq!(site.running("b"), 3);
