--- a/crates/landingvalve-experiment/src/compare.rs
+++ b/crates/landingvalve-experiment/src/compare.rs
@@ -23,10 +23,10 @@
 
 impl Mean {
     /// Returns the mean of samples.
-    pub fn of(figures: &[f64]) -> Mean {
-        let count = figures.len().max(1) as f64;
-        let mean = figures.iter().sum::<f64>() / count;
-        let squares = figures.iter().map(|f| (f - mean).powi(2));
+    pub fn of(samples: &[f64]) -> Mean {
+        let count = samples.len().max(1) as f64;
+        let mean = samples.iter().sum::<f64>() / count;
+        let squares = samples.iter().map(|f| (f - mean).powi(2));
         let variance = squares.sum::<f64>() / (count - 1.0).max(1.0);
         Mean {
             mean,
@@ -68,23 +68,23 @@
     results.into_inner().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Returns the mean of a figure's difference between another policy and the
+/// Returns the mean of a metric's difference between another policy and the
 /// first one, over the same days.
 pub fn difference(
     days: &[Vec<Score>],
     other: usize,
-    figure: impl Fn(&Score) -> f64,
+    metric: impl Fn(&Score) -> f64,
 ) -> Mean {
-    let each = days.iter().map(|day| figure(&day[other]) - figure(&day[0]));
-    Mean::of(&each.collect::<Vec<f64>>())
+    let values = days.iter().map(|day| metric(&day[other]) - metric(&day[0]));
+    Mean::of(&values.collect::<Vec<f64>>())
 }
 
-/// Returns the mean of a figure under a policy, over all days.
+/// Returns the mean of a metric under a policy, over all days.
 pub fn mean(
     days: &[Vec<Score>],
     policy: usize,
-    figure: impl Fn(&Score) -> f64,
+    metric: impl Fn(&Score) -> f64,
 ) -> Mean {
-    let each = days.iter().map(|day| figure(&day[policy]));
-    Mean::of(&each.collect::<Vec<f64>>())
+    let values = days.iter().map(|day| metric(&day[policy]));
+    Mean::of(&values.collect::<Vec<f64>>())
 }
--- a/crates/landingvalve-experiment/src/day.rs
+++ b/crates/landingvalve-experiment/src/day.rs
@@ -9,10 +9,11 @@
 use crate::load::Load;
 use crate::load::Queue;
 
-/// Range of the random shift of a pattern's start, in seconds.
+/// Twice the largest shift of a pattern's start in either direction, in
+/// seconds.
 const PATTERN_SHIFT_RANGE_S: f64 = 4.0;
-/// Range of the random change of a burst's strength, as a share of the
-/// strength.
+/// Twice the largest change of a burst's strength in either direction, as a
+/// share of the strength.
 const BURST_CHANGE_RANGE: f64 = 0.25;
 
 /// Mask that turns a day's seed into the seed of its accounts.
@@ -84,8 +85,10 @@
                     let (from, strength) = *start;
                     let on = now >= from && now < from + pattern.duration_s;
                     match &pattern.kind {
-                        Kind::Burst(of, times) if *of == queue.name && on => {
-                            Some(times * strength)
+                        Kind::Burst(name, factor)
+                            if *name == queue.name && on =>
+                        {
+                            Some(factor * strength)
                         }
                         _ => None,
                     }
@@ -104,8 +107,8 @@
             }
         }
         arrivals.sort_by_key(|arrival| arrival.at);
-        // Accounts have a generator of their own, so that a seed's day does
-        // not depend on them.
+        // A separate generator draws the accounts, so that a seed gives the
+        // same jobs and incidents for any number of accounts.
         let mut accounts = Rng::with_seed(seed ^ ACCOUNT_SEED_MASK);
         for arrival in &mut arrivals {
             arrival.account = accounts.usize(..load.accounts.count);
@@ -126,7 +129,7 @@
 ) -> Arrival {
     let width = draw_log_normal(queue.width, random).round().max(1.0) as u32;
     let work = draw_log_normal(queue.run_s, random).max(0.05);
-    let offset = (queue.declared_error * normal(random)).exp();
+    let declared_ratio = (queue.declared_error * normal(random)).exp();
     let mut failures = 0;
     while random.f64() < queue.failure_share {
         failures += 1;
@@ -140,7 +143,7 @@
         accelerators: queue.accelerators[pick],
         same_rack: queue.gang && random.f64() < queue.same_rack_share,
         work: Duration::from_secs_f64(work),
-        declared: Duration::from_secs_f64(work * offset),
+        declared: Duration::from_secs_f64(work * declared_ratio),
         checkpoints: random.f64() < queue.checkpoint_share,
         failures,
     }
--- a/crates/landingvalve-experiment/src/fleet.rs
+++ b/crates/landingvalve-experiment/src/fleet.rs
@@ -47,7 +47,7 @@
     pub agent: String,
     /// Name of the worker's rack.
     pub rack: String,
-    /// Speed, relative to the workers that the work of tasks is given for.
+    /// Speed; the work of tasks is stated for a worker of speed 1.
     pub speed: f64,
     /// Number of births so far.
     pub births: u32,
@@ -117,7 +117,7 @@
     }
 
     /// Carries out a start, unless the run is barred or the task is already
-    /// present. Returns whether it did.
+    /// present. Returns whether the run was started.
     pub fn start(
         &mut self,
         start: &Start,
@@ -128,7 +128,7 @@
         if self.running.contains_key(&start.task) || start.run <= barred {
             return false;
         }
-        let work = Execution {
+        let execution = Execution {
             run: start.run,
             charge: start.charge,
             work_start: None,
@@ -136,7 +136,7 @@
             started: now,
             stopping: false,
         };
-        self.running.insert(start.task.clone(), work);
+        self.running.insert(start.task.clone(), execution);
         true
     }
 
@@ -174,26 +174,26 @@
         let barred = self.barred.entry(task.clone()).or_default();
         *barred = (*barred).max(run);
         let here = self.running.get(task);
-        here.is_some_and(|work| work.run <= run)
+        here.is_some_and(|execution| execution.run <= run)
     }
 
     /// Ends a task and returns its run, or `None` if the task is not present.
     pub fn finish(
         &mut self,
         task: &Task,
-        how: RunOutcome,
+        outcome: RunOutcome,
     ) -> Option<Execution> {
-        let work = self.running.remove(task)?;
-        self.bar(task, work.run);
+        let execution = self.running.remove(task)?;
+        self.bar(task, execution.run);
         self.last_end += 1;
         self.ended.push(Ended {
             number: self.last_end,
             task: task.clone(),
-            run: work.run,
-            how,
+            run: execution.run,
+            how: outcome,
             saved: String::new(),
         });
-        Some(work)
+        Some(execution)
     }
 
     /// Forgets the ends up to the number that the planner has acknowledged.
@@ -209,13 +209,13 @@
     /// Returns the next report of the worker's agent.
     pub fn report(&mut self, now: Time) -> Report {
         self.sequence += 1;
-        let running = self.running.iter().map(|(task, work)| Running {
+        let running = self.running.iter().map(|(task, execution)| Running {
             task: task.clone(),
-            run: work.run,
+            run: execution.run,
             saved: String::new(),
             pace: 100.0,
             load: Some(
-                f64::from(u8::from(work.work_start.is_some())) * 1000.0,
+                f64::from(u8::from(execution.work_start.is_some())) * 1000.0,
             ),
         });
         let left = self.leaves_at.map(|at| at.saturating_sub(now));
--- a/crates/landingvalve-experiment/src/lib.rs
+++ b/crates/landingvalve-experiment/src/lib.rs
@@ -3,10 +3,10 @@
 //!
 //! A [`load`] file describes the kinds of jobs, the fleet and the incidents. A
 //! [`day`] is drawn from a load by a seed; [`simulation`] runs it on a virtual
-//! virtual clock with [`landingvalve::graph::Scheduler`] and workers that do what
-//! orders; [`score`] measures how well callers were served. [`compare`]
-//! simulates the same days under several policies and reports the mean
-//! differences with their standard errors.
+//! clock with [`landingvalve::graph::Scheduler`] and simulated workers that
+//! carry out its orders; [`score`] measures how well callers were served.
+//! [`compare`] simulates the same days under several policies and reports the
+//! mean differences with their standard errors.
 //!
 //! Entries, faults of the store, unresponsive agents and births are not
 //! simulated here but by `landingvalve-sim`. Without them thousands of days
--- a/crates/landingvalve-experiment/src/load.rs
+++ b/crates/landingvalve-experiment/src/load.rs
@@ -253,7 +253,7 @@
             fleet: read_fleet(&section("fleet"))?,
             accounts: match ini.section(Some("accounts")) {
                 Some(_) => read_accounts(&section("accounts"))?,
-                None => ONE_ACCOUNT,
+                None => DEFAULT_ACCOUNTS,
             },
             queues,
             patterns,
@@ -274,8 +274,9 @@
     })
 }
 
-/// Accounts of a load without accounts: a single one without a guarantee.
-const ONE_ACCOUNT: Accounts = Accounts {
+/// Accounts of a load file without an `[accounts]` section: a single account
+/// without a guarantee.
+const DEFAULT_ACCOUNTS: Accounts = Accounts {
     count: 1,
     guaranteed_share: 0.0,
     reclaim_time: Duration::from_secs(600),
--- a/crates/landingvalve-experiment/src/main.rs
+++ b/crates/landingvalve-experiment/src/main.rs
@@ -47,8 +47,8 @@
     let days =
         compare::scores(&load, &policies, args.seed, args.days, args.threads);
     let took = start.elapsed().as_secs_f64();
-    let plays = (args.days * policies.len()).max(1) as f64;
-    let each = took * args.threads as f64 / plays;
+    let simulations = (args.days * policies.len()).max(1) as f64;
+    let each = took * args.threads as f64 / simulations;
     println!(
         "{} days under {} ways in {took:.1} s, {each:.2} s a play and thread",
         args.days,
--- a/crates/landingvalve-experiment/src/score.rs
+++ b/crates/landingvalve-experiment/src/score.rs
@@ -43,7 +43,7 @@
     /// Number of urgent jobs that were within their account's guarantee at the
     /// time by which they must have begun, with no incident shortly before.
     pub guaranteed: u32,
-    /// Names of those of them that had not begun by then.
+    /// Ids of the jobs counted in `guaranteed` that had not begun by then.
     pub missed: Vec<String>,
 }
 
--- a/crates/landingvalve-experiment/src/simulation.rs
+++ b/crates/landingvalve-experiment/src/simulation.rs
@@ -119,7 +119,7 @@
         monotonic: Instant::now(),
         wall: SystemTime::UNIX_EPOCH + Duration::from_secs(1 << 30),
     };
-    let terms = Options {
+    let options = Options {
         policy,
         far_slowdown: CROSS_RACK_SLOWDOWN,
         stop_time: load.fleet.stop_time,
@@ -132,7 +132,7 @@
     let mut simulation = Simulation {
         load,
         day,
-        scheduler: Scheduler::new(terms, start),
+        scheduler: Scheduler::new(options, start),
         workers,
         events: BinaryHeap::new(),
         event_count: 0,
@@ -185,28 +185,28 @@
         for (number, arrival) in self.day.arrivals.iter().enumerate() {
             self.schedule(arrival.at, Event::JobArrives(number));
         }
-        for (number, (at, ..)) in self.day.incidents.iter().enumerate() {
-            self.schedule(*at, Event::Incident(number));
+        for (number, (time, ..)) in self.day.incidents.iter().enumerate() {
+            self.schedule(*time, Event::Incident(number));
         }
         self.schedule(TICK_INTERVAL, Event::Tick);
         let end = Duration::from_secs_f64(self.load.seconds) + DRAIN_TIME;
         self.run_planner(true);
-        while let Some(Reverse((at, ..))) = self.events.peek() {
-            if *at >= end {
+        while let Some(Reverse((time, ..))) = self.events.peek() {
+            if *time >= end {
                 break;
             }
-            let steps = at.as_nanos().div_ceil(TIME_STEP.as_nanos()) as u32;
+            let steps = time.as_nanos().div_ceil(TIME_STEP.as_nanos()) as u32;
             self.now = (TIME_STEP * steps).max(self.now);
-            let mut ticks = false;
-            while let Some(Reverse((at, _, event))) = self.events.pop() {
-                if at > self.now {
-                    self.schedule(at, event);
+            let mut tick_due = false;
+            while let Some(Reverse((time, _, event))) = self.events.pop() {
+                if time > self.now {
+                    self.schedule(time, event);
                     break;
                 }
-                ticks |= event == Event::Tick;
+                tick_due |= event == Event::Tick;
                 self.handle(event);
             }
-            self.run_planner(ticks);
+            self.run_planner(tick_due);
         }
     }
 
@@ -246,13 +246,13 @@
 
     /// Delivers due reports, runs a scheduling pass and sends changed orders
     /// to the workers.
-    fn run_planner(&mut self, ticks: bool) {
+    fn run_planner(&mut self, tick_due: bool) {
         let timestamp = self.timestamp();
         for worker in std::mem::take(&mut self.due_reports) {
             let report = self.workers[worker].report(self.now);
             self.scheduler.apply_report(report, timestamp);
         }
-        if ticks || self.scheduler.is_changed() {
+        if tick_due || self.scheduler.is_changed() {
             self.scheduler.run_pass(timestamp);
             for agent in self.scheduler.take_inquiries() {
                 let sent = timestamp.monotonic;
@@ -377,9 +377,9 @@
     }
 
     fn lose_worker(&mut self, worker: usize, until: Time) {
-        for (task, work) in self.workers[worker].take_down(until) {
-            self.record_waste(&task, &work, worker);
-            self.end_gang(&task, work.run, RunOutcome::Broken);
+        for (task, execution) in self.workers[worker].take_down(until) {
+            self.record_waste(&task, &execution, worker);
+            self.end_gang(&task, execution.run, RunOutcome::Broken);
         }
         self.due_reports.insert(worker);
     }
@@ -389,18 +389,22 @@
             return;
         }
         let life = self.workers[worker].life();
-        if orders.life.as_ref().is_some_and(|of| **of != *life) {
+        if orders
+            .life
+            .as_ref()
+            .is_some_and(|addressed| **addressed != *life)
+        {
             return;
         }
         self.workers[worker].acknowledge(orders.noted);
         self.workers[worker].forget_refused(orders);
         for stop in &orders.stops {
             let here = self.workers[worker].bar(&stop.task, stop.run);
-            let work = self.workers[worker].running.get_mut(&stop.task);
-            match work {
-                Some(work) if here && !work.stopping => {
-                    work.stopping = true;
-                    let run = work.run;
+            let execution = self.workers[worker].running.get_mut(&stop.task);
+            match execution {
+                Some(execution) if here && !execution.stopping => {
+                    execution.stopping = true;
+                    let run = execution.run;
                     let duration = self.load.fleet.stop_time;
                     let duration =
                         duration.mul_f64(0.5 + self.random.f64() / 2.0);
@@ -439,9 +443,9 @@
     /// the task alone otherwise.
     fn members(&self, task: &Task, run: Run) -> Vec<(usize, Task)> {
         let gang = self.is_gang(task);
-        let same = |other: &Task, work: &Execution| {
+        let same = |other: &Task, execution: &Execution| {
             let one = gang || other.index == task.index;
-            other.job == task.job && work.run == run && one
+            other.job == task.job && execution.run == run && one
         };
         let mut members = Vec::new();
         for (at, worker) in self.workers.iter().enumerate() {
@@ -486,11 +490,12 @@
             .any(|(at, _)| self.now < self.workers[*at].fails_until);
         let work = state.arrival.work;
         for (at, task) in members {
-            let Some(here) = self.workers[at].running.get_mut(&task) else {
+            let Some(execution) = self.workers[at].running.get_mut(&task)
+            else {
                 continue;
             };
-            here.work_start = Some(self.now);
-            let left = work.saturating_sub(here.saved).mul_f64(slowdown);
+            execution.work_start = Some(self.now);
+            let left = work.saturating_sub(execution.saved).mul_f64(slowdown);
             let (duration, ending) = match (on_failing_worker, job_fails) {
                 (true, _) => (left.mul_f64(0.1), Ending::Failed),
                 (_, true) => (left.mul_f64(0.5), Ending::Failed),
@@ -511,18 +516,20 @@
         ending: Ending,
     ) {
         let here = self.workers[worker].running.get(task);
-        let Some(work) = here.filter(|work| work.run == run).cloned() else {
+        let Some(execution) =
+            here.filter(|execution| execution.run == run).cloned()
+        else {
             return;
         };
-        let how = match ending {
+        let outcome = match ending {
             Ending::Done => RunOutcome::Done,
             Ending::Failed => RunOutcome::Failed,
             Ending::Stopped => RunOutcome::Stopped,
         };
-        self.workers[worker].finish(task, how);
+        self.workers[worker].finish(task, outcome);
         self.schedule(self.now + MESSAGE_TIME, Event::ReportDue(worker));
         if ending != Ending::Done {
-            self.record_waste(task, &work, worker);
+            self.record_waste(task, &execution, worker);
         }
         if ending == Ending::Failed {
             if let Some(state) = self.jobs.get_mut(&task.job) {
@@ -538,39 +545,45 @@
 
     /// Ends the remaining members of a gang's run; does nothing for other
     /// tasks.
-    fn end_gang(&mut self, task: &Task, run: Run, how: RunOutcome) {
+    fn end_gang(&mut self, task: &Task, run: Run, outcome: RunOutcome) {
         if !self.is_gang(task) {
             return;
         }
         for (at, member) in self.members(task, run) {
-            if let Some(work) = self.workers[at].finish(&member, how) {
-                if how != RunOutcome::Done {
-                    self.record_waste(&member, &work, at);
+            if let Some(execution) = self.workers[at].finish(&member, outcome)
+            {
+                if outcome != RunOutcome::Done {
+                    self.record_waste(&member, &execution, at);
                 }
                 self.schedule(self.now + MESSAGE_TIME, Event::ReportDue(at));
             }
         }
     }
 
-    /// Counts the work of a run that is lost, and saves the rest if the job
-    /// keeps checkpoints.
-    fn record_waste(&mut self, task: &Task, work: &Execution, worker: usize) {
-        let cores = work.charge.cpu as f64 / 1000.0
-            + work.charge.accelerators as f64 * CORES_PER_ACCELERATOR;
-        let start = work.work_start.unwrap_or(work.started);
+    /// Counts the lost work of a run as wasted, and saves the rest if the job
+    /// saves checkpoints.
+    fn record_waste(
+        &mut self,
+        task: &Task,
+        execution: &Execution,
+        worker: usize,
+    ) {
+        let cores = execution.charge.cpu as f64 / 1000.0
+            + execution.charge.accelerators as f64 * CORES_PER_ACCELERATOR;
+        let start = execution.work_start.unwrap_or(execution.started);
         let ran = self.now.saturating_sub(start);
         let speed = self.workers[worker].speed;
         let Some(state) = self.jobs.get_mut(&task.job) else {
             return;
         };
         let mut lost = ran;
-        if state.arrival.checkpoints && work.work_start.is_some() {
+        if state.arrival.checkpoints && execution.work_start.is_some() {
             let checkpoints =
                 ran.as_millis() / CHECKPOINT_INTERVAL.as_millis();
             let kept = CHECKPOINT_INTERVAL * checkpoints as u32;
             lost = ran - kept;
             let saved = state.saved.entry(task.clone()).or_default();
-            *saved = work.saved + kept.mul_f64(speed);
+            *saved = execution.saved + kept.mul_f64(speed);
         }
         self.wasted += cores * lost.as_secs_f64();
     }
--- a/crates/landingvalve-sim/src/day.rs
+++ b/crates/landingvalve-sim/src/day.rs
@@ -64,7 +64,7 @@
     pub jobs: usize,
     /// Duration of the first part of the day, in which faults begin and over
     /// which the jobs are spread.
-    pub faults: Duration,
+    pub fault_duration: Duration,
 }
 
 impl Scenario {
@@ -76,7 +76,7 @@
             entries: 3,
             workers: 6,
             jobs: 40,
-            faults: Duration::from_secs(40),
+            fault_duration: Duration::from_secs(40),
         }
     }
 }
@@ -146,7 +146,7 @@
     agents: Vec<Agent>,
     jobs: BTreeMap<JobId, (Job, Duration)>,
     faults: BTreeMap<&'static str, u32>,
-    /// Active faults with the time at which each ends.
+    /// Actions that end the active faults, with the time of each.
     pending_undos: Vec<(Instant, Undo)>,
     callers: Vec<JoinHandle<()>>,
     start: Instant,
@@ -155,12 +155,19 @@
 /// Action that ends a fault. Its `Debug` text is part of the timeline.
 #[derive(Clone, Copy, Debug)]
 enum Undo {
+    /// Restarts an entry.
     Entry(usize),
+    /// Restarts an agent.
     Agent(usize),
+    /// Restarts a worker that is down.
     Up(usize),
+    /// Clears the faults of a worker.
     Worker(usize),
+    /// Clears the faults of the store.
     Store,
+    /// Reconnects a machine with the other processes.
     Cut(usize),
+    /// Reconnects a machine with the store.
     Part(usize),
 }
 
@@ -213,8 +220,9 @@
         for at in 0..self.agents.len() {
             self.start_agent(at);
         }
-        let faults_end = self.start + self.scenario.faults;
-        let every = self.scenario.faults / (self.scenario.jobs as u32 + 1);
+        let faults_end = self.start + self.scenario.fault_duration;
+        let submit_interval =
+            self.scenario.fault_duration / (self.scenario.jobs as u32 + 1);
         let mut next_job = self.start + Duration::from_secs(3);
         let mut next_fault = self.start + Duration::from_secs(4);
         let mut next_heartbeat = self.start;
@@ -230,7 +238,7 @@
             }
             self.end_due_faults(now);
             if now >= next_job && submitted < self.scenario.jobs {
-                next_job = now + every;
+                next_job = now + submit_interval;
                 self.submit_job(submitted);
                 submitted += 1;
             }
@@ -260,13 +268,13 @@
         let process = self.network.start(at);
         let address = format!("entry-{at}-{process}");
         let name = format!("entry-{at}");
-        let dial = self.network.connector(process);
-        let peers = Peers::new(&name, dial, log::none());
+        let connector = self.network.connector(process);
+        let peers = Peers::new(&name, connector, log::none());
         let direct = self.store.client(&self.network, process);
         let store = Relay::new(direct, peers.clone(), log::none());
         let host = Host::new().with_proxy(Arc::new(store.clone()));
         self.network.listen(&address, process, host.clone());
-        let named = peers.follow(store.clone(), address.clone());
+        let following = peers.follow(store.clone(), address.clone());
         let session = Session {
             store: store.clone(),
             holder: Holder {
@@ -285,7 +293,7 @@
         // orderly way.
         let (stop, stopped) = watch::channel(false);
         let task = tokio::spawn(async move {
-            tokio::join!(session.run(stopped), named);
+            tokio::join!(session.run(stopped), following);
             drop(stop);
         });
         self.entries[at] = Some(Program { process, task });
@@ -362,13 +370,13 @@
                 work,
             ));
         }
-        for (task, run, how) in ended_gangs {
-            let how = match how {
-                landingvalve::graph::RunOutcome::Done => how,
+        for (task, run, outcome) in ended_gangs {
+            let outcome = match outcome {
+                landingvalve::graph::RunOutcome::Done => outcome,
                 _ => landingvalve::graph::RunOutcome::Broken,
             };
             for agent in &self.agents {
-                agent.endpoint.end_gang(&task, run, how);
+                agent.endpoint.end_gang(&task, run, outcome);
             }
         }
         self.schedule_restarts();
@@ -378,12 +386,12 @@
     fn schedule_restarts(&mut self) {
         let now = Instant::now();
         for at in 0..self.agents.len() {
-            let back = |(_, undo): &(Instant, Undo)| matches!(undo, Undo::Up(other) if *other == at);
-            let waits = self.pending_undos.iter().any(back);
-            if !self.agents[at].endpoint.is_up() && !waits {
+            let is_restart = |(_, undo): &(Instant, Undo)| matches!(undo, Undo::Up(other) if *other == at);
+            let is_scheduled = self.pending_undos.iter().any(is_restart);
+            if !self.agents[at].endpoint.is_up() && !is_scheduled {
                 let ms = self.random.u64(..3000);
-                let then = now + Duration::from_millis(ms);
-                self.pending_undos.push((then, Undo::Up(at)));
+                let restart_at = now + Duration::from_millis(ms);
+                self.pending_undos.push((restart_at, Undo::Up(at)));
             }
         }
     }
@@ -427,7 +435,7 @@
         self.checker.record_submission(&job);
         let cancel = self.random.u32(..10) == 0;
         let cancel = cancel.then(|| self.random.u64(100..5000));
-        let until = self.start + self.scenario.faults + SETTLE_TIMEOUT;
+        let until = self.start + self.scenario.fault_duration + SETTLE_TIMEOUT;
         let caller = Caller {
             job,
             checker: self.checker.clone(),
@@ -491,50 +499,50 @@
         let machines = self.scenario.entries + self.scenario.workers;
         let machine = self.random.usize(..machines);
         let ms = self.random.u64(100..3000);
-        let (soon, long) = (ms, ms * 5);
+        let (short_ms, long_ms) = (ms, ms * 5);
         let (name, undo, ms) = match self.random.u32(..15) {
             0 | 1 => {
                 self.kill_entry(entry);
-                ("kill entry", Undo::Entry(entry), soon)
+                ("kill entry", Undo::Entry(entry), short_ms)
             }
             2 => {
                 self.kill_agent(worker);
-                ("kill agent", Undo::Agent(worker), soon)
+                ("kill agent", Undo::Agent(worker), short_ms)
             }
             3..=5 => {
                 self.agents[worker].endpoint.crash();
-                ("crash", Undo::Up(worker), soon)
+                ("crash", Undo::Up(worker), short_ms)
             }
             6 => {
                 for at in 0..self.entries.len() {
                     self.kill_entry(at);
-                    let later = now + Duration::from_millis(soon);
-                    self.pending_undos.push((later, Undo::Entry(at)));
+                    let restart_at = now + Duration::from_millis(short_ms);
+                    self.pending_undos.push((restart_at, Undo::Entry(at)));
                 }
                 for at in 0..self.agents.len() {
                     self.kill_agent(at);
-                    let later = now + Duration::from_millis(soon);
-                    self.pending_undos.push((later, Undo::Agent(at)));
+                    let restart_at = now + Duration::from_millis(short_ms);
+                    self.pending_undos.push((restart_at, Undo::Agent(at)));
                 }
-                ("kill all", Undo::Entry(0), soon)
+                ("kill all", Undo::Entry(0), short_ms)
             }
             7 => {
                 self.network.set_isolated(machine, true);
-                ("cut", Undo::Cut(machine), long)
+                ("cut", Undo::Cut(machine), long_ms)
             }
             8 => {
                 self.network.set_store_cut(machine, true);
-                ("part", Undo::Part(machine), long)
+                ("part", Undo::Part(machine), long_ms)
             }
             9..=11 => {
                 let (name, faults) = self.draw_store_fault();
                 self.store.set_faults(faults);
-                (name, Undo::Store, soon)
+                (name, Undo::Store, short_ms)
             }
             _ => {
                 let (name, faults) = self.draw_worker_fault();
                 self.agents[worker].endpoint.set_faults(faults);
-                (name, Undo::Worker(worker), long)
+                (name, Undo::Worker(worker), long_ms)
             }
         };
         *self.faults.entry(name).or_default() += 1;
@@ -646,8 +654,9 @@
                 .is_some_and(|after| accepted_at.elapsed() >= after)
             {
                 let cancelled = admission.cancel(&id, deadline);
-                let call = tokio::time::timeout(CALL_TIMEOUT, cancelled).await;
-                if let Ok(Ok(true)) = call {
+                let result =
+                    tokio::time::timeout(CALL_TIMEOUT, cancelled).await;
+                if let Ok(Ok(true)) = result {
                     self.checker.record_cancellation(&id);
                     self.cancel_after = None;
                 }
@@ -668,8 +677,9 @@
             if let Some(admission) = self.pick_admission() {
                 let deadline = Instant::now() + CALL_TIMEOUT;
                 let submitted = admission.submit(&self.job, deadline);
-                let call = tokio::time::timeout(CALL_TIMEOUT, submitted).await;
-                if let Ok(Submitted::Accepted) = call {
+                let result =
+                    tokio::time::timeout(CALL_TIMEOUT, submitted).await;
+                if let Ok(Submitted::Accepted) = result {
                     return true;
                 }
             }
--- a/crates/landingvalve-sim/src/invariants.rs
+++ b/crates/landingvalve-sim/src/invariants.rs
@@ -56,14 +56,15 @@
     acknowledged: BTreeSet<Task>,
     /// Tasks whose end as done an answer has listed.
     listed: BTreeSet<Task>,
-    /// Number of starts of such tasks.
+    /// Number of starts of tasks that were in `listed` already.
     repeated_starts: u64,
     /// Failed runs of each task.
     failed: BTreeMap<Task, BTreeSet<Run>>,
     /// Workers that went down under each task, and its starts since
     /// [`CRASH_LIMIT`] of them.
     crashes: BTreeMap<Task, (u32, u32)>,
-    /// Runs that are not counted, and the life of each.
+    /// Runs that began as [`When::LaterBirth`] and are not counted, each with
+    /// its life.
     uncounted: BTreeSet<(Key, String)>,
     /// Outcomes that callers have been shown.
     reported: BTreeMap<JobId, Outcome>,
@@ -152,19 +153,25 @@
         lives.push(life.to_owned());
     }
 
-    /// Records that a run ends; `how` is `None` if it is lost with its worker.
-    pub fn record_end(&self, key: &Key, life: &str, how: Option<RunOutcome>) {
+    /// Records that a run ends; `outcome` is `None` if the run is lost with its
+    /// worker.
+    pub fn record_end(
+        &self,
+        key: &Key,
+        life: &str,
+        outcome: Option<RunOutcome>,
+    ) {
         let mut data = lock(&self.0);
         let (task, run) = key;
-        data.record(format!("{task} run {run} ends on {life}: {how:?}"));
+        data.record(format!("{task} run {run} ends on {life}: {outcome:?}"));
         let uncounted = (key.clone(), life.to_owned());
-        if data.uncounted.remove(&uncounted) && how.is_none() {
+        if data.uncounted.remove(&uncounted) && outcome.is_none() {
             return;
         }
         if let Some(lives) = data.running.get_mut(task) {
             lives.retain(|other| other != life);
         }
-        match how {
+        match outcome {
             Some(RunOutcome::Done) => {
                 data.ended.insert(task.clone());
             }
@@ -180,11 +187,13 @@
     }
 
     /// Records that an answer lists the end of a run.
-    pub fn record_listing(&self, key: &Key, life: &str, how: RunOutcome) {
+    pub fn record_listing(&self, key: &Key, life: &str, outcome: RunOutcome) {
         let mut data = lock(&self.0);
         let (task, run) = key;
-        data.record(format!("{task} run {run} is listed by {life}: {how:?}"));
-        if how == RunOutcome::Done {
+        data.record(format!(
+            "{task} run {run} is listed by {life}: {outcome:?}"
+        ));
+        if outcome == RunOutcome::Done {
             data.listed.insert(task.clone());
         }
     }
@@ -252,10 +261,10 @@
 
 impl Data {
     fn record(&mut self, line: String) {
-        let at = self
+        let elapsed_ms = self
             .started
             .map_or(0, |started| started.elapsed().as_millis());
-        self.timeline.push(format!("{at:>7} {line}"));
+        self.timeline.push(format!("{elapsed_ms:>7} {line}"));
     }
 
     fn record_violation(&mut self, line: String) {
@@ -269,7 +278,11 @@
             return self
                 .record_violation(format!("UNASKED: {task} of no job"));
         };
-        if self.running.get(task).is_some_and(|on| !on.is_empty()) {
+        if self
+            .running
+            .get(task)
+            .is_some_and(|lives| !lives.is_empty())
+        {
             self.record_violation(format!(
                 "TWICE: {task} run {run} runs already"
             ));
@@ -283,8 +296,8 @@
             let belongs =
                 |done: &&Task| done.job == job.id && done.step == *step;
             let done = self.ended.iter().filter(belongs).count() as u32;
-            let whole = job.steps[*step].gang && done > 0;
-            if !whole && done < job.steps[*step].replicas {
+            let gang_done = job.steps[*step].gang && done > 0;
+            if !gang_done && done < job.steps[*step].replicas {
                 self.record_violation(format!(
                     "ORDER: {task} before step {step}"
                 ));
@@ -324,8 +337,8 @@
                     let done = self.ended.iter();
                     let done =
                         done.filter(|t| belongs(t) && t.step == at).count();
-                    let whole = step.gang && done > 0;
-                    if !whole && done < step.replicas as usize {
+                    let gang_done = step.gang && done > 0;
+                    if !gang_done && done < step.replicas as usize {
                         let line = format!("MIXED: {id} step {at}: {done}");
                         self.record_violation(line);
                     }
--- a/crates/landingvalve-sim/src/main.rs
+++ b/crates/landingvalve-sim/src/main.rs
@@ -44,20 +44,20 @@
 fn main() -> ExitCode {
     let args = Args::parse();
     let start = Instant::now();
-    let mut broken = 0;
+    let mut violating_days = 0;
     let mut faults: BTreeMap<&str, u32> = BTreeMap::new();
     let mut starts = 0;
-    let mut again = 0;
+    let mut repeated_starts = 0;
     for seed in args.seed..args.seed + args.days {
         let report = day::simulate(Scenario {
             seed,
             entries: args.entries,
             workers: args.workers,
             jobs: args.jobs,
-            faults: Duration::from_secs(args.seconds),
+            fault_duration: Duration::from_secs(args.seconds),
         });
         starts += report.starts;
-        again += report.repeated_starts;
+        repeated_starts += report.repeated_starts;
         for (name, count) in report.faults {
             *faults.entry(name).or_default() += count;
         }
@@ -67,7 +67,7 @@
         if report.violations.is_empty() {
             continue;
         }
-        broken += 1;
+        violating_days += 1;
         println!("seed {seed}: {:#?}", report.violations);
         if args.first {
             break;
@@ -75,12 +75,12 @@
     }
     let elapsed = start.elapsed();
     println!(
-        "{} days in {:.1} s, {starts} starts, {again} of them of what was \
-         listed as done, {broken} broke a promise, faults {faults:?}",
+        "{} days in {:.1} s, {starts} starts, {repeated_starts} of them of what was \
+         listed as done, {violating_days} broke a promise, faults {faults:?}",
         args.days,
         elapsed.as_secs_f64(),
     );
-    match broken {
+    match violating_days {
         0 => ExitCode::SUCCESS,
         _ => ExitCode::FAILURE,
     }
--- a/crates/landingvalve-sim/src/network.rs
+++ b/crates/landingvalve-sim/src/network.rs
@@ -26,7 +26,7 @@
 /// Time after which an attempt to connect to an unreachable address fails.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Identifies a process from its start to its end; never used again.
+/// Identifies a process from its start to its end; never reused.
 pub type ProcessId = u64;
 /// Identifies a machine, which keeps its number when its process restarts.
 pub type MachineId = usize;
@@ -113,13 +113,15 @@
         }
     }
 
-    /// Returns a process's way to open connections to other processes.
+    /// Returns the connector of a process, which opens its connections to
+    /// other processes.
     pub fn connector(&self, process: ProcessId) -> Arc<dyn Connector> {
         let network = self.clone();
         Arc::new(ProcessConnector { network, process })
     }
 
-    fn reach(&self, from: ProcessId, address: &str) -> Option<Host> {
+    /// Returns the host at an address if the process can reach it.
+    fn find_host(&self, from: ProcessId, address: &str) -> Option<Host> {
         let data = lock(&self.0);
         let (to, host) = data.hosts.get(address)?;
         let machines = [data.alive.get(&from)?, data.alive.get(to)?];
@@ -138,7 +140,7 @@
 impl Connector for ProcessConnector {
     async fn connect(&self, address: &str) -> Result<Arc<dyn Peer>, Error> {
         tokio::time::sleep(MESSAGE_TIME * 2).await;
-        match self.network.reach(self.process, address) {
+        match self.network.find_host(self.process, address) {
             Some(_) => Ok(Arc::new(Connection {
                 connector: self.clone(),
                 address: address.to_owned(),
@@ -161,7 +163,7 @@
     /// or dead, because such a machine does not even reset its connections.
     async fn host(&self) -> Host {
         let ProcessConnector { network, process } = &self.connector;
-        match network.reach(*process, &self.address) {
+        match network.find_host(*process, &self.address) {
             Some(host) => host,
             None => std::future::pending().await,
         }
--- a/crates/landingvalve-sim/src/store.rs
+++ b/crates/landingvalve-sim/src/store.rs
@@ -120,7 +120,8 @@
 
     fn end_lease(&mut self, lease: LeaseId) {
         self.leases.remove(&lease);
-        let attached = self.items.values().filter(|(_, on)| *on == lease);
+        let attached =
+            self.items.values().filter(|(_, held_by)| *held_by == lease);
         let keys: Vec<String> = attached.map(|(i, _)| i.key.clone()).collect();
         for key in keys {
             self.revision += 1;
@@ -154,11 +155,11 @@
             let items = items.map(|(item, _)| item.clone()).collect();
             return Ok(Swap::Refused(items));
         }
-        let on = |mutation: &Mutation| match mutation {
+        let lease_of = |mutation: &Mutation| match mutation {
             Mutation::Value(_, _, lease) if *lease != 0 => Some(*lease),
             _ => None,
         };
-        let mut leases = mutations.iter().filter_map(on);
+        let mut leases = mutations.iter().filter_map(lease_of);
         if leases.any(|lease| !self.leases.contains_key(&lease)) {
             return Err(Error::Unreached(connection_error("no such lease")));
         }
--- a/crates/landingvalve-sim/src/worker.rs
+++ b/crates/landingvalve-sim/src/worker.rs
@@ -173,8 +173,8 @@
     fn go_down(&self, data: &mut Data) {
         let life = data.life();
         self.checker.record(format!("{life} goes down"));
-        for (task, work) in std::mem::take(&mut data.running) {
-            let key = (task, work.run);
+        for (task, execution) in std::mem::take(&mut data.running) {
+            let key = (task, execution.run);
             self.checker.record_end(&key, &life, None);
         }
         // No process can learn of these ends: the tasks are reported as lost
@@ -244,12 +244,12 @@
     pub fn member_counts(&self) -> BTreeMap<(Task, Run), u32> {
         let data = lock(&self.data);
         let mut counts = BTreeMap::new();
-        for (task, work) in &data.running {
+        for (task, execution) in &data.running {
             let first = Task {
                 index: 0,
                 ..task.clone()
             };
-            *counts.entry((first, work.run)).or_default() += 1;
+            *counts.entry((first, execution.run)).or_default() += 1;
         }
         counts
     }
@@ -285,7 +285,7 @@
         }
         for (task, running) in &data.running {
             let gang = complete(task, running.run);
-            let how = match gang {
+            let outcome = match gang {
                 _ if lapsed => RunOutcome::Lapsed,
                 _ if running.stop_at.is_some_and(|at| now >= at) => {
                     RunOutcome::Stopped
@@ -301,13 +301,13 @@
                 _ if running.work_done >= work(task) => RunOutcome::Done,
                 _ => continue,
             };
-            finished.push((task.clone(), how));
+            finished.push((task.clone(), outcome));
             if gang.is_some() {
-                gangs.push((task.clone(), running.run, how));
+                gangs.push((task.clone(), running.run, outcome));
             }
         }
-        for (task, how) in finished {
-            self.finish(&mut data, &task, how);
+        for (task, outcome) in finished {
+            self.finish(&mut data, &task, outcome);
         }
         if lapsed {
             data.lapse_end = data.last_end;
@@ -316,34 +316,34 @@
     }
 
     /// Ends all members of a gang's run on this worker.
-    pub fn end_gang(&self, member: &Task, run: Run, how: RunOutcome) {
+    pub fn end_gang(&self, member: &Task, run: Run, outcome: RunOutcome) {
         let mut data = lock(&self.data);
-        let same = |task: &Task, work: &Execution| {
-            let key = (&task.job, task.time, task.step, work.run);
+        let same = |task: &Task, execution: &Execution| {
+            let key = (&task.job, task.time, task.step, execution.run);
             key == (&member.job, member.time, member.step, run)
         };
         let members = data.running.iter().filter(|(task, w)| same(task, w));
         let tasks: Vec<Task> = members.map(|(task, _)| task.clone()).collect();
         for task in tasks {
-            self.finish(&mut data, &task, how);
+            self.finish(&mut data, &task, outcome);
         }
     }
 
-    fn finish(&self, data: &mut Data, task: &Task, how: RunOutcome) {
-        let Some(work) = data.running.remove(task) else {
+    fn finish(&self, data: &mut Data, task: &Task, outcome: RunOutcome) {
+        let Some(execution) = data.running.remove(task) else {
             return;
         };
         data.last_end += 1;
-        let key = (task.clone(), work.run);
-        self.checker.record_end(&key, &data.life(), Some(how));
+        let key = (task.clone(), execution.run);
+        self.checker.record_end(&key, &data.life(), Some(outcome));
         let barred = data.barred.entry(task.clone()).or_default();
-        *barred = (*barred).max(work.run);
+        *barred = (*barred).max(execution.run);
         let number = data.last_end;
         data.ended.push(Ended {
             number,
             task: task.clone(),
-            run: work.run,
-            how,
+            run: execution.run,
+            how: outcome,
             saved: String::new(),
         });
     }
@@ -439,14 +439,18 @@
         data.extend_lease(expires);
         let key: Key = (start.task.clone(), start.run);
         let present = data.running.get(&start.task);
-        if present.is_some_and(|work| work.run == start.run) {
+        if present.is_some_and(|execution| execution.run == start.run) {
             return Ok(());
         }
         let barred = data.barred.get(&start.task).copied().unwrap_or(0);
         if start.run <= barred || present.is_some() {
             return Err(Error::Refused(Refusal::Barred));
         }
-        let used: i64 = data.running.values().map(|work| work.charge).sum();
+        let used: i64 = data
+            .running
+            .values()
+            .map(|execution| execution.charge)
+            .sum();
         let charge = start.charge.accelerators;
         if used + charge > ACCELERATORS {
             if data.checks_capacity {
@@ -455,7 +459,7 @@
             self.check_capacity(data, &key, charge, when);
         }
         self.checker.record_start(&key, &data.life(), when);
-        let work = Execution {
+        let execution = Execution {
             run: start.run,
             charge,
             work_done: Duration::ZERO,
@@ -463,7 +467,7 @@
             was_complete: false,
             stop_at: None,
         };
-        data.running.insert(start.task.clone(), work);
+        data.running.insert(start.task.clone(), execution);
         Ok(())
     }
 
@@ -472,11 +476,11 @@
     /// count.
     fn check_capacity(&self, data: &Data, key: &Key, charge: i64, when: When) {
         let life = data.life();
-        let counts = data.running.iter().filter(|(task, work)| {
-            let key = ((*task).clone(), work.run);
+        let counts = data.running.iter().filter(|(task, execution)| {
+            let key = ((*task).clone(), execution.run);
             !self.checker.is_uncounted(&key, &life)
         });
-        let used: i64 = counts.map(|(_, work)| work.charge).sum();
+        let used: i64 = counts.map(|(_, execution)| execution.charge).sum();
         if when != When::LaterBirth && used + charge > ACCELERATORS {
             let line = format!("LIMIT: {} takes {charge} to {used}", key.0);
             self.checker.record_violation(line);
@@ -485,9 +489,10 @@
 
     fn stop(&self, data: &mut Data, stop: &Stop) {
         let now = Instant::now();
-        if let Some(work) = data.running.get_mut(&stop.task) {
-            if work.run <= stop.run {
-                work.stop_at = work.stop_at.or(Some(now + STOP_TIME));
+        if let Some(execution) = data.running.get_mut(&stop.task) {
+            if execution.run <= stop.run {
+                execution.stop_at =
+                    execution.stop_at.or(Some(now + STOP_TIME));
             }
         }
         let barred = data.barred.entry(stop.task.clone()).or_default();
@@ -664,12 +669,12 @@
 
 impl Data {
     fn snapshot(&self) -> Snapshot {
-        let running = self.running.iter().map(|(task, work)| Running {
+        let running = self.running.iter().map(|(task, execution)| Running {
             task: task.clone(),
-            run: work.run,
+            run: execution.run,
             saved: String::new(),
             pace: 100.0,
-            load: Some(f64::from(u8::from(work.was_complete)) * 1000.0),
+            load: Some(f64::from(u8::from(execution.was_complete)) * 1000.0),
         });
         Snapshot {
             birth: self.life().birth(),
