--- a/src/cell/claim.rs
+++ b/src/cell/claim.rs
@@ -94,7 +94,7 @@
 
     /// Returns the condition, for writes, that the claim is still held.
     pub fn condition(&self) -> Compare {
-        Compare::Modified(keys::PLANNER.to_owned(), self.token)
+        Compare::Modified(keys::CLAIM.to_owned(), self.token)
     }
 
     /// Renews the claim once. Returns whether the claim may still be held.
@@ -139,19 +139,19 @@
     store: &impl Store,
     holder: &Holder,
 ) -> Result<Attempt, Error> {
-    let current = store.get(keys::PLANNER).await?;
+    let current = store.get(keys::CLAIM).await?;
     let condition = match &current {
-        None => Compare::Modified(keys::PLANNER.to_owned(), 0),
+        None => Compare::Modified(keys::CLAIM.to_owned(), 0),
         // The holder is an earlier run of this very process, which is over.
         Some(item) if is_earlier_run(item, holder) => {
-            Compare::Modified(keys::PLANNER.to_owned(), item.modified)
+            Compare::Modified(keys::CLAIM.to_owned(), item.modified)
         }
         Some(item) => return Ok(Attempt::Other(item.modified)),
     };
     let strongest = strongest(store).await?;
     if let Some(wait) = deferral(holder.cores, strongest) {
         tokio::time::sleep(wait).await;
-        let current = store.get(keys::PLANNER).await?;
+        let current = store.get(keys::CLAIM).await?;
         let other = current.filter(|item| !is_earlier_run(item, holder));
         if let Some(item) = other {
             return Ok(Attempt::Other(item.modified));
@@ -160,11 +160,10 @@
     let sent = BootInstant::now();
     let lease = store.grant(TTL).await?;
     let value = serde_json::to_vec(holder).unwrap_or_default();
-    let mut puts =
-        vec![Mutation::Value(keys::PLANNER.to_owned(), value, lease)];
+    let mut puts = vec![Mutation::Value(keys::CLAIM.to_owned(), value, lease)];
     if strongest.is_none_or(|cores| holder.cores > cores) {
         let value = holder.cores.to_string().into_bytes();
-        puts.push(Mutation::Value(keys::STRONGEST.to_owned(), value, 0));
+        puts.push(Mutation::Value(keys::STRONGEST_CORES.to_owned(), value, 0));
     }
     match store.swap(&[condition], puts).await {
         Ok(Swap::Written(token)) => {
@@ -180,7 +179,7 @@
 
 /// Returns the cores of the strongest process that has ever claimed.
 async fn strongest(store: &impl Store) -> Result<Option<f64>, Error> {
-    let item = store.get(keys::STRONGEST).await?;
+    let item = store.get(keys::STRONGEST_CORES).await?;
     let text = item.and_then(|item| String::from_utf8(item.value).ok());
     Ok(text.and_then(|text| text.parse().ok()))
 }
--- a/src/cell/inquiry.rs
+++ b/src/cell/inquiry.rs
@@ -24,7 +24,7 @@
 ) -> Option<(Vec<Report>, Instant)> {
     while claim.holds() {
         let sent = Instant::now();
-        match store.list(keys::REPORTS).await {
+        match store.list(keys::REPORT_PREFIX).await {
             Ok(listing) => {
                 let items = listing.items.iter();
                 let reports = items.filter_map(|item| decode(item, log));
--- a/src/cell/keys.rs
+++ b/src/cell/keys.rs
@@ -12,45 +12,45 @@
 //! | `lv/report/AGENT` | agents | ends are listed and no planner is reached |
 
 /// The key of the planner's claim.
-pub const PLANNER: &str = "lv/planner";
+pub const CLAIM: &str = "lv/planner";
 /// The key that holds the cores of the strongest process that has ever
 /// claimed.
-pub const STRONGEST: &str = "lv/strongest";
+pub const STRONGEST_CORES: &str = "lv/strongest";
 /// The prefix of the jobs and cancellations that entries write for the
 /// planner.
-pub const INTAKE: &str = "lv/in/";
+pub const INTAKE_PREFIX: &str = "lv/in/";
 /// The prefix of the jobs' progress, written by planners.
-pub const PROGRESS: &str = "lv/progress/";
+pub const PROGRESS_PREFIX: &str = "lv/progress/";
 
 /// The prefix of the reports that agents save while they reach no planner.
-pub const REPORTS: &str = "lv/report/";
+pub const REPORT_PREFIX: &str = "lv/report/";
 
 /// The prefix of the entries' registrations.
-pub const ENTRIES: &str = "lv/entry/";
+pub const ENTRY_PREFIX: &str = "lv/entry/";
 
 /// Returns the key of an entry's registration.
 pub fn entry(process: &str) -> String {
-    format!("{ENTRIES}{process}")
+    format!("{ENTRY_PREFIX}{process}")
 }
 
 /// Returns the key of an agent's saved report.
 pub fn report(agent: &str) -> String {
-    format!("{REPORTS}{agent}")
+    format!("{REPORT_PREFIX}{agent}")
 }
 
 /// Returns the key of an accepted job.
 pub fn job(id: &str) -> String {
-    format!("{INTAKE}{id}/job")
+    format!("{INTAKE_PREFIX}{id}/job")
 }
 
 /// Returns the key of a job's cancellation.
 pub fn cancel(id: &str) -> String {
-    format!("{INTAKE}{id}/cancel")
+    format!("{INTAKE_PREFIX}{id}/cancel")
 }
 
 /// Returns the key of a job's progress.
 pub fn progress(id: &str) -> String {
-    format!("{PROGRESS}{id}")
+    format!("{PROGRESS_PREFIX}{id}")
 }
 
 /// Returns the key prefix of a queue's waiting jobs.
@@ -72,9 +72,9 @@
     Cancel(&'a str),
 }
 
-/// Parses a key below [`INTAKE`].
+/// Parses a key below [`INTAKE_PREFIX`].
 pub fn intake(key: &str) -> Option<Intake<'_>> {
-    let (id, kind) = key.strip_prefix(INTAKE)?.split_once('/')?;
+    let (id, kind) = key.strip_prefix(INTAKE_PREFIX)?.split_once('/')?;
     match kind {
         "job" => Some(Intake::Job(id)),
         "cancel" => Some(Intake::Cancel(id)),
--- a/src/cell/member/link.rs
+++ b/src/cell/member/link.rs
@@ -78,7 +78,7 @@
     /// Looks up the holder of the claim, and the claim's revision.
     async fn holder(&self) -> (Option<Holder>, Revision) {
         loop {
-            let get = self.0.store.get(keys::PLANNER);
+            let get = self.0.store.get(keys::CLAIM);
             match tokio::time::timeout(STORE_TIMEOUT, get).await {
                 Ok(Ok(Some(item))) => return (decode(&item), item.modified),
                 Ok(Ok(None)) => return (None, 0),
@@ -96,7 +96,7 @@
         }
         loop {
             let changes =
-                self.0.store.changes(keys::PLANNER, revision, WATCH_WAIT);
+                self.0.store.changes(keys::CLAIM, revision, WATCH_WAIT);
             match tokio::time::timeout(WATCH_WAIT + STORE_TIMEOUT, changes)
                 .await
             {
--- a/src/cell/planner/mod.rs
+++ b/src/cell/planner/mod.rs
@@ -236,7 +236,7 @@
     }
 
     fn load_progress(&mut self, item: Item) {
-        let Some(id) = item.key.strip_prefix(keys::PROGRESS) else {
+        let Some(id) = item.key.strip_prefix(keys::PROGRESS_PREFIX) else {
             return;
         };
         match serde_json::from_slice::<Progress>(&item.value) {
--- a/src/cell/reachability.rs
+++ b/src/cell/reachability.rs
@@ -94,7 +94,7 @@
             + PROBE_INTERVAL
             + PROBE_INTERVAL.mul_f64(fastrand::f64());
         let probe =
-            tokio::time::timeout(PROBE_TIMEOUT, store.get(keys::PLANNER));
+            tokio::time::timeout(PROBE_TIMEOUT, store.get(keys::CLAIM));
         if let Ok(Ok(_)) = probe.await {
             self.set(true);
         }
--- a/src/cell/relay/direct.rs
+++ b/src/cell/relay/direct.rs
@@ -69,7 +69,7 @@
         loop {
             pause(PROBE_INTERVAL).await;
             let probe =
-                tokio::time::timeout(PROBE_TIMEOUT, store.get(keys::PLANNER));
+                tokio::time::timeout(PROBE_TIMEOUT, store.get(keys::CLAIM));
             if let Ok(Ok(_)) = probe.await {
                 break;
             }
--- a/src/cell/relay/peers.rs
+++ b/src/cell/relay/peers.rs
@@ -150,7 +150,7 @@
     }
 
     async fn refresh(&self, store: &impl Store) {
-        let listing = match store.list(keys::ENTRIES).await {
+        let listing = match store.list(keys::ENTRY_PREFIX).await {
             Ok(listing) => listing,
             Err(error) => {
                 slog::debug!(self.0.log,
--- a/src/cell/session.rs
+++ b/src/cell/session.rs
@@ -191,7 +191,7 @@
 
     /// Waits until the claim may be free.
     async fn wait_until_free(&self, revision: Revision) {
-        let changes = self.store.changes(keys::PLANNER, revision, WATCH_WAIT);
+        let changes = self.store.changes(keys::CLAIM, revision, WATCH_WAIT);
         if changes.await.is_err() {
             pause(RETRY_DELAY).await;
         }
@@ -255,8 +255,8 @@
         loop {
             // Accepted jobs are read last, because the watch continues from
             // their revision.
-            let progress = self.list(keys::PROGRESS).await;
-            let intake = self.list(keys::INTAKE).await;
+            let progress = self.list(keys::PROGRESS_PREFIX).await;
+            let intake = self.list(keys::INTAKE_PREFIX).await;
             match (progress, intake) {
                 (Some(progress), Some(intake)) => {
                     return Ok((progress, intake));
@@ -296,7 +296,8 @@
         let mut cursor = Cursor::new(after);
         loop {
             let after = cursor.after();
-            let changes = self.store.changes(keys::INTAKE, after, WATCH_WAIT);
+            let changes =
+                self.store.changes(keys::INTAKE_PREFIX, after, WATCH_WAIT);
             let message = match changes.await {
                 Ok(Changes { revision, changes }) => {
                     match changes.is_empty() {
@@ -306,7 +307,7 @@
                     Message::Changes(changes)
                 }
                 Err(Error::Forgotten(_)) => {
-                    match self.list(keys::INTAKE).await {
+                    match self.list(keys::INTAKE_PREFIX).await {
                         Some(listing) => {
                             slog::warn!(self.log,
                                 "planner: changes were missed, reading all";
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -21,7 +21,7 @@
 }
 
 /// The descriptions of all metrics.
-pub const ALL: &[Description] = &[
+pub const DESCRIPTIONS: &[Description] = &[
     describe("landingvalve_jobs_admitted", "Jobs taken in, by account."),
     describe("landingvalve_jobs_ended", "Jobs that ended, by outcome."),
     describe("landingvalve_starts", "Gangs that were started."),
@@ -120,9 +120,10 @@
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 120.0,
 ];
 
-/// Returns the help text of a metric, or `None` if it is not one of [`ALL`].
+/// Returns the help text of a metric, or `None` if it is not one of
+/// [`DESCRIPTIONS`].
 pub fn help(name: &str) -> Option<&'static str> {
-    let metric = ALL.iter().find(|metric| metric.name == name)?;
+    let metric = DESCRIPTIONS.iter().find(|metric| metric.name == name)?;
     Some(metric.help)
 }
 
@@ -130,7 +131,7 @@
     Description { name, help }
 }
 
-/// The instruments of the metrics in [`ALL`].
+/// The instruments of the metrics in [`DESCRIPTIONS`].
 pub struct Metrics {
     /// Jobs admitted.
     pub jobs_admitted: Counter<u64>,
--- a/tests/it/cell.rs
+++ b/tests/it/cell.rs
@@ -98,7 +98,7 @@
     /// Returns the holder of the planner's claim.
     pub fn claim_holder(&self) -> Option<Holder> {
         let data = self.lock();
-        let (item, _) = data.items.get(keys::PLANNER)?;
+        let (item, _) = data.items.get(keys::CLAIM)?;
         serde_json::from_slice(&item.value).ok()
     }
 
--- a/tests/it/ordered.rs
+++ b/tests/it/ordered.rs
@@ -67,9 +67,9 @@
             cores: 1.0,
         };
         let holder = serde_json::to_vec(&holder).expect("encodes");
-        let put = Mutation::Value(keys::PLANNER.to_owned(), holder, 0);
+        let put = Mutation::Value(keys::CLAIM.to_owned(), holder, 0);
         store.swap(&[], vec![put]).await.expect("is written");
-        let claim = store.get(keys::PLANNER).await.expect("answers");
+        let claim = store.get(keys::CLAIM).await.expect("answers");
         let planner = Planner::default();
         planner.lock().token = claim.expect("is there").modified;
         (planner, store)
--- a/tests/it/pages.rs
+++ b/tests/it/pages.rs
@@ -34,7 +34,7 @@
 
 #[test]
 fn every_metric_is_on_the_page() {
-    for about in metrics::ALL {
+    for about in metrics::DESCRIPTIONS {
         line(about.name);
     }
 }
