--- a/src/bin/landingvalve-replay.rs
+++ b/src/bin/landingvalve-replay.rs
@@ -33,7 +33,7 @@
     policy: Choice,
     /// The weight of keeping whole workers free against early completion, 0 to
     /// 1.
-    #[arg(long, default_value_t = 0.5, value_parser = weight)]
+    #[arg(long, default_value_t = 0.5, value_parser = parse_weight)]
     weight_fragmentation: f64,
     /// Print the report on one line instead of indented.
     #[arg(long)]
@@ -55,7 +55,7 @@
     Backfill,
 }
 
-fn weight(text: &str) -> Result<f64, String> {
+fn parse_weight(text: &str) -> Result<f64, String> {
     match text.parse::<f64>() {
         Ok(weight) if (0.0..=1.0).contains(&weight) => Ok(weight),
         _ => Err(format!("{text:?} is not a number from 0 to 1")),
--- a/src/cell/admission.rs
+++ b/src/cell/admission.rs
@@ -40,13 +40,13 @@
 /// time that an end takes from the worker through the planner into the store,
 /// with a margin.
 const END_WAIT: Duration = Duration::from_millis(120);
-/// The time beyond its wait that such a call may take.
+/// The time beyond [`END_WAIT`] that such a request may take.
 const END_SLACK: Duration = Duration::from_millis(100);
 /// The shortest wait that is worth a call.
 const MIN_WAIT: Duration = Duration::from_millis(10);
 /// How long an unanswered write is remembered: longer than a late write can
 /// take.
-const UNSURE_TTL: Duration = Duration::from_secs(60);
+const UNANSWERED_WRITE_TTL: Duration = Duration::from_secs(60);
 
 /// The outcome of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -330,7 +330,7 @@
         let now = Instant::now();
         let unsure = self.unsure.lock();
         let mut unsure = unsure.unwrap_or_else(PoisonError::into_inner);
-        unsure.retain(|_, since| now < *since + UNSURE_TTL);
+        unsure.retain(|_, since| now < *since + UNANSWERED_WRITE_TTL);
         unsure.insert(id.clone(), now);
     }
 }
--- a/src/cell/advice.rs
+++ b/src/cell/advice.rs
@@ -8,7 +8,7 @@
 
 /// The most questions that wait in the channel; the planner asks one at a
 /// time.
-const MAX_QUEUED: usize = 4;
+const MAX_QUEUED_REQUESTS: usize = 4;
 
 /// A question of the planner, and the channel for its answer. Dropping a
 /// request counts as no answer.
@@ -25,7 +25,7 @@
 
 /// Returns the two ends of a channel for questions.
 pub fn channel() -> (Sender, mpsc::Receiver<Request>) {
-    mpsc::channel(MAX_QUEUED)
+    mpsc::channel(MAX_QUEUED_REQUESTS)
 }
 
 /// Sends a question and returns the answer, if one comes.
--- a/src/cell/member/act.rs
+++ b/src/cell/member/act.rs
@@ -282,11 +282,14 @@
         }
     }
 
-    /// Bars the runs that were ordered in earlier births under the worker's
-    /// name, until all are barred or another life is here, however long this
-    /// one does not answer. Nothing of this birth is reported before. A start
-    /// without answer may still reach the later birth, which knows of no stop
-    /// and no fencing token.
+    /// Bars, in the worker's current birth, the runs that were ordered in
+    /// earlier births under the same name. A start that was not answered may
+    /// still reach this birth, which knows neither the stops nor the fencing
+    /// token of the earlier ones.
+    ///
+    /// Retries, however long the worker does not answer, until all of these
+    /// runs are barred or another life has taken the worker's place. Until
+    /// then nothing of this birth is reported.
     pub(super) async fn bar_late_runs(&self, life: &Life) {
         loop {
             let next = self.lock().next_late_run(life);
--- a/src/cell/member/save.rs
+++ b/src/cell/member/save.rs
@@ -27,7 +27,7 @@
 const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// The lease of a saved report: many times as long as a planner waits before
 /// its read, but limited, for an agent that is removed without a successor.
-const SAVED_TTL: Duration = Duration::from_secs(120);
+const SAVED_REPORT_TTL: Duration = Duration::from_secs(120);
 /// The share of the survival time without a planner after which ends are
 /// saved: longer than another process needs to claim.
 const UNREACHED_SHARE: f64 = 1.0 / 3.0;
@@ -80,7 +80,7 @@
                 return;
             }
         };
-        let lease = match self.0.store.grant(SAVED_TTL).await {
+        let lease = match self.0.store.grant(SAVED_REPORT_TTL).await {
             Ok(lease) => lease,
             Err(error) => {
                 slog::debug!(self.0.config.log,
--- a/src/cell/member/state.rs
+++ b/src/cell/member/state.rs
@@ -425,7 +425,8 @@
         (view.heartbeat.life == *life).then_some((call, key))
     }
 
-    /// Records that such a run is barred. Returns whether it was the last one.
+    /// Records that a run returned by [`Self::next_late_run`] is barred.
+    /// Returns whether it was the last one.
     pub fn mark_barred(&mut self, life: &Life, key: &Key) -> bool {
         let view = self.worker.as_mut();
         let view = view.filter(|view| view.heartbeat.life == *life);
--- a/src/cell/planner/mod.rs
+++ b/src/cell/planner/mod.rs
@@ -45,13 +45,13 @@
 pub const REPORT_HOLD: Duration = Duration::from_millis(1000);
 /// How often rules that depend on time are evaluated.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// The time from the start of a pass to the start of the next, as a multiple
-/// of the pass's duration. A planner on a machine with little CPU can then
-/// still answer agents in time; otherwise they would give up and reconnect, at
-/// an even higher cost.
-const REST_FACTOR: u32 = 4;
-/// The longest time from the start of a pass to the start of the next.
-const MAX_REST: Duration = Duration::from_millis(250);
+/// The least time from the start of a pass to the start of the next, as a
+/// multiple of the pass's duration. A planner on a machine with little CPU can
+/// then still answer agents in time; otherwise they would give up and
+/// reconnect, at an even higher cost.
+const PASS_INTERVAL_FACTOR: u32 = 4;
+/// The bound on that least time, however long a pass takes.
+const MAX_PASS_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A message to the planner.
 pub enum Message {
@@ -74,7 +74,7 @@
     /// Decide, write and answer, as far as each is due.
     Decide,
     /// A postponed pass may begin.
-    RestEnded,
+    PassDue,
     /// Rules that depend on time may be due.
     Tick,
 }
@@ -129,9 +129,9 @@
     /// Whether rules that depend on time are due.
     tick_due: bool,
     /// The time before which no pass begins.
-    rest_until: Instant,
-    /// Whether a pass is postponed until then.
-    resting: bool,
+    next_pass_at: Instant,
+    /// Whether a pass is postponed until `next_pass_at`.
+    is_pass_postponed: bool,
     waiting: BTreeMap<AgentId, Waiting>,
     /// Agents whose orders have changed while no report of theirs was waiting.
     due: BTreeSet<AgentId>,
@@ -171,11 +171,13 @@
         state: &mut State<S>,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            Message::Sync(report, reply) => state.sync(*report, reply),
-            Message::Changes(changes) => state.changes(changes),
-            Message::Listing(listing) => state.listing(listing),
-            Message::Written(written) => state.written(written),
-            Message::Removed(ids) => state.removed(&ids),
+            Message::Sync(report, reply) => {
+                state.handle_report(*report, reply)
+            }
+            Message::Changes(changes) => state.apply_changes(changes),
+            Message::Listing(listing) => state.apply_listing(listing),
+            Message::Written(written) => state.record_written(written),
+            Message::Removed(ids) => state.forget_removed(&ids),
             Message::SavedReports(agents, saved, sent) => {
                 state.apply_saved_reports(&agents, saved, sent);
             }
@@ -187,7 +189,7 @@
                     sent.into_std(),
                 );
             }
-            Message::RestEnded => state.resting = false,
+            Message::PassDue => state.is_pass_postponed = false,
             Message::Tick => state.tick(&myself),
             Message::Decide => {
                 state.decide(&myself);
@@ -219,8 +221,8 @@
             removing: false,
             deciding: false,
             tick_due: true,
-            rest_until: Instant::now(),
-            resting: false,
+            next_pass_at: Instant::now(),
+            is_pass_postponed: false,
             waiting: BTreeMap::new(),
             due: BTreeSet::new(),
             guarantees: BTreeMap::new(),
@@ -231,7 +233,7 @@
         for item in arguments.progress.items {
             state.load_progress(item);
         }
-        state.listing(arguments.intake);
+        state.apply_listing(arguments.intake);
         state
     }
 
@@ -255,12 +257,12 @@
         }
     }
 
-    fn listing(&mut self, listing: Listing) {
+    fn apply_listing(&mut self, listing: Listing) {
         let jobs = listing.items.into_iter().map(Change::Put).collect();
-        self.changes(jobs);
+        self.apply_changes(jobs);
     }
 
-    fn changes(&mut self, changes: Vec<Change>) {
+    fn apply_changes(&mut self, changes: Vec<Change>) {
         let now = Timestamp::now();
         let mut cancelled = Vec::new();
         for change in changes {
@@ -303,7 +305,7 @@
         }
     }
 
-    fn sync(&mut self, report: Report, reply: RpcReplyPort<Answer>) {
+    fn handle_report(&mut self, report: Report, reply: RpcReplyPort<Answer>) {
         let agent = report.agent.clone();
         if !self.claim.holds() {
             send_answer(&self.log, reply, Answer::NotPlanner);
@@ -330,7 +332,7 @@
         }
     }
 
-    fn written(&mut self, written: Result<Written, writer::Lost>) {
+    fn record_written(&mut self, written: Result<Written, writer::Lost>) {
         self.writing = false;
         let written = match written {
             Ok(written) => written,
@@ -350,7 +352,7 @@
         }
     }
 
-    fn removed(&mut self, ids: &[JobId]) {
+    fn forget_removed(&mut self, ids: &[JobId]) {
         self.removing = false;
         for id in ids {
             self.scheduler.forget_job(id);
@@ -371,7 +373,8 @@
     }
 
     fn is_pass_due(&self) -> bool {
-        !self.resting && (self.tick_due || self.scheduler.is_changed())
+        !self.is_pass_postponed
+            && (self.tick_due || self.scheduler.is_changed())
     }
 
     fn decide(&mut self, myself: &ActorRef<Message>) {
@@ -397,10 +400,10 @@
     /// if the last one was long and recent.
     fn run_pass(&mut self, myself: &ActorRef<Message>) {
         let began = Instant::now();
-        if began < self.rest_until {
-            self.resting = true;
-            let remaining = self.rest_until - began;
-            myself.send_after(remaining, || Message::RestEnded);
+        if began < self.next_pass_at {
+            self.is_pass_postponed = true;
+            let remaining = self.next_pass_at - began;
+            myself.send_after(remaining, || Message::PassDue);
             return;
         }
         self.tick_due = false;
@@ -420,7 +423,8 @@
         self.read_saved_reports(myself);
         let took = began.elapsed();
         metrics::get().step_seconds.record(took.as_secs_f64(), &[]);
-        self.rest_until = began + (took * REST_FACTOR).min(MAX_REST);
+        self.next_pass_at =
+            began + (took * PASS_INTERVAL_FACTOR).min(MAX_PASS_INTERVAL);
     }
 
     /// Answers the waiting reports of `agents`.
--- a/src/cell/relay/peers.rs
+++ b/src/cell/relay/peers.rs
@@ -29,7 +29,7 @@
 
 /// The most entries asked for one call. If a third of them are cut off as
 /// well, three are enough for all but one call in 27.
-const MAX_ASKED: usize = 3;
+const MAX_PEERS_PER_CALL: usize = 3;
 /// The longest that opening a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// The time for a peer's answer beyond the requested wait: a slow store's
@@ -47,7 +47,7 @@
 /// The longest time from the first registration to the first read of the
 /// entries. All processes of a site may have started together, so an earlier
 /// read could miss some, and one after [`RENEWAL_INTERVAL`] would be late.
-const FIRST_READ_DELAY: Duration = Duration::from_millis(1500);
+const MAX_FIRST_READ_DELAY: Duration = Duration::from_millis(1500);
 /// The delay before a failed call is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
@@ -108,7 +108,7 @@
     /// up to date. Never returns.
     pub async fn follow(self, store: impl Store, address: String) {
         let mut lease = None;
-        let mut wait = FIRST_READ_DELAY;
+        let mut wait = MAX_FIRST_READ_DELAY;
         loop {
             match self.register(&store, &address, lease).await {
                 Ok(registered) => {
@@ -225,7 +225,7 @@
         if let Some(last) = &state.last_answered {
             others.sort_by_key(|address| address != last);
         }
-        others.truncate(MAX_ASKED);
+        others.truncate(MAX_PEERS_PER_CALL);
         others
     }
 
--- a/src/cell/watch.rs
+++ b/src/cell/watch.rs
@@ -16,7 +16,7 @@
 const POLL_WAIT: Duration = Duration::from_millis(500);
 /// The delay beyond the requested wait from which an answer counts as late:
 /// the slowest of the store's answers observed.
-const LATE_ANSWER: Duration = Duration::from_millis(250);
+const LATE_ANSWER_DELAY: Duration = Duration::from_millis(250);
 
 /// A watch of all keys below a prefix. The keys are read once, and afterwards
 /// only changes are requested, so that an unchanged value is not sent again.
@@ -92,7 +92,7 @@
         // An answer that holds changes or came late does not show the present
         // state. The next call does not wait, so that a process that was
         // suspended learns the present state at once.
-        let late = sent.elapsed() > POLL_WAIT + LATE_ANSWER;
+        let late = sent.elapsed() > POLL_WAIT + LATE_ANSWER_DELAY;
         if changes.is_empty() && !late {
             self.wait = POLL_WAIT;
         }
--- a/src/graph/crash.rs
+++ b/src/graph/crash.rs
@@ -42,11 +42,11 @@
 /// distinguishes a bad task from one that met two bad workers.
 const MAX_SUDDEN_LOSSES: u32 = 3;
 /// The number of lost workers from which the further runs of a task are
-/// limited to [`EXTRA_RUNS`].
-const MAX_LOSSES: u32 = 3;
-/// The runs that a task gets after [`MAX_LOSSES`]; the callers' rules do not
-/// allow a third.
-const EXTRA_RUNS: Run = 2;
+/// limited to [`MAX_EXTRA_RUNS`].
+const LOSSES_TO_LIMIT_RUNS: u32 = 3;
+/// The most runs that a task gets after [`LOSSES_TO_LIMIT_RUNS`] losses; the
+/// callers' rules do not allow a third.
+const MAX_EXTRA_RUNS: Run = 2;
 /// The number of certain losses from which the callers' rules let a task be
 /// given up.
 const MIN_CERTAIN_LOSSES: u32 = 2;
@@ -65,19 +65,19 @@
         // The task may have caused the excused and the unconfirmed losses as
         // well: they count as runs since the third loss.
         let silent = self.silent.len() as u32;
-        let runs_left = EXTRA_RUNS.saturating_sub(self.excused + silent);
+        let runs_left = MAX_EXTRA_RUNS.saturating_sub(self.excused + silent);
         let all_losses = self.lost + self.excused + silent;
         self.lost + silent >= MAX_PRESUMED_LOSSES
             || self.sudden >= MAX_SUDDEN_LOSSES
-            || self.lost >= MAX_LOSSES && runs_since >= runs_left
+            || self.lost >= LOSSES_TO_LIMIT_RUNS && runs_since >= runs_left
             || self.lost >= MIN_CERTAIN_LOSSES
-                && all_losses >= MAX_LOSSES + EXTRA_RUNS
+                && all_losses >= LOSSES_TO_LIMIT_RUNS + MAX_EXTRA_RUNS
     }
 
     /// Counts a lost worker.
     pub(super) fn count_lost(&mut self) {
         self.lost += 1;
-        if self.lost == MAX_LOSSES {
+        if self.lost == LOSSES_TO_LIMIT_RUNS {
             self.limit = self.run;
         }
     }
--- a/src/graph/job.rs
+++ b/src/graph/job.rs
@@ -207,7 +207,7 @@
         tasks: u64,
     },
     /// The job has too many repetitions.
-    #[error("times: {times}, expected at most {MAX_TIMES}")]
+    #[error("times: {times}, expected at most {MAX_REPETITIONS}")]
     Times {
         /// The number of repetitions of the job.
         times: u32,
@@ -237,7 +237,7 @@
 /// small enough that the sum over all tasks of a job does not overflow.
 pub const MAX_RESOURCE: i64 = 1_000_000_000_000;
 /// The most repetitions of a job. Bounds the planner's run time.
-pub const MAX_TIMES: u32 = 10_000;
+pub const MAX_REPETITIONS: u32 = 10_000;
 
 impl Job {
     /// Checks that the job is valid.
@@ -253,7 +253,7 @@
         for (number, step) in self.steps.iter().enumerate() {
             check_step(number, step)?;
         }
-        if self.times() > MAX_TIMES {
+        if self.times() > MAX_REPETITIONS {
             return Err(Error::Times {
                 times: self.times(),
             });
--- a/src/graph/resize.rs
+++ b/src/graph/resize.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Returns the units with a member on a worker that is not known to have
-    /// begun there.
+    /// Returns the running units that have a member on the agent's worker which
+    /// was ordered to start and is not known to have begun.
     fn units_ordered_on(&self, agent: &AgentId) -> Vec<(JobId, UnitKey)> {
         let mut ordered = Vec::new();
         for record in self.live_jobs() {
--- a/src/graph/schedule.rs
+++ b/src/graph/schedule.rs
@@ -33,7 +33,7 @@
 /// places where it runs more slowly, while most of the pool is idle.
 pub(super) const MAX_WAIT_WHEN_IDLE: Duration = Duration::from_millis(2000);
 /// The most repetitions of a job that are open at once.
-const MAX_OPEN_TIMES: u32 = 64;
+const MAX_OPEN_REPETITIONS: u32 = 64;
 
 /// A waiting unit with its rank.
 struct WaitingUnit {
@@ -507,7 +507,7 @@
 /// Opens the steps of one repetition whose dependencies are done.
 fn open_repetition(record: &mut JobRecord, time: u32, now: Instant) {
     if record.opened_steps.len() as u32
-        > MAX_OPEN_TIMES * record.job.steps.len() as u32
+        > MAX_OPEN_REPETITIONS * record.job.steps.len() as u32
     {
         return;
     }
--- a/src/graph/unconfirmed.rs
+++ b/src/graph/unconfirmed.rs
@@ -95,7 +95,7 @@
     }
 
     /// Resolves the unconfirmed losses of an agent's worker once a life
-    /// reports: the loss is retracted if the life is the silent one, and
+    /// reports: the loss is retracted if that life is the unresponsive one, and
     /// confirmed if it is another.
     pub(super) fn resolve_unconfirmed(
         &mut self,
--- a/src/plan/health.rs
+++ b/src/plan/health.rs
@@ -87,8 +87,8 @@
         was_in_service && !self.is_in_service()
     }
 
-    /// Records that a run here lasted. Returns whether the worker has just
-    /// come back into service.
+    /// Records a successful run on the worker. Returns whether the worker comes
+    /// back into service with it.
     pub fn record_success(&mut self) -> bool {
         let was_in_service = self.is_in_service();
         *self = Health::Good;
--- a/src/plan/schedule.rs
+++ b/src/plan/schedule.rs
@@ -226,7 +226,7 @@
         });
         match found {
             Some((home, preemption)) => {
-                self.book(&job.spec.id, preemption, Some(home));
+                self.start_or_book(&job.spec.id, preemption, Some(home));
                 true
             }
             None => false,
@@ -314,7 +314,7 @@
             return false;
         };
         let home = self.state.cover_any(job, &preemption.pieces);
-        self.book(&job.spec.id, preemption, home);
+        self.start_or_book(&job.spec.id, preemption, home);
         true
     }
 
@@ -458,7 +458,9 @@
         start(self.state, id, pieces, home, self.now, self.commands);
     }
 
-    fn book(
+    /// Starts a job on the pieces of a preemption. If jobs have to be stopped
+    /// first, stops them and books the pieces for the job.
+    fn start_or_book(
         &mut self,
         id: &job::Id,
         preemption: Preemption,
--- a/src/planner/launch.rs
+++ b/src/planner/launch.rs
@@ -158,8 +158,8 @@
         },
         Ok(Err(Refusal::StaleEpoch { .. })) => Outcome::Fenced,
         Ok(Err(refusal)) => {
-            // The request settles the question: a gang without a decision is
-            // decided not to run.
+            // The request forces a decision: a gang that has none by then is
+            // halted.
             let behind = matches!(refusal, Refusal::StaleRevision { .. });
             let decision = request_decision(pool, gang).await;
             if decision == Some(Decision::Run) {
--- a/src/program.rs
+++ b/src/program.rs
@@ -52,8 +52,8 @@
             .ok_or_else(|| eyre::eyre!("--settings FILE is missing"))
     }
 
-    /// Prints the settings if `--print-settings` was given. Returns whether it
-    /// was.
+    /// Prints the settings if `--print-settings` was given. Returns whether
+    /// they were printed.
     pub fn print_if_requested(&self, file: &File) -> bool {
         if self.print_settings {
             print!("{}", file.to_ini());
--- a/src/replay/engine.rs
+++ b/src/replay/engine.rs
@@ -297,13 +297,17 @@
             let Some(Reverse((_, _, scheduled))) = self.scheduled.pop() else {
                 break;
             };
-            self.fire(scheduled, events);
+            self.apply_scheduled(scheduled, events);
         }
     }
 
     /// Turns a scheduled event into an event for the policy, unless the run
     /// that it belongs to is over.
-    fn fire(&mut self, scheduled: Scheduled, events: &mut Vec<Event>) {
+    fn apply_scheduled(
+        &mut self,
+        scheduled: Scheduled,
+        events: &mut Vec<Event>,
+    ) {
         match scheduled {
             Scheduled::Tick => {
                 self.tick_at = None;
--- a/src/site.rs
+++ b/src/site.rs
@@ -204,8 +204,8 @@
         rack: &str,
         worker: &str,
     ) -> Result<WorkerIndex, Error> {
-        let hall_index = self.hall(hall);
-        let rack_index = self.rack(hall_index, rack);
+        let hall_index = self.find_or_add_hall(hall);
+        let rack_index = self.find_or_add_rack(hall_index, rack);
         if let Some(&index) = self.by_id.get(worker) {
             return match self.workers[index].rack == rack_index {
                 true => Ok(index),
@@ -226,8 +226,8 @@
         Ok(index)
     }
 
-    /// Returns the index of a hall, which is added if it is new.
-    fn hall(&mut self, id: &str) -> usize {
+    /// Returns the index of a hall. Adds the hall if it is new.
+    fn find_or_add_hall(&mut self, id: &str) -> usize {
         match self.halls.iter().position(|hall| &*hall.id == id) {
             Some(index) => index,
             None => {
@@ -240,9 +240,9 @@
         }
     }
 
-    /// Returns the index of a rack, which is added if it is new. Racks of
+    /// Returns the index of a rack. Adds the rack if it is new. Racks of
     /// different halls may share a name.
-    fn rack(&mut self, hall: usize, id: &str) -> usize {
+    fn find_or_add_rack(&mut self, hall: usize, id: &str) -> usize {
         let matches = |rack: &Rack| rack.hall == hall && &*rack.id == id;
         match self.racks.iter().position(matches) {
             Some(index) => index,
--- a/src/telemetry/page.rs
+++ b/src/telemetry/page.rs
@@ -68,9 +68,9 @@
             let _ =
                 writeln!(text, "# TYPE {name} {}", metric_type(metric.data()));
             match metric.data() {
-                AggregatedMetrics::F64(data) => lines(&mut text, name, data),
-                AggregatedMetrics::U64(data) => lines(&mut text, name, data),
-                AggregatedMetrics::I64(data) => lines(&mut text, name, data),
+                AggregatedMetrics::F64(data) => append(&mut text, name, data),
+                AggregatedMetrics::U64(data) => append(&mut text, name, data),
+                AggregatedMetrics::I64(data) => append(&mut text, name, data),
             }
         }
         *self.text.lock().unwrap_or_else(PoisonError::into_inner) = text;
@@ -91,7 +91,7 @@
 }
 
 /// Appends the samples of a metric.
-fn lines<T: Copy + std::fmt::Display>(
+fn append<T: Copy + std::fmt::Display>(
     text: &mut String,
     name: &str,
     data: &MetricData<T>,
