--- a/src/cell/member/state.rs
+++ b/src/cell/member/state.rs
@@ -445,6 +445,8 @@
 
 type Identifiers<'a> = (Vec<(&'a Task, Run)>, Vec<u64>);
 
+/// Returns the identifiers of the listed runs and the numbers of the listed
+/// ends.
 fn identifiers(lists: &Lists) -> Identifiers<'_> {
     let running = lists.running.iter().map(|r| (&r.task, r.run));
     let ended = lists.ended.iter().map(|e| e.number);
--- a/src/cell/server.rs
+++ b/src/cell/server.rs
@@ -133,6 +133,8 @@
         }
     }
 
+    /// Counts a connection that was rejected, and logs rejections at most once
+    /// per [`WARNING_INTERVAL`].
     fn observe(&self, status: StatusCode) {
         if status != StatusCode::TOO_MANY_REQUESTS {
             return;
--- a/src/cell/watch.rs
+++ b/src/cell/watch.rs
@@ -81,6 +81,7 @@
         }
     }
 
+    /// Records an answer of the store and returns its changes.
     fn record(&mut self, changes: Changes, sent: Instant) -> Vec<Change> {
         let Changes { revision, changes } = changes;
         if let Some(cursor) = &mut self.cursor {
--- a/src/cell/writer.rs
+++ b/src/cell/writer.rs
@@ -101,7 +101,7 @@
         let swap = store.swap(&conditions, puts.clone());
         match tokio::time::timeout(limit, swap).await {
             Ok(Ok(Swap::Written(revision))) => {
-                return Ok(written(batch, |_| Some(revision)));
+                return Ok(written_jobs(batch, |_| Some(revision)));
             }
             Ok(Ok(Swap::Refused(items))) => {
                 return resolve_refusal(batch, &puts, &items);
@@ -117,7 +117,8 @@
     }
 }
 
-fn written(
+/// Returns the jobs of a batch that have a revision, as written.
+fn written_jobs(
     batch: &[ProgressUpdate],
     revision: impl Fn(&JobId) -> Option<Revision>,
 ) -> Written {
@@ -149,5 +150,5 @@
         let key = keys::progress(id);
         items.iter().find(|i| i.key == key).map(|i| i.modified)
     };
-    Ok(written(batch, revision))
+    Ok(written_jobs(batch, revision))
 }
--- a/src/entry/claim.rs
+++ b/src/entry/claim.rs
@@ -1,9 +1,9 @@
 //! Claims the cell, and hosts its planner while the claim is held.
 //!
 //! A claim is a key in the store that is attached to a lease. The lease only
-//! determines when another entry may claim. Two planners are kept apart by the
-//! epoch, the revision at which the claim was written: an agent that has seen
-//! a higher epoch refuses requests of a lower one.
+//! determines when another entry may claim. The epoch, which is the revision at
+//! which the claim was written, excludes earlier planners: an agent that has
+//! seen a higher epoch refuses requests of a lower one.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/graph/guarantee.rs
+++ b/src/graph/guarantee.rs
@@ -64,12 +64,13 @@
     fn demand(&self) -> BTreeMap<&SharedStr, i64> {
         let mut needed = BTreeMap::new();
         for record in self.urgent_jobs() {
-            let most = accelerators(&record.job);
-            *needed.entry(&record.job.account).or_default() += most;
+            let count = accelerators(&record.job);
+            *needed.entry(&record.job.account).or_default() += count;
         }
         needed
     }
 
+    /// Returns the number of accelerators that an account is guaranteed.
     fn guaranteed(&self, account: &SharedStr) -> i64 {
         self.guarantees.get(account).copied().unwrap_or(0)
     }
--- a/src/graph/liveness.rs
+++ b/src/graph/liveness.rs
@@ -155,7 +155,7 @@
     }
 
     /// Returns whether this planner is new and a worker on which an earlier
-    /// planner placed something has not reported yet.
+    /// planner placed a unit has not reported yet.
     ///
     /// A new planner sees only a small part of the site. Without this rule it
     /// spread gangs over the first racks that reported, which made them three
--- a/src/graph/pace.rs
+++ b/src/graph/pace.rs
@@ -1,7 +1,7 @@
 //! The pace of filler tasks.
 //!
 //! Filler tasks use the CPU time that other tasks leave, but they slow down
-//! the serving tasks beside them by amounts that nobody declares. A worker's
+//! the serving tasks beside them by amounts that are not declared. A worker's
 //! fillers therefore pause as soon as a serving task on the worker exceeds its
 //! latency target, and speed up again step by step.
 
--- a/src/graph/preempt.rs
+++ b/src/graph/preempt.rs
@@ -233,6 +233,9 @@
         budget::limit(&self.options.policy, &need)
     }
 
+    /// Returns the running and reserved units that may be stopped for a
+    /// request: those of a lower priority, and, if the request is within its
+    /// account's guarantee, those that borrow at the same priority.
     fn victims(
         &self,
         request: &Request,
@@ -308,6 +311,7 @@
     cpu as f64 / 1000.0
 }
 
+/// Returns a unit as a victim, with the work that stopping it loses.
 fn victim(
     record: &JobRecord,
     key: &UnitKey,
--- a/src/graph/reserve.rs
+++ b/src/graph/reserve.rs
@@ -38,7 +38,7 @@
 impl Scheduler {
     /// Reserves resources for a unit that finds no place, if the unit has
     /// waited and the pool does not hold too many reservations; returns
-    /// whether it did.
+    /// whether resources were reserved.
     pub(super) fn reserve_room(
         &mut self,
         id: &JobId,
@@ -53,9 +53,10 @@
         }
         let workers = self.candidates(request, now).len();
         let reserved = self.reserved_workers(request);
-        let most = (workers as f64 * self.options.policy.reserved_share).ceil()
-            as usize;
-        if reserved.len() >= most {
+        let max_reserved = (workers as f64
+            * self.options.policy.reserved_share)
+            .ceil() as usize;
+        if reserved.len() >= max_reserved {
             return false;
         }
         let best = self
--- a/src/plan/mask.rs
+++ b/src/plan/mask.rs
@@ -31,6 +31,7 @@
     Some(lowest(free, count))
 }
 
+/// Returns the aligned windows of `size` accelerators, each with its index.
 fn windows(size: u32) -> impl Iterator<Item = (Mask, u32)> {
     (0..Mask::BITS / size).map(move |index| (window(size, index), index))
 }
@@ -47,6 +48,7 @@
     })
 }
 
+/// Returns the `count` lowest accelerators of `free`.
 fn lowest(free: Mask, count: u32) -> Mask {
     let mut remaining = free;
     let mut chosen = 0;
--- a/src/plan/predict.rs
+++ b/src/plan/predict.rs
@@ -53,7 +53,7 @@
         self.sorted[self.sorted.len() / 2]
     }
 
-    fn spread(&self) -> f64 {
+    fn interquartile_range(&self) -> f64 {
         let count = self.sorted.len();
         self.sorted[count * 3 / 4] - self.sorted[count / 4]
     }
@@ -81,8 +81,8 @@
         let declared = spec.declared.max(MIN_RUN_TIME);
         match self.template(spec) {
             Some(template) if template.runs.arrived.len() >= MIN_SAMPLES => {
-                let seconds = match template.ratios.spread()
-                    < template.runs.spread()
+                let seconds = match template.ratios.interquartile_range()
+                    < template.runs.interquartile_range()
                 {
                     true => {
                         template.ratios.median().exp() * declared.as_secs_f64()
--- a/src/plan/reclaim.rs
+++ b/src/plan/reclaim.rs
@@ -45,13 +45,13 @@
         stop_cost,
     };
     let single = match shape.accelerators <= state.site.accelerators() {
-        true => search.best(shape, spread, Within::Worker),
+        true => search.cheapest_within(shape, spread, Within::Worker),
         false => None,
     };
     match shape.within {
         Within::Worker => single,
         _ if single.is_some() => single,
-        within => search.best(shape, spread, within),
+        within => search.cheapest_within(shape, spread, within),
     }
 }
 
@@ -72,7 +72,8 @@
     R: Fn(WorkerIndex) -> Mask,
     P: Fn(&Job) -> Option<Cost>,
 {
-    fn best(
+    /// Returns the cheapest preemption in a single domain of the given extent.
+    fn cheapest_within(
         &self,
         shape: Shape,
         spread: Spread,
@@ -91,6 +92,8 @@
         self.preemption(shape, spread, domain, &victims)
     }
 
+    /// Returns the accelerators of a worker that the search may take, whether
+    /// or not they are in use.
     fn allowed(&self, index: WorkerIndex) -> Mask {
         let worker = &self.state.workers[index];
         match worker.is_open() {
@@ -103,6 +106,8 @@
         }
     }
 
+    /// Returns the accelerators of a worker that the search may take and that
+    /// are not in use.
     fn open(&self, worker: WorkerIndex) -> Mask {
         self.allowed(worker) & !self.state.workers[worker].used
     }
@@ -171,6 +176,8 @@
             .sum()
     }
 
+    /// Returns the preemption of `victims`, without those whose accelerators
+    /// are not needed.
     fn preemption(
         &self,
         shape: Shape,
--- a/src/planner/actor/agents.rs
+++ b/src/planner/actor/agents.rs
@@ -145,6 +145,7 @@
         running.collect()
     }
 
+    /// Returns how a gang found in a ledger relates to the planner's jobs.
     fn relation(&self, id: &gang::Id) -> Relation {
         let Some(entry) = self.jobs.get(&id.job) else {
             return match self.unresolved.contains_key(&id.job) {
