--- a/src/cell/member/view.rs
+++ b/src/cell/member/view.rs
@@ -244,6 +244,7 @@
         now > self.last_contact + SILENCE_LIMIT
     }
 
+    /// Returns whether the worker's life counts as over.
     pub fn is_over(&self, now: Instant) -> bool {
         self.over_at.is_some_and(|over| now >= over)
     }
--- a/src/graph/crash.rs
+++ b/src/graph/crash.rs
@@ -27,8 +27,8 @@
 /// How long a task must have been listed as running before it is not blamed
 /// for the loss of its worker.
 const PROVEN_AFTER: Duration = Duration::from_secs(1);
-/// How long nothing else starts on a worker where a suspect has started: until
-/// the suspect is proven and that is reported.
+/// How long nothing else starts on a worker where a suspect has started: long
+/// enough for the suspect to be proven and reported as such.
 const ISOLATION_TIME: Duration = Duration::from_millis(1500);
 /// How long a suspect waits for an empty worker.
 const EMPTY_WORKER_WAIT: Duration = Duration::from_secs(2);
--- a/src/graph/decision.rs
+++ b/src/graph/decision.rs
@@ -27,7 +27,7 @@
     pub unit: UnitKey,
 }
 
-/// What a unit waits for.
+/// The reason why a unit waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitReason {
     /// No worker is usable for the unit.
--- a/src/graph/place.rs
+++ b/src/graph/place.rs
@@ -75,8 +75,8 @@
 
     /// Returns how many of the unit's tasks fit on a worker when it is empty.
     pub fn slots(&self, worker: &Worker) -> u32 {
-        let most = self.per_worker.unwrap_or(u32::MAX);
-        worker.capacity.times(&self.charge).min(most)
+        let max_tasks = self.per_worker.unwrap_or(u32::MAX);
+        worker.capacity.times(&self.charge).min(max_tasks)
     }
 
     /// Returns the step that the unit belongs to.
@@ -126,8 +126,9 @@
                     true => worker.unoccupied(),
                     false => worker.free(),
                 });
-        let most = free.map(|free| u64::from(free.times(&request.charge)));
-        if most.sum::<u64>() < u64::from(request.width) {
+        let max_slots =
+            free.map(|free| u64::from(free.times(&request.charge)));
+        if max_slots.sum::<u64>() < u64::from(request.width) {
             return None;
         }
         let candidates = self.candidates(request, now);
@@ -312,7 +313,7 @@
 
     /// Returns how many more tasks of a step a worker may run.
     fn quota(&self, request: &Request, agent: &AgentId) -> u32 {
-        let Some(most) = request.per_worker else {
+        let Some(max_tasks) = request.per_worker else {
             return u32::MAX;
         };
         let Some(record) = self.jobs.get(&request.id) else {
@@ -327,7 +328,7 @@
             .flat_map(|(_, unit)| unit.members())
             .filter(|member| member.place.agent == *agent)
             .count();
-        most.saturating_sub(here as u32)
+        max_tasks.saturating_sub(here as u32)
     }
 }
 
--- a/src/graph/preempt.rs
+++ b/src/graph/preempt.rs
@@ -180,8 +180,10 @@
         }
         let mut best: Option<Eviction> = None;
         for chosen in self.candidate_sets(request, now) {
-            let most = best.as_ref().map_or(f64::INFINITY, |best| best.weight);
-            best = find_eviction(request, chosen, victims, most).or(best);
+            let max_weight =
+                best.as_ref().map_or(f64::INFINITY, |best| best.weight);
+            best =
+                find_eviction(request, chosen, victims, max_weight).or(best);
         }
         let Some(eviction) = best else {
             return false;
@@ -284,10 +286,10 @@
 fn absences_left(record: &JobRecord) -> BTreeMap<(u32, usize), u32> {
     let mut left = BTreeMap::new();
     for (key, unit) in &record.units {
-        let Some(most) = record.job.steps[key.step].may_miss else {
+        let Some(may_miss) = record.job.steps[key.step].may_miss else {
             continue;
         };
-        let more = left.entry((key.time, key.step)).or_insert(most);
+        let more = left.entry((key.time, key.step)).or_insert(may_miss);
         if !is_fully_running(unit) {
             *more = more.saturating_sub(1);
         }
@@ -345,12 +347,12 @@
 }
 
 /// Finds the cheapest runs to stop, member by member, if their weight is less
-/// than `most`.
+/// than `max_weight`.
 fn find_eviction(
     request: &Request,
     mut candidates: Vec<Candidate>,
     victims: &Victims,
-    most: f64,
+    max_weight: f64,
 ) -> Option<Eviction> {
     let mut eviction = Eviction {
         places: Vec::new(),
@@ -371,7 +373,7 @@
             .min_by(|a, b| a.1.total_cmp(&b.1));
         let (index, cost) = best?;
         eviction.weight += cost;
-        if eviction.weight >= most {
+        if eviction.weight >= max_weight {
             return None;
         }
         for victim in
--- a/src/graph/report.rs
+++ b/src/graph/report.rs
@@ -132,7 +132,7 @@
     pub refused: Vec<Refused>,
 }
 
-/// What an agent knows of a life of its worker that is over.
+/// An agent's report on a life of its worker that is over.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PastLife {
     /// The life that is over.
--- a/src/graph/scheduler.rs
+++ b/src/graph/scheduler.rs
@@ -148,7 +148,7 @@
     /// anything after that time.
     pub(super) claimed_at: Instant,
     pub(super) workers: BTreeMap<AgentId, Worker>,
-    /// What agents report of the lives before those in `workers`.
+    /// The reports of agents on earlier lives than those in `workers`.
     pub(super) past_lives: BTreeMap<AgentId, PastLife>,
     pub(super) jobs: BTreeMap<JobId, JobRecord>,
     /// Jobs with units that are not done.
@@ -280,10 +280,10 @@
         std::mem::take(&mut self.agents_to_order)
     }
 
-    /// Returns up to `most` jobs whose progress must be written, each with its
-    /// version.
-    pub fn take_unwritten(&mut self, most: usize) -> Vec<ProgressUpdate> {
-        let ids: Vec<JobId> = self.dirty.iter().take(most).cloned().collect();
+    /// Returns up to `limit` jobs whose progress must be written, each with
+    /// its version.
+    pub fn take_unwritten(&mut self, limit: usize) -> Vec<ProgressUpdate> {
+        let ids: Vec<JobId> = self.dirty.iter().take(limit).cloned().collect();
         ids.iter()
             .filter_map(|id| {
                 self.dirty.remove(id);
