--- a/crates/landingvalve-sim/src/day.rs
+++ b/crates/landingvalve-sim/src/day.rs
@@ -465,9 +465,9 @@
 
     fn end_due_faults(&mut self, now: Instant) {
         let pending = std::mem::take(&mut self.pending_undos);
-        for (at, undo) in pending {
-            if now < at {
-                self.pending_undos.push((at, undo));
+        for (due, undo) in pending {
+            if now < due {
+                self.pending_undos.push((due, undo));
                 continue;
             }
             self.checker.record(format!("over: {undo:?}"));
