--- a/tests/it/ordered.rs
+++ b/tests/it/ordered.rs
@@ -68,9 +68,9 @@
             cores: 1.0,
         };
         let holder = serde_json::to_vec(&holder).expect("encoded");
-        let put = Mutation::Value(keys::PLANNER.to_owned(), holder, 0);
+        let put = Mutation::Value(keys::CLAIM.to_owned(), holder, 0);
         store.swap(&[], vec![put]).await.expect("written");
-        let claim = store.get(keys::PLANNER).await.expect("an answer");
+        let claim = store.get(keys::CLAIM).await.expect("an answer");
         let planner = Planner::default();
         planner.lock().token = claim.expect("a claim").modified;
         (planner, store)
--- a/tests/it/pages.rs
+++ b/tests/it/pages.rs
@@ -35,7 +35,7 @@
 
 #[test]
 fn operators_page_lists_every_metric() {
-    for metric in metrics::ALL {
+    for metric in metrics::DESCRIPTIONS {
         table_row(metric.name);
     }
 }
