--- a/src/graph/liveness.rs
+++ b/src/graph/liveness.rs
@@ -154,13 +154,13 @@
         }
     }
 
-    /// Returns whether this planner is new and has not heard yet of a worker
-    /// on which an earlier planner placed something.
+    /// Returns whether this planner is new and a worker on which an earlier
+    /// planner placed something has not reported yet.
     ///
     /// A new planner sees only a small part of the site. Without this rule it
     /// spread gangs over the first racks that reported, which made them three
     /// times as slow, and stopped runs there although other workers would have
-    /// become free a moment later.
+    /// become free 0.2 s later.
     pub(super) fn awaits_reports(&self, now: Timestamp) -> bool {
         if !self.options.policy.await_reports
             || now.monotonic >= self.claimed_at + STARTUP_TIME
