--- a/tools/days.py
+++ b/tools/days.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""Writes deploy/days/*.toml: a day for each kind of trouble, alone and twice,
-and pairs that meet. Each is played on any site by the users' bench:
+"""Writes deploy/days/*.toml: a day for each kind of fault, injected twice, and
+days on which two kinds overlap. The users' bench runs each of them on any site:
 `fleetbench run SITE deploy/days/NAME.toml`."""
 import os
 
@@ -100,9 +100,9 @@
     "grey-while-lost": ("srv-grey-errors", "platform-lost"),
     "freeze-while-down": ("node-freeze", "platform-down"),
 }
-# Kinds that some sites alone know; @z0, @s0 and @c0 stand for a site's first
-# zone, service and kind of request. They come last, so that the days before
-# them keep their seeds.
+# Kinds that only some sites support; @z0, @s0 and @c0 stand for a site's first
+# zone, service and kind of request. Their seeds are counted separately, so that
+# the seeds of the other days don't change.
 MORE_FAULTS = {
     "srv-crash": 'kind = "srv_crash", service = "@s0", share = 0.2, for_s = 3.0',
     "srv-crash-rack": 'kind = "srv_crash", share = 0.2, for_s = 3.0, how = "rack"',
@@ -140,9 +140,9 @@
     text = {**FAULTS, **MORE_FAULTS, **PLANS, **MORE_PLANS}[name]
     return f"  {{ at = {at}, {text} }},"
 
-def day(name, seed, troubles, closing=None):
-    plan = [entry(n, at) for n, at in troubles if n in PLANS or n in MORE_PLANS]
-    faults = [entry(n, at) for n, at in troubles if n in FAULTS or n in MORE_FAULTS]
+def day(name, seed, events, closing=None):
+    plan = [entry(n, at) for n, at in events if n in PLANS or n in MORE_PLANS]
+    faults = [entry(n, at) for n, at in events if n in FAULTS or n in MORE_FAULTS]
     lines = [f'name = "{name}"', 'slot = "trouble"', f"seed = {seed}"]
     if closing: lines.append(f"closing = {closing}")
     lines += ["plan = [", *plan, "]", "faults = [", *faults, "]"]
--- a/tools/late.py
+++ b/tools/late.py
@@ -1,23 +1,23 @@
 #!/usr/bin/env python3
-"""Why jobs of the first priority were late, from the logs of all processes.
+"""Explains why jobs of the first priority were late, from the logs of all processes.
 
-    late.py LOG... [--report FILE...] [--jobs] [--queue NAME]
+    late.py LOG... [--report FILE...] [--jobs]
 
-A LOG holds our own log lines, each behind the seconds since traffic began.
-A job counts from the first try that any entry saw until the first answer
-that showed its end. Its objective is the one that our planner tells at its
-end. Each late job goes under the cause that cost it the most:
+A LOG holds log lines of our processes, each after the seconds since traffic
+began. The time of a job runs from the first request that any entry received
+to the first answer that showed its end. Its objective is the one that the
+planner logs at its end. Each late job is counted under its most costly cause:
 
-    before      tries that were refused, or not answered, before it was kept
-    untaken     from then until a planner had taken it in
+    before      requests that were refused or not answered before it was stored
+    untaken     from then until a planner admitted it
     room        its units waited for a place
     lost        runs that failed, broke, were stopped or lost
-    slow        its last run took longer than was expected of it
-    over racks  the same, of a gang that was spread over racks
-    shown       from its end, as the planner told it, until it was shown
-    work        none of these: what it asks for takes that long
+    slow        its last run took longer than expected
+    over racks  the same, for a gang that was spread over racks
+    shown       from its end, as the planner logged it, until a caller was shown it
+    work        none of these: the work itself takes longer than the objective
 
---report compares with what the callers' side has counted: a JSON report
+--report also prints the counts that the callers' side has made: a JSON report
 with `classes` of `name`, `n`, `in_aim`, `late`, `failed`, `not_owed`.
 """
 import argparse, collections, json
@@ -42,36 +42,36 @@
     return jobs
 
 
-def said(lines, what):
-    return [line for line in lines if line["msg"].endswith(what)]
+def lines_ending_with(lines, suffix):
+    return [line for line in lines if line["msg"].endswith(suffix)]
 
 
-def story(lines):
-    """Returns a job's times, or nothing if it does not count."""
+def analyze(lines):
+    """Returns the times of a job, or None unless it is of the first priority and succeeded."""
     lines = sorted(lines, key=lambda line: line["t"])
-    taken = said(lines, "is taken in")
-    over = said(lines, "a job has ended")
-    tries = [line for line in lines if line.get("method") == "POST"]
-    if not taken or taken[0]["priority"] != 0 or not tries or not over:
+    admitted = lines_ending_with(lines, "is taken in")
+    ended_lines = lines_ending_with(lines, "a job has ended")
+    requests = [line for line in lines if line.get("method") == "POST"]
+    if not admitted or admitted[0]["priority"] != 0 or not requests or not ended_lines:
         return None
-    first = min(line["t"] - line["ms"] / 1000 for line in tries)
-    if first < 0 or over[0]["outcome"] != "Succeeded":
+    first = min(line["t"] - line["ms"] / 1000 for line in requests)
+    if first < 0 or ended_lines[0]["outcome"] != "Succeeded":
         return None
-    kept = [line["t"] for line in tries if line["status"] == 200]
-    kept = min(kept, default=taken[0]["t"])
-    ended = over[0]["t"]
+    stored = [line["t"] for line in requests if line["status"] == 200]
+    stored = min(stored, default=admitted[0]["t"])
+    ended = ended_lines[0]["t"]
     shows = [line["t"] for line in lines
              if line.get("method") == "GET" and line["status"] == 200
              and line["t"] >= ended]
     shown = min(shows, default=ended)
     costs = collections.Counter()
-    costs["before"] = kept - first
-    costs["untaken"] = max(0.0, taken[0]["t"] - kept)
+    costs["before"] = stored - first
+    costs["untaken"] = max(0.0, admitted[0]["t"] - stored)
     costs["shown"] = shown - ended
-    placed = said(lines, "a unit is placed")
+    placed = lines_ending_with(lines, "a unit is placed")
     for line in placed:
         costs["room"] += line["waited_ms"] / 1000
-    ends = [line for line in said(lines, "a run has ended") if line["t"] <= ended]
+    ends = [line for line in lines_ending_with(lines, "a run has ended") if line["t"] <= ended]
     done = [line for line in ends if line["how"] == "done"]
     for before, after in zip(placed, placed[1:]):
         lost = after["t"] - after["waited_ms"] / 1000 - before["t"]
@@ -79,17 +79,17 @@
     if placed and done:
         ran = done[0]["t"] - placed[-1]["t"]
         far = ran > 2 * placed[-1]["expected_ms"] / 1000
-        name = "over racks" if far and "in a rack" in taken[0]["steps"] else "slow"
+        name = "over racks" if far and "in a rack" in admitted[0]["steps"] else "slow"
         costs[name] += max(0.0, ran - placed[-1]["expected_ms"] / 1000)
-    objective = over[0]["objective_ms"] / 1000
+    objective = ended_lines[0]["objective_ms"] / 1000
     took = shown - first
     late = took - objective
     cause, cost = max(costs.items(), key=lambda item: item[1])
     if cost < late / 4:
         cause, cost = "work", late
     return {"first": first, "took": took, "objective": objective, "late": late,
-            "cause": cause, "cost": cost, "costs": costs, "queue": taken[0]["queue"],
-            "steps": taken[0]["steps"]}
+            "cause": cause, "cost": cost, "costs": costs, "queue": admitted[0]["queue"],
+            "steps": admitted[0]["steps"]}
 
 
 def main():
@@ -102,21 +102,21 @@
     jobs = late = 0
     for path in args.logs:
         for name, lines in read(path).items():
-            told = story(lines)
-            if told is None:
+            times = analyze(lines)
+            if times is None:
                 continue
             jobs += 1
-            if told["late"] <= 0:
+            if times["late"] <= 0:
                 continue
             late += 1
-            row = table[told["cause"]]
+            row = table[times["cause"]]
             row[0] += 1
-            row[1] += told["cost"]
-            row[2] += told["late"]
+            row[1] += times["cost"]
+            row[2] += times["late"]
             if args.jobs:
-                parts = ", ".join(f"{k} {v:.2f}" for k, v in told["costs"].most_common() if v > 0.02)
-                print(f"{Path(path).stem} {name} at {told['first']:.1f}: {told['took']:.2f} of "
-                      f"{told['objective']:.2f} s, {told['cause']} ({told['steps']}; {parts})")
+                parts = ", ".join(f"{k} {v:.2f}" for k, v in times["costs"].most_common() if v > 0.02)
+                print(f"{Path(path).stem} {name} at {times['first']:.1f}: {times['took']:.2f} of "
+                      f"{times['objective']:.2f} s, {times['cause']} ({times['steps']}; {parts})")
     print(f"{jobs} jobs done, {late} late by our own lines")
     print(f"{'late':>6} {'cost s':>8} {'late by s':>10}  cause")
     for cause, (count, cost, by) in sorted(table.items(), key=lambda item: -item[1][0]):
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -1,8 +1,9 @@
 #!/usr/bin/env python3
-"""Plays single changes to the product in the simulation.
+"""Mutation test of the simulation: applies single faults to the product.
 
-For each change: after how many days, by seed, a promise was seen broken, and
-which. Run it in a clone: it changes sources and puts them back.
+Prints for each mutation the first day, by seed, on which the simulation reports
+a violated invariant, and the kind of the violation. Run it in a clone: it
+changes sources and restores them.
 
     tools/mutations.py [--days 400] [--only TEXT]
 """
@@ -18,15 +19,15 @@
 ORDERS = "src/graph/orders.rs"
 SETTLE = "src/graph/settle.rs"
 
-# What is changed, where, from what to what.
+# Each mutation: description, file, excerpt to replace and its replacement.
 MUTATIONS = [
-    ("births are not compared in looks", STATE,
+    ("births are not compared in polls", STATE,
      "if known.beat.life.is_other(look.born) {", "if false {"),
     ("late starts are not barred in a new birth", STATE,
      "known.late = earlier.late_in(&known.beat.life);", ""),
-    ("orders outlive what is told to be gone", STATE,
+    ("orders outlive a worker that is reported lost", STATE,
      "known.starts.clear();", ""),
-    ("a start is tried again while looks fail", ACT,
+    ("a start is tried again while polls fail", ACT,
      ".filter(|_| known.is_known())", ""),
     ("ends are acknowledged before they are written", ORDERS,
      "if !written {", "if false {"),
@@ -35,9 +36,9 @@
      "State::Ordered(_) =>"),
     ("an old fencing token is obeyed", STATE,
      "if token < self.token {", "if false {"),
-    ("ends of an earlier number are taken again", INTAKE,
+    ("ends of an earlier number are applied again", INTAKE,
      "if ended.number <= worker.taken {", "if false {"),
-    ("what was given up and done begins again", INTAKE,
+    ("a task that was given up and has ended as done begins again", INTAKE,
      "self.credit(task, now);", "let _ = task;"),
     ("failed runs are not counted", SETTLE,
      "if failed && kept.counted < run {", "if false {"),
@@ -48,19 +49,19 @@
 ]
 
 
-def play(days):
-    """Builds, and plays until a promise is broken; returns what was seen."""
+def simulate(days):
+    """Builds the simulation and runs it until a violation; describes the result."""
     build = ["cargo", "build", "--release", "-q", "-p", "landingvalve-sim"]
     built = subprocess.run(build, capture_output=True, text=True)
     if built.returncode != 0:
         return "does not build"
     command = ["target/release/landingvalve-sim", "--first"]
     command += ["--days", str(days)]
-    played = subprocess.run(command, capture_output=True, text=True)
-    seen = re.search(r"seed (\d+): \[\s*\"(\w+)", played.stdout)
-    if not seen:
-        return f"not seen in {days} days"
-    return f"day {seen.group(1)}, {seen.group(2)}"
+    result = subprocess.run(command, capture_output=True, text=True)
+    violation = re.search(r"seed (\d+): \[\s*\"(\w+)", result.stdout)
+    if not violation:
+        return f"no violation in {days} days"
+    return f"day {violation.group(1)}, {violation.group(2)}"
 
 
 def main():
@@ -72,15 +73,15 @@
         if args.only not in name:
             continue
         source = pathlib.Path(path)
-        whole = source.read_text()
-        if whole.count(old) == 0:
-            print(f"{name}: no such place in {path}", flush=True)
+        original = source.read_text()
+        if original.count(old) == 0:
+            print(f"{name}: excerpt not found in {path}", flush=True)
             continue
-        source.write_text(whole.replace(old, new, 1))
+        source.write_text(original.replace(old, new, 1))
         try:
-            print(f"{name}: {play(args.days)}", flush=True)
+            print(f"{name}: {simulate(args.days)}", flush=True)
         finally:
-            source.write_text(whole)
+            source.write_text(original)
 
 
 if __name__ == "__main__":
